--- a/src/main/java/martenslip/Logic.java
+++ b/src/main/java/martenslip/Logic.java
@@ -14,8 +14,13 @@
     // contacts in a hundred, and a full group then keeps nothing for them. Table 2's upper limits over their
     // stage's total: emergency, gold, silver, bronze.
     static final double[] STAGES = {0.02, 0.256, 0.40, 0.60};
-    static final double[][] SHARES = {{0.112, 0.400, 0.428, 0.060}, {0.256, 0.336, 0.359, 0.049},
-        {0.400, 0.180, 0.375, 0.045}, {0.600, 0.137, 0.235, 0.028}, {0.800, 0.163, 0.037, 0.000}};
+    static final double[][] SHARES = {
+        {0.112, 0.400, 0.428, 0.060},
+        {0.256, 0.336, 0.359, 0.049},
+        {0.400, 0.180, 0.375, 0.045},
+        {0.600, 0.137, 0.235, 0.028},
+        {0.800, 0.163, 0.037, 0.000}
+    };
     // Binding levels, in square roots of the group's size: the spread of circuits held by chance arrivals.
     // They bind early for a contact over a tandem, which takes circuits of two groups, and for a late one.
     static final double NEAR_FULL = 0.15, NEAR_FULL_EARLY = 0.5;
@@ -37,51 +42,118 @@
     static final double WORTH_WAITING = 0.5, AGAIN = 0.25;
     static final Moment NEVER = new Moment(Long.MIN_VALUE / 4);
 
-    enum Reason { SHARE, FULL, PRESSED, COLD, DOWN }
+    enum Reason {
+        SHARE,
+        FULL,
+        PRESSED,
+        COLD,
+        DOWN
+    }
 
     /** A note in an inbox; it knows which part of its reader takes it. */
     interface Note<A> {
         void to(A it);
     }
 
-    record Offered(Contact contact) implements Note<Front> { public void to(Front a) { a.offered(contact); } }
-    record Answered(long contact) implements Note<Front> { public void to(Front a) { a.answered(contact); } }
-    record Over(RingEnd end) implements Note<Front> { public void to(Front a) { a.over(end); } }
-    record CallerGone(long id) implements Note<Front> { public void to(Front a) { a.letGo(a.open.get(id)); } }
-    record Rung(long contact) implements Note<Front> { public void to(Front a) { a.rung(contact); } }
+    record Offered(Contact contact) implements Note<Front> {
+        public void to(Front a) {
+            a.offered(contact);
+        }
+    }
+
+    record Answered(long contact) implements Note<Front> {
+        public void to(Front a) {
+            a.answered(contact);
+        }
+    }
+
+    record Over(RingEnd end) implements Note<Front> {
+        public void to(Front a) {
+            a.over(end);
+        }
+    }
+
+    record CallerGone(long id) implements Note<Front> {
+        public void to(Front a) {
+            a.letGo(a.open.get(id));
+        }
+    }
+
+    record Rung(long contact) implements Note<Front> {
+        public void to(Front a) {
+            a.rung(contact);
+        }
+    }
+
     record Denied(long id, boolean own) implements Note<Front> {
-        public void to(Front a) { a.denied(a.open.get(id), own); }
+        public void to(Front a) {
+            a.denied(a.open.get(id), own);
+        }
     }
 
     record Granted(long contact, Switch target) implements Note<Front> {
-        public void to(Front a) { a.granted(contact, target); }
+        public void to(Front a) {
+            a.granted(contact, target);
+        }
     }
 
     /** A contact looks for its next ring: first at the own exchange's switch, then at its destination's. */
-    record Ask(Contact contact, Skill skill, Switch destination, boolean first, Moment waitUntil,
-               int out, Moment firstTry, Set<Long> tried) implements Note<Switch> {
-        public void to(Switch a) { a.asked(this); }
+    record Ask(
+            Contact contact,
+            Skill skill,
+            Switch destination,
+            boolean first,
+            Moment waitUntil,
+            int out,
+            Moment firstTry,
+            Set<Long> tried)
+            implements Note<Switch> {
+        public void to(Switch a) {
+            a.asked(this);
+        }
 
-        int width() { return Math.max(1, contact.width()); }
+        int width() {
+            return Math.max(1, contact.width());
+        }
 
-        boolean urgent() { return skill.rank == 0; }
+        boolean urgent() {
+            return skill.rank == 0;
+        }
 
         /** Its answer target began with the first try: a cheap contact past it pays little and goes last. */
-        boolean late(Moment now) { return !urgent() && !now.before(firstTry.plus(skill.target)); }
+        boolean late(Moment now) {
+            return !urgent() && !now.before(firstTry.plus(skill.target));
+        }
 
-        Ask again() { return new Ask(contact, skill, destination, false, waitUntil, out, firstTry, tried); }
+        Ask again() {
+            return new Ask(contact, skill, destination, false, waitUntil, out, firstTry, tried);
+        }
     }
 
     record Through(Ask ask, List<Switch> others) implements Note<Switch> {
-        public void to(Switch a) { a.through(ask, others); }
+        public void to(Switch a) {
+            a.through(ask, others);
+        }
     }
 
     record Stood(long contact, Span took) implements Note<Switch> {
-        public void to(Switch a) { a.stood(contact, took); }
+        public void to(Switch a) {
+            a.stood(contact, took);
+        }
+    }
+
+    record Ended(RingEnd end) implements Note<Switch> {
+        public void to(Switch a) {
+            a.ended(end);
+        }
+    }
+
+    record Return(long id) implements Note<Switch> {
+        public void to(Switch a) {
+            a.giveBack(id);
+        }
     }
 
-    record Ended(RingEnd end) implements Note<Switch> { public void to(Switch a) { a.ended(end); } }
-    record Return(long id) implements Note<Switch> { public void to(Switch a) { a.giveBack(id); } }
     record Serve() implements Note<Switch> {
         public void to(Switch a) {
             a.ticking = false;
@@ -89,22 +161,48 @@
         }
     }
 
-    record TryAgain() implements Note<Switch> { public void to(Switch a) { a.nextTrial = NEVER; } }
-    record Told(SwitchLine line) implements Note<Switch> { public void to(Switch a) { a.listed(line); } }
-    record Reported(float[] says) implements Note<Switch> { public void to(Switch a) { a.reported(says); } }
+    record TryAgain() implements Note<Switch> {
+        public void to(Switch a) {
+            a.nextTrial = NEVER;
+        }
+    }
+
+    record Told(SwitchLine line) implements Note<Switch> {
+        public void to(Switch a) {
+            a.listed(line);
+        }
+    }
+
+    record Reported(float[] says) implements Note<Switch> {
+        public void to(Switch a) {
+            a.reported(says);
+        }
+    }
+
     record Linked(int tandem, boolean leads) implements Note<Switch> {
-        public void to(Switch a) { a.linked(tandem, leads); }
+        public void to(Switch a) {
+            a.linked(tandem, leads);
+        }
+    }
+
+    record PeerSays(byte[] note) implements Note<Front> {
+        public void to(Front a) {
+            a.heard(note);
+        }
     }
 
-    record PeerSays(byte[] note) implements Note<Front> { public void to(Front a) { a.heard(note); } }
     record Judge(Switch tandem, boolean well) implements Note<Switch> {
-        public void to(Switch a) { a.judge(tandem, well); }
+        public void to(Switch a) {
+            a.judge(tandem, well);
+        }
     }
 
     /** A skill as the settings describe it; rank 0 is the urgent one, the row its place in the paper. */
     record Skill(int id, int rank, int row, int width, Span target, Span hold, List<String> pools) {
         /** With pools in place of a mesh a skill has only some of them. */
-        boolean goes(int number) { return pools.contains("") || pools.contains("" + number); }
+        boolean goes(int number) {
+            return pools.contains("") || pools.contains("" + number);
+        }
     }
 
     /** A histogram over doubling bins below a scale, halved each third period; one bin makes it a count. */
@@ -160,7 +258,9 @@
         }
     }
 
-    private Seen count(Span period) { return new Seen(1, period, period, now); }
+    private Seen count(Span period) {
+        return new Seen(1, period, period, now);
+    }
 
     class Actor<A extends Actor<A>> {
         private final ArrayDeque<Note<A>> inbox = new ArrayDeque<>();
@@ -180,7 +280,8 @@
                 } catch (RuntimeException e) {
                     // It costs this piece of news; left in there, it would keep later ones from being read.
                     // A fault that comes often has no trace.
-                    orders.log("fault: " + e + " at " + Arrays.stream(e.getStackTrace()).limit(1).toList());
+                    orders.log("fault: " + e + " at "
+                            + Arrays.stream(e.getStackTrace()).limit(1).toList());
                 } finally {
                     inbox.poll();
                 }
@@ -189,10 +290,10 @@
     }
 
     /** A ring's circuits on the group; since is null once the contact stands. */
-    private record Held(Skill skill, int width, Moment since) { }
+    private record Held(Skill skill, int width, Moment since) {}
 
     /** What time mends, but for 0: no group leads on there. */
-    private record Weight(double then, Moment at) { }
+    private record Weight(double then, Moment at) {}
 
     final class Switch extends Actor<Switch> {
         final long id;
@@ -208,8 +309,7 @@
         final List<Ask> waiting = new ArrayList<>();
         boolean ticking, mute;
         final Seen setUps = new Seen(8, patienceMost, urgentOne.target.times(1 / 3.0), now);
-        final Seen sent = count(urgentOne.target), answers = count(urgentOne.target),
-                asks = count(urgentOne.target);
+        final Seen sent = count(urgentOne.target), answers = count(urgentOne.target), asks = count(urgentOne.target);
         double warmRate, budget, cutBy, usual, depth;
         Moment budgetAt = now, lastSign = now, nextTrial = NEVER, toldAt = NEVER;
         Span wait = Span.ZERO;
@@ -221,7 +321,8 @@
         void stood(long contact, Span took) {
             if (silent()) {
                 // It may have been cut off together with others, which else wait for their trials one by one.
-                switches.values().stream().filter(other -> other.zone == zone)
+                switches.values().stream()
+                        .filter(other -> other.zone == zone)
                         .forEach(other -> other.put(new TryAgain()));
             }
             setUps.add(1, took, now);
@@ -314,7 +415,9 @@
 
         int stage() {
             double demand = size == 0 ? 0 : urgent.mean(now) / size;
-            return (int) Arrays.stream(STAGES).filter(threshold -> demand > threshold).count();
+            return (int) Arrays.stream(STAGES)
+                    .filter(threshold -> demand > threshold)
+                    .count();
         }
 
         /** Circuits that no ring from here explains were placed at the far end and count as the cheapest. */
@@ -342,8 +445,11 @@
         /** Rings out and no word for longer than set-ups here take: it may be hung, cut off, jammed, slow. */
         boolean silent() {
             Span longest = setUps.quantile(0.9, now).times(2).least(urgentOne.target);
-            return mute || rings.values().stream().limit(1)
-                    .anyMatch(out -> lastSign.before(out.since) && now.since(out.since).longerThan(longest));
+            return mute
+                    || rings.values().stream()
+                            .limit(1)
+                            .anyMatch(out -> lastSign.before(out.since)
+                                    && now.since(out.since).longerThan(longest));
         }
 
         double coldPart() {
@@ -375,11 +481,11 @@
             double fresh = Math.pow(0.5, age.over(turn()));
             Span rings = this == home() ? setUps.quantile(0.25, now) : Span.ZERO;
             // Rings out over answers in a time is the wait to come, known before the first slow answer.
-            double queued = Math.max(0, out - 1) / Math.max(3, answers.mean(now))
-                    * answers.period.over(skill.target);
+            double queued = Math.max(0, out - 1) / Math.max(3, answers.mean(now)) * answers.period.over(skill.target);
             double slow = Math.max(queued, wait.times(fresh).least(rings).over(skill.target));
             // One that takes next to nothing is jammed: what is sent there, however dear, only feeds it.
-            return skill.rank == 0 ? Math.max(ramp(cutBy * fresh, 0.85, 0.95), ramp(slow, 1, 2))
+            return skill.rank == 0
+                    ? Math.max(ramp(cutBy * fresh, 0.85, 0.95), ramp(slow, 1, 2))
                     : Math.max(cutBy * fresh, ramp(slow, 0.2, 0.7));
         }
 
@@ -487,8 +593,12 @@
         void through(Ask ask, List<Switch> others) {
             if (this == ask.destination) {
                 refuse(ask, Reason.FULL);
-            } else if (coldPart() >= 1 && state == SwitchLine.State.READY && ask.skill.goes(number)
-                    && !silent() && pressure(ask.skill, 0) == 0 && admits(ask, true) == null) {
+            } else if (coldPart() >= 1
+                    && state == SwitchLine.State.READY
+                    && ask.skill.goes(number)
+                    && !silent()
+                    && pressure(ask.skill, 0) == 0
+                    && admits(ask, true) == null) {
                 take(ask);
             } else {
                 pass(ask, others);
@@ -512,7 +622,11 @@
         }
     }
 
-    enum Doing { SEEKING, RINGING, RELEASING }
+    enum Doing {
+        SEEKING,
+        RINGING,
+        RELEASING
+    }
 
     static final class Open {
         final Contact contact;
@@ -567,12 +681,16 @@
             BitSet groups = new BitSet();
             legs.values().stream().filter(leg -> leg.number >= 0).forEach(leg -> groups.set(leg.number));
             byte[] bits = groups.toByteArray();
-            ByteBuffer note = ByteBuffer.allocate(2 + bits.length).putShort((short) homeNumber).put(bits);
+            ByteBuffer note = ByteBuffer.allocate(2 + bits.length)
+                    .putShort((short) homeNumber)
+                    .put(bits);
             orders.note(Orders.ALL_PEERS, note.array());
         }
 
         void heard(byte[] note) {
-            int tandem = note.length < 2 ? -1 : Short.toUnsignedInt(ByteBuffer.wrap(note).getShort());
+            int tandem = note.length < 2
+                    ? -1
+                    : Short.toUnsignedInt(ByteBuffer.wrap(note).getShort());
             // One of no exchange that is listed would only be kept, and for good.
             if (numbers.containsKey(tandem)) {
                 BitSet groups = BitSet.valueOf(Arrays.copyOfRange(note, 2, note.length));
@@ -591,10 +709,11 @@
             Skill skill = skills[known ? contact.skill() : cheapest];
             // They stand in the order of time: a look at each, at every contact, is what a flood of redials costs.
             for (Iterator<Moment> first = firstTries.values().iterator();
-                    first.hasNext() && now.since(first.next()).longerThan(patienceMost);) {
+                    first.hasNext() && now.since(first.next()).longerThan(patienceMost); ) {
                 first.remove();
             }
-            Moment first = contact.dialled() == 0 || contact.inTransit() ? now
+            Moment first = contact.dialled() == 0 || contact.inTransit()
+                    ? now
                     : firstTries.computeIfAbsent(contact.dialled(), any -> now);
             Open one = new Open(contact, skill, end, skill.rank == 0 ? now : first, first);
             open.put(contact.id(), one);
@@ -621,21 +740,31 @@
         void seek(Open one) {
             one.destination = byNumber(one.contact.destination());
             // A number of the own exchange is no matter of trunks: over a tandem it would come back here.
-            if (one.destination == null || one.destination == home()
+            if (one.destination == null
+                    || one.destination == home()
                     || one.rings >= number("policy-limits.send-cap", 1)) {
                 defer(one);
                 return;
             }
             one.doing = Doing.SEEKING;
-            (one.asked || home() == null ? one.destination : home()).put(new Ask(one.contact, one.skill,
-                    one.destination, !one.asked, one.worthUntil, out(), one.firstTry, Set.copyOf(one.tried)));
+            (one.asked || home() == null ? one.destination : home())
+                    .put(new Ask(
+                            one.contact,
+                            one.skill,
+                            one.destination,
+                            !one.asked,
+                            one.worthUntil,
+                            out(),
+                            one.firstTry,
+                            Set.copyOf(one.tried)));
             one.asked = true;
         }
 
         /** Rings without an answer; a switch that swallows them counts for a few only. */
         int out() {
             Map<Switch, Integer> out = new HashMap<>();
-            open.values().stream().filter(one -> one.doing == Doing.RINGING)
+            open.values().stream()
+                    .filter(one -> one.doing == Doing.RINGING)
                     .forEach(one -> out.merge(one.at, 1, (a, b) -> Math.min(MOST_OUT, a + b)));
             return out.values().stream().mapToInt(count -> count).sum();
         }
@@ -661,7 +790,8 @@
             if (one.at != one.destination && end.cause() != Cause.NOT_SENT) {
                 one.destination.put(new Judge(one.at, false));
             }
-            boolean held = EnumSet.of(Cause.TIMED_OUT, Cause.CUT, Cause.CALLED_OFF).contains(end.cause());
+            boolean held =
+                    EnumSet.of(Cause.TIMED_OUT, Cause.CUT, Cause.CALLED_OFF).contains(end.cause());
             boolean pressed = end.blame() == Blame.PROCESSOR || end.blame() == Blame.BEYOND_FULL;
             boolean done = one.contact.inTransit() || end.cause() == Cause.BUSY || pressed;
             Moment again = held ? now.plus(release).plus(round) : now;
@@ -778,8 +908,15 @@
             int row = rank == 0 ? 0 : Math.max(1, 3 - (count - 1 - rank));
             int width = (int) item(settings.get("family-info.widths"), skill, 1);
             Span hold = new Span((long) item(settings.get("family-info.mean-hold-ns"), skill, 1e10));
-            all[skill] = new Skill(skill, rank, row, width, new Span((long) number(at + "aim-ns", 1e9)), hold,
-                    List.of(settings.getOrDefault("family-info.class-cells." + skill, "").split(",")));
+            all[skill] = new Skill(
+                    skill,
+                    rank,
+                    row,
+                    width,
+                    new Span((long) number(at + "aim-ns", 1e9)),
+                    hold,
+                    List.of(settings.getOrDefault("family-info.class-cells." + skill, "")
+                            .split(",")));
             patienceMost = patienceMost.least(new Span((long) number(at + "hard-limit-ns", 9e9)));
         }
         urgentOne = all[byValue[0]];
@@ -801,21 +938,28 @@
         return urgentOne.target.times(Math.max(1, numbers.size() / FEW));
     }
 
-    static Moment first(Moment a, Moment b) { return a.before(b) ? a : b; }
+    static Moment first(Moment a, Moment b) {
+        return a.before(b) ? a : b;
+    }
 
     static double ramp(double value, double from, double to) {
         return Math.max(0, Math.min(1, (value - from) / (to - from)));
     }
 
-    Switch home() { return byNumber(homeNumber); }
+    Switch home() {
+        return byNumber(homeNumber);
+    }
 
-    Switch byNumber(int number) { return numbers.get(number); }
+    Switch byNumber(int number) {
+        return numbers.get(number);
+    }
 
     Switch at(long id) {
         return switches.computeIfAbsent(id, Switch::new);
     }
 
-    @Override public void listed(Moment at, ListKind kind, List<SwitchLine> lines) {
+    @Override
+    public void listed(Moment at, ListKind kind, List<SwitchLine> lines) {
         // Where the list must be asked for, a failed subscription is renewed, or drains would go unheard.
         if (kind == ListKind.FAILED && "subscribe".equals(settings.get("discovery"))) {
             orders.watchList(true);
@@ -823,17 +967,26 @@
         lines.forEach(line -> tell(at, at(line.id()), new Told(line)));
         boolean all = kind == ListKind.WHOLE || kind == ListKind.REMEMBERED;
         Set<Long> named = new HashSet<>(lines.stream().map(SwitchLine::id).toList());
-        switches.values().stream().filter(one -> all && !named.contains(one.id)).forEach(one -> tell(at, one,
-                new Told(new SwitchLine(one.id, one.number, SwitchLine.State.GONE, null, 0))));
+        switches.values().stream()
+                .filter(one -> all && !named.contains(one.id))
+                .forEach(one ->
+                        tell(at, one, new Told(new SwitchLine(one.id, one.number, SwitchLine.State.GONE, null, 0))));
         // While a machine replaces another, both bear the number: the one that takes what is new counts.
         // One that only a report has named, with no number yet, is nobody's destination.
         numbers.clear();
-        switches.values().forEach(one -> numbers.merge(one.number, one,
-                (a, b) -> a.state == SwitchLine.State.READY || b.state != SwitchLine.State.READY ? a : b));
+        switches.values()
+                .forEach(one -> numbers.merge(
+                        one.number,
+                        one,
+                        (a, b) -> a.state == SwitchLine.State.READY || b.state != SwitchLine.State.READY ? a : b));
         numbers.keySet().removeIf(number -> number < 0);
         // A machine that was replaced, and holds nothing any more, would else be kept and counted for good.
-        switches.values().removeIf(one -> one.state == SwitchLine.State.GONE && numbers.get(one.number) != one
-                && one.rings.isEmpty() && one.standing.isEmpty() && one.waiting.isEmpty());
+        switches.values()
+                .removeIf(one -> one.state == SwitchLine.State.GONE
+                        && numbers.get(one.number) != one
+                        && one.rings.isEmpty()
+                        && one.standing.isEmpty()
+                        && one.waiting.isEmpty());
         legs.keySet().retainAll(switches.keySet());
     }
 
@@ -847,26 +1000,31 @@
         }
     }
 
-    @Override public void offered(Moment at, Contact contact) {
+    @Override
+    public void offered(Moment at, Contact contact) {
         tell(at, front, new Offered(contact));
     }
 
-    @Override public void stands(Moment at, long contact, int ring, long target, Span took) {
+    @Override
+    public void stands(Moment at, long contact, int ring, long target, Span took) {
         tell(at, at(target), new Stood(contact, took));
         tell(at, home(), new Stood(contact, took));
         tell(at, front, new Answered(contact));
     }
 
-    @Override public void ringEnded(Moment at, RingEnd end) {
+    @Override
+    public void ringEnded(Moment at, RingEnd end) {
         tell(at, at(end.target()), new Ended(end));
         tell(at, front, new Over(end));
     }
 
-    @Override public void callerGone(Moment at, long contact) {
+    @Override
+    public void callerGone(Moment at, long contact) {
         tell(at, front, new CallerGone(contact));
     }
 
-    @Override public void clockRung(Moment at, long token) {
+    @Override
+    public void clockRung(Moment at, long token) {
         if ((token & 1) == 1) {
             tell(at, at(token >> 1), new Serve());
         } else {
@@ -874,13 +1032,18 @@
         }
     }
 
-    @Override public void reported(Moment at, long target, boolean reached, Span took, float[] report) {
+    @Override
+    public void reported(Moment at, long target, boolean reached, Span took, float[] report) {
         tell(at, at(target), new Reported(report));
     }
 
-    @Override public void peerNote(Moment at, int peer, byte[] note) {
+    @Override
+    public void peerNote(Moment at, int peer, byte[] note) {
         tell(at, front, new PeerSays(note));
     }
 
-    @Override public void stopped(Moment at) { now = at; }
+    @Override
+    public void stopped(Moment at) {
+        now = at;
+    }
 }
--- a/src/main/java/martenslip/cli/BenchCommand.java
+++ b/src/main/java/martenslip/cli/BenchCommand.java
@@ -14,7 +14,9 @@
 import picocli.CommandLine.Parameters;
 
 /** Long measurements. */
-@Command(name = "bench", mixinStandardHelpOptions = true,
+@Command(
+        name = "bench",
+        mixinStandardHelpOptions = true,
         description = "Measures this program on this machine; 'cores' is one exchange on several lanes.")
 final class BenchCommand implements Callable<Integer> {
     @Parameters(paramLabel = "WHAT", description = "cores, or full: only the groups that are full")
@@ -23,7 +25,10 @@
     @Option(names = "--lanes", split = ",", defaultValue = "1,2,4,8", description = "Counts of lanes.")
     private List<Integer> lanes;
 
-    @Option(names = "--rates", split = ",", defaultValue = "620,1200,2000,3000,4000,5000,6500,8000,10000",
+    @Option(
+            names = "--rates",
+            split = ",",
+            defaultValue = "620,1200,2000,3000,4000,5000,6500,8000,10000",
             description = "Contacts a second, rising.")
     private List<Integer> rates;
 
@@ -33,7 +38,9 @@
     @Option(names = "--into", defaultValue = "target/bench", description = "Folder for files, table and chart.")
     private Path into;
 
-    @Option(names = "--java", defaultValue = "-XX:+UseParallelGC -XX:ParallelGCThreads=4 -Xms2g -Xmx2g -Xmn1400m",
+    @Option(
+            names = "--java",
+            defaultValue = "-XX:+UseParallelGC -XX:ParallelGCThreads=4 -Xms2g -Xmx2g -Xmn1400m",
             description = "Options of the exchange's virtual machine.")
     private String options;
 
@@ -60,11 +67,20 @@
     }
 
     private void write(List<CoresBench.Row> rows) throws IOException {
-        try (PrintStream csv = new PrintStream(Files.newOutputStream(into.resolve("cores.csv")), false,
-                StandardCharsets.UTF_8)) {
+        try (PrintStream csv =
+                new PrintStream(Files.newOutputStream(into.resolve("cores.csv")), false, StandardCharsets.UTF_8)) {
             csv.println("lanes,rate,dialled,stood,p50_us,p99_us,p999_us,cpu_ms");
-            rows.forEach(row -> csv.printf(Locale.ROOT, "%d,%.0f,%d,%d,%d,%d,%d,%.3f%n", row.lanes(), row.rate(),
-                    row.dialled(), row.stood(), row.p50(), row.p99(), row.p999(), row.cpuMs()));
+            rows.forEach(row -> csv.printf(
+                    Locale.ROOT,
+                    "%d,%.0f,%d,%d,%d,%d,%d,%.3f%n",
+                    row.lanes(),
+                    row.rate(),
+                    row.dialled(),
+                    row.stood(),
+                    row.p50(),
+                    row.p99(),
+                    row.p999(),
+                    row.cpuMs()));
         }
     }
 }
--- a/src/main/java/martenslip/cli/CheckCommand.java
+++ b/src/main/java/martenslip/cli/CheckCommand.java
@@ -10,7 +10,9 @@
 import picocli.CommandLine.Parameters;
 
 /** Checks an exchange's file without running it. */
-@Command(name = "check", mixinStandardHelpOptions = true,
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
         description = "Checks an exchange's XML file; says line, path and reason of what is wrong.")
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
@@ -20,8 +22,9 @@
     public Integer call() {
         try {
             Site site = SiteFile.read(file);
-            System.out.println("exchange " + site.number() + ": " + site.groups().size() + " groups, "
-                    + site.skills().size() + " skills, " + site.peers().size() + " peers");
+            System.out.println(
+                    "exchange " + site.number() + ": " + site.groups().size() + " groups, "
+                            + site.skills().size() + " skills, " + site.peers().size() + " peers");
             return 0;
         } catch (Rejected e) {
             System.err.println(e.getMessage());
--- a/src/main/java/martenslip/cli/CoresChart.java
+++ b/src/main/java/martenslip/cli/CoresChart.java
@@ -10,20 +10,26 @@
 
 /** The added delay over the rate, a line for each count of lanes. */
 final class CoresChart {
-    private CoresChart() {
-    }
+    private CoresChart() {}
 
     static void write(List<CoresBench.Row> rows, Path file) throws IOException {
         System.setProperty("java.awt.headless", "true");
-        XYChart chart = new XYChartBuilder().width(800).height(500).title("One exchange, p99 from INVITE to 200")
-                .xAxisTitle("contacts a second").yAxisTitle("ms").build();
+        XYChart chart = new XYChartBuilder()
+                .width(800)
+                .height(500)
+                .title("One exchange, p99 from INVITE to 200")
+                .xAxisTitle("contacts a second")
+                .yAxisTitle("ms")
+                .build();
         chart.getStyler().setYAxisLogarithmic(true);
         for (int lanes : rows.stream().map(CoresBench.Row::lanes).distinct().toList()) {
-            List<CoresBench.Row> line = rows.stream().filter(row -> row.lanes() == lanes).toList();
-            chart.addSeries(lanes + " lanes", line.stream().map(CoresBench.Row::rate).toList(),
+            List<CoresBench.Row> line =
+                    rows.stream().filter(row -> row.lanes() == lanes).toList();
+            chart.addSeries(
+                    lanes + " lanes",
+                    line.stream().map(CoresBench.Row::rate).toList(),
                     line.stream().map(row -> row.p99() / 1000.0).toList());
         }
-        VectorGraphicsEncoder.saveVectorGraphic(chart, file.toString(),
-                VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
+        VectorGraphicsEncoder.saveVectorGraphic(chart, file.toString(), VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
     }
 }
--- a/src/main/java/martenslip/cli/ExpectCommand.java
+++ b/src/main/java/martenslip/cli/ExpectCommand.java
@@ -22,7 +22,9 @@
 import picocli.CommandLine.Parameters;
 
 /** Exit codes: 0 all hold, 1 one is broken, 3 two contradict each other, 4 a file is malformed, 2 called wrongly. */
-@Command(name = "expect", mixinStandardHelpOptions = true,
+@Command(
+        name = "expect",
+        mixinStandardHelpOptions = true,
         description = "Checks routing expectations against an exchange's file, without traffic.")
 final class ExpectCommand implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "FILE", description = "The expectations.")
@@ -31,7 +33,9 @@
     @Option(names = "--site", required = true, paramLabel = "XML", description = "The exchange that they are of.")
     private Path siteFile;
 
-    @Option(names = "--others", paramLabel = "FOLDER",
+    @Option(
+            names = "--others",
+            paramLabel = "FOLDER",
             description = "Files of other exchanges: as tandems they then decide as they would.")
     private Path others;
 
@@ -96,28 +100,40 @@
 
     private String junit(List<Check.Verdict> all) {
         StringBuilder text = new StringBuilder("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"")
-                .append(escaped(file.toString())).append("\" tests=\"").append(all.size()).append("\" failures=\"")
-                .append(all.stream().filter(one -> !one.holds()).count()).append("\">\n");
+                .append(escaped(file.toString()))
+                .append("\" tests=\"")
+                .append(all.size())
+                .append("\" failures=\"")
+                .append(all.stream().filter(one -> !one.holds()).count())
+                .append("\">\n");
         for (Check.Verdict one : all) {
-            text.append("  <testcase classname=\"").append(escaped(file.getFileName().toString())).append("\" name=\"line ")
-                    .append(one.expectation().line()).append(": ").append(escaped(one.expectation().text())).append('"');
-            text.append(one.holds() ? "/>\n"
-                    : "><failure message=\"" + escaped(one.why()) + "\"/></testcase>\n");
+            text.append("  <testcase classname=\"")
+                    .append(escaped(file.getFileName().toString()))
+                    .append("\" name=\"line ")
+                    .append(one.expectation().line())
+                    .append(": ")
+                    .append(escaped(one.expectation().text()))
+                    .append('"');
+            text.append(one.holds() ? "/>\n" : "><failure message=\"" + escaped(one.why()) + "\"/></testcase>\n");
         }
         return text.append("</testsuite>\n").toString();
     }
 
     private static String escaped(String text) {
-        return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
+        return text.replace("&", "&amp;")
+                .replace("<", "&lt;")
+                .replace(">", "&gt;")
+                .replace("\"", "&quot;");
     }
 
     private int check(ExpectFile.Read read, Check check, Check older) throws IOException {
         long began = System.nanoTime();
         List<Contradictions.Pair> pairs = Contradictions.among(read.expectations());
         for (Contradictions.Pair pair : pairs) {
-            System.out.println(file + ":" + pair.one().line() + " and :" + pair.other().line() + " contradict each other ("
-                    + pair.why() + ")" + (pair.state().isEmpty() ? "" : " while " + pair.state()) + "\n    "
-                    + pair.one().text() + "\n    " + pair.other().text());
+            System.out.println(
+                    file + ":" + pair.one().line() + " and :" + pair.other().line() + " contradict each other ("
+                            + pair.why() + ")" + (pair.state().isEmpty() ? "" : " while " + pair.state()) + "\n    "
+                            + pair.one().text() + "\n    " + pair.other().text());
         }
         if (!pairs.isEmpty()) {
             return 3;
@@ -128,16 +144,21 @@
             Check.Verdict verdict = check.of(one);
             all.add(verdict);
             if (older != null && older.of(one).holds() != verdict.holds()) {
-                System.out.println(file + ":" + one.line() + (verdict.holds() ? " now holds: " : " now breaks: ")
-                        + one.text());
+                System.out.println(
+                        file + ":" + one.line() + (verdict.holds() ? " now holds: " : " now breaks: ") + one.text());
             }
             if (!verdict.holds()) {
                 broken.add(verdict);
                 System.out.println(file + ":" + one.line() + " broken: " + one.text() + "\n    " + verdict.why());
             }
         }
-        System.out.printf(java.util.Locale.ROOT, "%d expectations, %d hold, %d broken; %d trials in %.1f s%n",
-                read.expectations().size(), read.expectations().size() - broken.size(), broken.size(), check.trials(),
+        System.out.printf(
+                java.util.Locale.ROOT,
+                "%d expectations, %d hold, %d broken; %d trials in %.1f s%n",
+                read.expectations().size(),
+                read.expectations().size() - broken.size(),
+                broken.size(),
+                check.trials(),
                 (System.nanoTime() - began) / 1e9);
         if (junit != null) {
             Files.writeString(junit, junit(all));
--- a/src/main/java/martenslip/cli/Main.java
+++ b/src/main/java/martenslip/cli/Main.java
@@ -15,8 +15,7 @@
 /** The way in. The drill's CPU is billed and a controller in service has little memory, so both are
  * reached before any library is. */
 public final class Main {
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("drill")) {
--- a/src/main/java/martenslip/cli/MeasureCommand.java
+++ b/src/main/java/martenslip/cli/MeasureCommand.java
@@ -11,7 +11,9 @@
 import picocli.CommandLine.Parameters;
 
 /** Reads what controllers add to a set-up from a capture. */
-@Command(name = "measure", mixinStandardHelpOptions = true,
+@Command(
+        name = "measure",
+        mixinStandardHelpOptions = true,
         description = "Prints what controllers add to a set-up, as a capture shows it.")
 final class MeasureCommand implements Callable<Integer> {
     @Parameters(paramLabel = "CAPTURE")
--- a/src/main/java/martenslip/cli/PlayCommand.java
+++ b/src/main/java/martenslip/cli/PlayCommand.java
@@ -12,19 +12,26 @@
 import picocli.CommandLine.Parameters;
 
 /** Plays a day on loopback sockets and proves the rules from its capture. */
-@Command(name = "play", mixinStandardHelpOptions = true,
+@Command(
+        name = "play",
+        mixinStandardHelpOptions = true,
         description = "Plays a day file over loopback sockets, prints a table and proves the rules.")
 final class PlayCommand implements Callable<Integer> {
     @Parameters(paramLabel = "DAY")
     private Path file;
 
-    @Option(names = "--into", paramLabel = "FOLDER", description = "Where capture, files and logs go "
-            + "(default: target/play/NAME).")
+    @Option(
+            names = "--into",
+            paramLabel = "FOLDER",
+            description = "Where capture, files and logs go " + "(default: target/play/NAME).")
     private Path into;
 
-    @Option(names = "--java", paramLabel = "OPTIONS", description = "Options of the controllers' virtual machines "
-            + "(default: ${DEFAULT-VALUE}).", defaultValue = "-XX:+UseParallelGC -XX:ParallelGCThreads=2 "
-            + "-XX:TieredStopAtLevel=1 -Xms256m -Xmx512m -Xmn128m")
+    @Option(
+            names = "--java",
+            paramLabel = "OPTIONS",
+            description = "Options of the controllers' virtual machines " + "(default: ${DEFAULT-VALUE}).",
+            defaultValue = "-XX:+UseParallelGC -XX:ParallelGCThreads=2 "
+                    + "-XX:TieredStopAtLevel=1 -Xms256m -Xmx512m -Xmn128m")
     private String options;
 
     @Option(names = "--lanes", paramLabel = "N", description = "Lanes of each controller, whatever the day says.")
@@ -35,8 +42,7 @@
         try {
             Day day = Day.read(file);
             Path folder = into != null ? into : Path.of("target", "play", day.name());
-            boolean kept = new Play(day, folder, List.of(options.trim().split(" +")), lanes,
-                    System.out).run();
+            boolean kept = new Play(day, folder, List.of(options.trim().split(" +")), lanes, System.out).run();
             // Stand-ins' readers may still wait on sockets; what was to be said is said.
             System.out.flush();
             return kept ? 0 : 1;
--- a/src/main/java/martenslip/cli/Program.java
+++ b/src/main/java/martenslip/cli/Program.java
@@ -4,13 +4,24 @@
 import picocli.CommandLine.Command;
 
 /** The command line. Exit codes: 0 done, 1 it ran and what it checks is wrong, 2 it was called wrongly. */
-@Command(name = "martenslip", mixinStandardHelpOptions = true, version = "martenslip 0.2.0",
+@Command(
+        name = "martenslip",
+        mixinStandardHelpOptions = true,
+        version = "martenslip 0.2.0",
         description = "A call controller that sets calls up over shared groups of circuits.",
-        subcommands = {RunCommand.class, PlayCommand.class, ProveCommand.class, MeasureCommand.class, CheckCommand.class,
-            BenchCommand.class, ExpectCommand.class, DrillCommand.class, ServeCommand.class})
+        subcommands = {
+            RunCommand.class,
+            PlayCommand.class,
+            ProveCommand.class,
+            MeasureCommand.class,
+            CheckCommand.class,
+            BenchCommand.class,
+            ExpectCommand.class,
+            DrillCommand.class,
+            ServeCommand.class
+        })
 final class Program {
-    private Program() {
-    }
+    private Program() {}
 
     static int run(String[] args) {
         CommandLine line = new CommandLine(new Program());
--- a/src/main/java/martenslip/cli/ProveCommand.java
+++ b/src/main/java/martenslip/cli/ProveCommand.java
@@ -8,7 +8,9 @@
 import picocli.CommandLine.Parameters;
 
 /** Proves the rules from a capture. */
-@Command(name = "prove", mixinStandardHelpOptions = true,
+@Command(
+        name = "prove",
+        mixinStandardHelpOptions = true,
         description = "Judges the five rules from a capture; exit code 1 where one is broken.")
 final class ProveCommand implements Callable<Integer> {
     @Parameters(paramLabel = "CAPTURE")
--- a/src/main/java/martenslip/cli/RunCommand.java
+++ b/src/main/java/martenslip/cli/RunCommand.java
@@ -20,7 +20,9 @@
 import picocli.CommandLine.Parameters;
 
 /** Runs one exchange until SIGTERM. */
-@Command(name = "run", mixinStandardHelpOptions = true,
+@Command(
+        name = "run",
+        mixinStandardHelpOptions = true,
         description = "Runs one exchange's call controller. Prints a line 'ready URI' for each socket.")
 final class RunCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
@@ -78,8 +80,11 @@
     /** Lines of: stall LANE MS [START], where a START means amid the next send of a message that begins with it. */
     private static void plant(Exchange exchange) {
         BufferedReader lines = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
-        lines.lines().map(line -> line.split(" ", 4)).filter(words -> words.length > 2 && words[0].equals("stall"))
-                .forEach(words -> exchange.plant(Integer.parseInt(words[1]),
+        lines.lines()
+                .map(line -> line.split(" ", 4))
+                .filter(words -> words.length > 2 && words[0].equals("stall"))
+                .forEach(words -> exchange.plant(
+                        Integer.parseInt(words[1]),
                         Span.ofMillis(Double.parseDouble(words[2])),
                         words.length < 4 || words[3].isEmpty() ? null : words[3]));
     }
--- a/src/main/java/martenslip/control/Contact.java
+++ b/src/main/java/martenslip/control/Contact.java
@@ -6,6 +6,14 @@
  * from; -1 where there is none. {@code dialled} is 0 where unknown. {@code patience} is what the
  * caller has left for this try.
  */
-public record Contact(long id, int skill, long dialled, int destination, int hint, int width,
-                      Span patience, boolean redial, boolean inTransit, boolean cutBefore) {
-}
+public record Contact(
+        long id,
+        int skill,
+        long dialled,
+        int destination,
+        int hint,
+        int width,
+        Span patience,
+        boolean redial,
+        boolean inTransit,
+        boolean cutBefore) {}
--- a/src/main/java/martenslip/control/SwitchLine.java
+++ b/src/main/java/martenslip/control/SwitchLine.java
@@ -2,5 +2,9 @@
 
 /** A line of the switch list. {@code started} is null where the start was long ago. */
 public record SwitchLine(long id, int number, State state, Moment started, int zone) {
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 }
--- a/src/main/java/martenslip/drill/Drill.java
+++ b/src/main/java/martenslip/drill/Drill.java
@@ -94,8 +94,10 @@
     private byte[] read(int length) throws IOException, MalformedWire {
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length) {
-            throw new MalformedWire("the input ends inside the batch, after " + bytes.length + " of " + length
-                    + " bytes", batch, bytes.length);
+            throw new MalformedWire(
+                    "the input ends inside the batch, after " + bytes.length + " of " + length + " bytes",
+                    batch,
+                    bytes.length);
         }
         return bytes;
     }
@@ -207,8 +209,8 @@
         }
         int count = records.getInt();
         if (count < 0 || (long) count * LINE_BYTES > records.remaining()) {
-            throw new MalformedWire("a list of " + Integer.toUnsignedString(count) + " lines does not fit its batch",
-                    batch, start);
+            throw new MalformedWire(
+                    "a list of " + Integer.toUnsignedString(count) + " lines does not fit its batch", batch, start);
         }
         List<SwitchLine> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -258,8 +260,17 @@
         int skill = Byte.toUnsignedInt(records.get());
         int destination = (int) records.getFloat();
         int bits = records.getShort();
-        return new Contact(id, skill, dialled, destination, hint, width, patience,
-                (bits & 2) != 0, (bits & 8) != 0, (bits & 16) != 0);
+        return new Contact(
+                id,
+                skill,
+                dialled,
+                destination,
+                hint,
+                width,
+                patience,
+                (bits & 2) != 0,
+                (bits & 8) != 0,
+                (bits & 16) != 0);
     }
 
     private void ended(Moment now, int id, int start) throws MalformedWire {
@@ -311,8 +322,8 @@
 
     private byte[] bytes(int length, int start) throws MalformedWire {
         if (length < 0 || length > records.remaining()) {
-            throw new MalformedWire("a text of " + Integer.toUnsignedString(length) + " bytes does not fit its batch",
-                    batch, start);
+            throw new MalformedWire(
+                    "a text of " + Integer.toUnsignedString(length) + " bytes does not fit its batch", batch, start);
         }
         byte[] bytes = new byte[length];
         records.get(bytes);
--- a/src/main/java/martenslip/drill/Reply.java
+++ b/src/main/java/martenslip/drill/Reply.java
@@ -48,8 +48,11 @@
         return new Orders() {
             @Override
             public void ring(long contact, long target, Span limit) {
-                record(1000, instance, 22).putLong(contact).putInt((int) (target >>> 16))
-                        .putShort((short) target).putLong(limit.ns());
+                record(1000, instance, 22)
+                        .putLong(contact)
+                        .putInt((int) (target >>> 16))
+                        .putShort((short) target)
+                        .putLong(limit.ns());
             }
 
             @Override
@@ -79,8 +82,10 @@
 
             @Override
             public void note(int peer, byte[] note) {
-                record(1070, instance, 4 + note.length).putShort((short) peer)
-                        .putShort((short) note.length).put(note);
+                record(1070, instance, 4 + note.length)
+                        .putShort((short) peer)
+                        .putShort((short) note.length)
+                        .put(note);
             }
 
             @Override
--- a/src/main/java/martenslip/exchange/Contacts.java
+++ b/src/main/java/martenslip/exchange/Contacts.java
@@ -43,8 +43,15 @@
     private int unanswered;
     private boolean closing;
 
-    Contacts(Site site, Calls calls, int lane, Estate estate, Reports reports, BooleanSupplier fenced,
-             EventLog log, Figures figures) {
+    Contacts(
+            Site site,
+            Calls calls,
+            int lane,
+            Estate estate,
+            Reports reports,
+            BooleanSupplier fenced,
+            EventLog log,
+            Figures figures) {
         this.site = site;
         this.calls = calls;
         this.lane = lane;
@@ -76,7 +83,9 @@
     }
 
     void incoming(CallIn call) {
-        if (closing || open.size() >= Math.max(1, site.limits().mostOpen() / site.limits().lanes())) {
+        if (closing
+                || open.size()
+                        >= Math.max(1, site.limits().mostOpen() / site.limits().lanes())) {
             unseen(call, closing ? "Closing" : "Too many contacts");
             return;
         }
@@ -163,8 +172,12 @@
         }
         int far = send.to() == null ? -1 : send.to().line().number();
         Ring ring = new Ring(send.number(), send.target(), far, now(), now().plus(send.limit()));
-        boolean may = send.to() != null && taken.live() == null && !taken.answered
-                && send.limit().longerThan(Span.ZERO) && released(taken) && send.number() < site.limits().mostRings();
+        boolean may = send.to() != null
+                && taken.live() == null
+                && !taken.answered
+                && send.limit().longerThan(Span.ZERO)
+                && released(taken)
+                && send.number() < site.limits().mostRings();
         taken.rings = send.number() + 1;
         if (!may) {
             over(taken, ring, Outcome.of(Cause.NOT_SENT), Load.NONE);
@@ -179,7 +192,8 @@
 
     /** Rule 5 counts from a CANCEL that left late too, of which the module knows nothing; the rest of it is its own. */
     private boolean released(Taken taken) {
-        return taken.cancelledLate == null || !now().before(taken.cancelledLate.plus(site.rules().release()));
+        return taken.cancelledLate == null
+                || !now().before(taken.cancelledLate.plus(site.rules().release()));
     }
 
     /** Sets the timers of a ring that is out. */
@@ -295,10 +309,29 @@
     }
 
     private void over(Taken taken, Ring ring, Outcome outcome, Load load) {
-        log.debug(now(), "ring-ended", "contact", taken.contact.id(), "ring", ring.number, "far", ring.far,
-                "cause", outcome.cause(), "blame", outcome.blame());
-        reports.ringOver(new Reports.RingOver(taken.contact.id(), ring.number, ring.target, ring.far,
-                taken.contact.width(), outcome, now().since(ring.at), taken.answered, load));
+        log.debug(
+                now(),
+                "ring-ended",
+                "contact",
+                taken.contact.id(),
+                "ring",
+                ring.number,
+                "far",
+                ring.far,
+                "cause",
+                outcome.cause(),
+                "blame",
+                outcome.blame());
+        reports.ringOver(new Reports.RingOver(
+                taken.contact.id(),
+                ring.number,
+                ring.target,
+                ring.far,
+                taken.contact.width(),
+                outcome,
+                now().since(ring.at),
+                taken.answered,
+                load));
     }
 
     /** The caller's side. */
@@ -437,7 +470,8 @@
 
     /** Tells the decider of all that is open here. */
     void tellHeld() {
-        List<Roll.Held> held = open.values().stream().map(taken -> taken.will().held()).toList();
+        List<Roll.Held> held =
+                open.values().stream().map(taken -> taken.will().held()).toList();
         reports.inherited(lane, held);
     }
 
--- a/src/main/java/martenslip/exchange/Crew.java
+++ b/src/main/java/martenslip/exchange/Crew.java
@@ -22,12 +22,12 @@
     private static final int ROOM = 4 * Intake.MOST;
 
     /** For a lane; an order bears the count of the decider that gave it, anything else -1. */
-    private record ForLane(Consumer<Lane> what, int decider) { }
+    private record ForLane(Consumer<Lane> what, int decider) {}
 
-    private record ForDecider(Consumer<Decider> what) { }
+    private record ForDecider(Consumer<Decider> what) {}
 
     /** Who decides, on which thread. */
-    private record Seat(EventLoop loop, Decider decider, int count) { }
+    private record Seat(EventLoop loop, Decider decider, int count) {}
 
     private final Lane.Common common;
     private final Site site;
@@ -131,8 +131,9 @@
 
     /** Once, with the sockets open. */
     void start() {
-        seat = inline ? seat(lanes.get(0).loop, 0, lanes.get(0)) : seat(new EventLoop(name + "-decider", ROOM), 0,
-                null);
+        seat = inline
+                ? seat(lanes.get(0).loop, 0, lanes.get(0))
+                : seat(new EventLoop(name + "-decider", ROOM), 0, null);
         Decider decider = seat.decider();
         if (!inline) {
             seat.loop().start(new DeciderDuty(decider), decider::begin);
@@ -316,7 +317,8 @@
         DeciderDuty duty = new DeciderDuty(seat.decider());
         Decider decider = seat.decider();
         loop.start(duty, () -> {
-            decider.listed(martenslip.control.Controller.ListKind.WHOLE, common.known().lines());
+            decider.listed(
+                    martenslip.control.Controller.ListKind.WHOLE, common.known().lines());
             decider.circuits(common.known().groups());
             decider.begin();
         });
--- a/src/main/java/martenslip/exchange/Decider.java
+++ b/src/main/java/martenslip/exchange/Decider.java
@@ -117,8 +117,15 @@
         switchboard.freed(over.far(), over.width());
         float[] report = report(lessAfloat(over.load(), over.far()), group);
         Outcome outcome = over.outcome();
-        RingEnd end = new RingEnd(over.contact(), over.ring(), over.target(), outcome.cause(), outcome.blame(),
-                over.took(), over.answered(), report);
+        RingEnd end = new RingEnd(
+                over.contact(),
+                over.ring(),
+                over.target(),
+                outcome.cause(),
+                outcome.blame(),
+                over.took(),
+                over.answered(),
+                report);
         happenings.add(now -> roll.ended(now, end));
     }
 
@@ -174,7 +181,8 @@
     @Override
     public void probed(long target, boolean reached, Span took, Load load) {
         Neighbour neighbour = switchboard.neighbour(target);
-        Switchboard.Circuits group = neighbour == null ? null : switchboard.toward(neighbour.line().number());
+        Switchboard.Circuits group =
+                neighbour == null ? null : switchboard.toward(neighbour.line().number());
         float[] report = load == null ? new float[0] : report(load, group);
         happenings.add(now -> module.reported(now, target, reached, took, report));
     }
@@ -195,8 +203,8 @@
             }
             Neighbour to = switchboard.neighbour(target);
             if (to == null) {
-                RingEnd end = new RingEnd(contact, number, target, Cause.NOT_SENT, Blame.NONE, Span.ZERO,
-                        false, new float[0]);
+                RingEnd end = new RingEnd(
+                        contact, number, target, Cause.NOT_SENT, Blame.NONE, Span.ZERO, false, new float[0]);
                 happenings.add(now -> roll.ended(now, end));
                 return;
             }
--- a/src/main/java/martenslip/exchange/EventLog.java
+++ b/src/main/java/martenslip/exchange/EventLog.java
@@ -72,7 +72,8 @@
         if (leftOut < 0) {
             return;
         }
-        LoggingEventBuilder line = LOG.atLevel(level).addKeyValue("exchange", exchange).addKeyValue("event", event);
+        LoggingEventBuilder line =
+                LOG.atLevel(level).addKeyValue("exchange", exchange).addKeyValue("event", event);
         for (int i = 0; i + 1 < fields.length; i += 2) {
             line = line.addKeyValue((String) fields[i], String.valueOf(fields[i + 1]));
         }
--- a/src/main/java/martenslip/exchange/Exchange.java
+++ b/src/main/java/martenslip/exchange/Exchange.java
@@ -43,7 +43,10 @@
         transport = new Transport("exchange-" + site.number(), Bounds.USUAL, intake, Gate.OPEN);
         intake.drops(transport.drops());
         SwitchText text = new SwitchText(site.regions(), new Moment(System.nanoTime()), Instant.now());
-        crew = new Crew(new Lane.Common(site, transport, new Known(), kept, text, log), maker, this::fault,
+        crew = new Crew(
+                new Lane.Common(site, transport, new Known(), kept, text, log),
+                maker,
+                this::fault,
                 // Never from the configured seed: a restart would use the branches and tags of its last run again.
                 new SecureRandom().nextLong());
         intake.to(crew::loop);
--- a/src/main/java/martenslip/exchange/Hands.java
+++ b/src/main/java/martenslip/exchange/Hands.java
@@ -7,7 +7,7 @@
 /** What the decider has lanes do. */
 interface Hands {
     /** A ring as the lane needs it: its number, the switch, the group toward it (null without one) and the limit. */
-    record Send(int number, long target, Neighbour to, Site.Group group, Span limit) { }
+    record Send(int number, long target, Neighbour to, Site.Group group, Span limit) {}
 
     void ring(long contact, Send send);
 
--- a/src/main/java/martenslip/exchange/Incoming.java
+++ b/src/main/java/martenslip/exchange/Incoming.java
@@ -46,15 +46,25 @@
             }
             int from = cameFrom(invite);
             if (destination == site.number()) {
-                return from < 0 ? Read.refused(404, "The number ends at this exchange")
+                return from < 0
+                        ? Read.refused(404, "The number ends at this exchange")
                         : Read.refused(482, "In transit to where it is");
             }
             int skill = skill(invite);
             Skill is = site.skills().get(skill);
             Span patience = patience(invite).most(is.patience());
             String again = invite.headers().first(Fields.AGAIN);
-            Contact contact = new Contact(id.getAsLong(), skill, Long.parseLong(number), destination, from,
-                    is.width(), patience, again != null, from >= 0, "cut".equals(again));
+            Contact contact = new Contact(
+                    id.getAsLong(),
+                    skill,
+                    Long.parseLong(number),
+                    destination,
+                    from,
+                    is.width(),
+                    patience,
+                    again != null,
+                    from >= 0,
+                    "cut".equals(again));
             return new Read(contact, number, 0, "");
         } catch (BadValue e) {
             return Read.refused(400, e.getMessage());
--- a/src/main/java/martenslip/exchange/Inheritance.java
+++ b/src/main/java/martenslip/exchange/Inheritance.java
@@ -28,7 +28,13 @@
             try {
                 takeOver(will);
             } catch (BadValue e) {
-                log.warn(calls.wheel().now(), "will-not-read", "contact", will.contact().id(), "why", e.getMessage());
+                log.warn(
+                        calls.wheel().now(),
+                        "will-not-read",
+                        "contact",
+                        will.contact().id(),
+                        "why",
+                        e.getMessage());
             }
         }
         contacts.tellHeld();
--- a/src/main/java/martenslip/exchange/Intake.java
+++ b/src/main/java/martenslip/exchange/Intake.java
@@ -55,7 +55,8 @@
     }
 
     private int lane(Arrival arrival) {
-        Message message = arrival instanceof Arrival.Received received ? received.message()
+        Message message = arrival instanceof Arrival.Received received
+                ? received.message()
                 : arrival instanceof Arrival.Wrong wrong ? wrong.request() : null;
         return message == null ? 0 : Lane.of(message.callId(), lanes);
     }
--- a/src/main/java/martenslip/exchange/KeptList.java
+++ b/src/main/java/martenslip/exchange/KeptList.java
@@ -15,6 +15,7 @@
 final class KeptList implements AutoCloseable {
     /** The 4,096 lines that the schema allows take a quarter of this. */
     static final int MOST_BYTES = 4 << 20;
+
     private final Path file;
     private final Consumer<String> trouble;
     private final Thread thread;
--- a/src/main/java/martenslip/exchange/Lane.java
+++ b/src/main/java/martenslip/exchange/Lane.java
@@ -23,7 +23,7 @@
     private static final int TRANSACTIONS_A_CONTACT = 8;
 
     /** What all lanes of an exchange have in common. */
-    record Common(Site site, Transport transport, Known known, KeptList kept, SwitchText text, EventLog log) { }
+    record Common(Site site, Transport transport, Known known, KeptList kept, SwitchText text, EventLog log) {}
 
     final int number;
     final EventLoop loop;
@@ -45,11 +45,17 @@
         int lanes = site.limits().lanes();
         int most = Math.min(1 << 20, site.limits().mostOpen() * TRANSACTIONS_A_CONTACT) / lanes;
         Branches branches = new Branches(seed, callId -> of(callId, lanes) == number);
-        calls = new Calls(loop.wheel(), Timers.QUICK, outlet(), branches, user(), common.transport().drops(), most);
-        contacts = new Contacts(site, calls, number, estate, reports, loop::fenced, common.log(),
-                figures);
-        surroundings = new Surroundings(site, calls, reports, common.text(), common.known(), common.kept(),
-                common.log());
+        calls = new Calls(
+                loop.wheel(),
+                Timers.QUICK,
+                outlet(),
+                branches,
+                user(),
+                common.transport().drops(),
+                most);
+        contacts = new Contacts(site, calls, number, estate, reports, loop::fenced, common.log(), figures);
+        surroundings =
+                new Surroundings(site, calls, reports, common.text(), common.known(), common.kept(), common.log());
     }
 
     /** The lane of a Call-ID, the same in each process and for all messages of its dialog. */
--- a/src/main/java/martenslip/exchange/Outcome.java
+++ b/src/main/java/martenslip/exchange/Outcome.java
@@ -2,10 +2,10 @@
 
 import martenslip.control.Blame;
 import martenslip.control.Cause;
+import martenslip.signal.Release;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.transaction.Failure;
-import martenslip.signal.Release;
 
 /**
  * How a ring ended, read off a response, a failure or a BYE; the table is in docs/sip-mapping.md. It translates
@@ -43,12 +43,13 @@
     }
 
     static Outcome of(Failure why) {
-        return of(switch (why) {
-            case TIMED_OUT -> Cause.TIMED_OUT;
-            case NO_CONNECTION -> Cause.UNREACHABLE;
-            case BROKEN -> Cause.CUT;
-            case TABLE_FULL -> Cause.NOT_SENT;
-        });
+        return of(
+                switch (why) {
+                    case TIMED_OUT -> Cause.TIMED_OUT;
+                    case NO_CONNECTION -> Cause.UNREACHABLE;
+                    case BROKEN -> Cause.CUT;
+                    case TABLE_FULL -> Cause.NOT_SENT;
+                });
     }
 
     /** The end of a standing contact; no BYE means that its connection or its far side was lost. */
--- a/src/main/java/martenslip/exchange/Planted.java
+++ b/src/main/java/martenslip/exchange/Planted.java
@@ -10,7 +10,7 @@
  * and before its last step. Any thread may plant; the thread it is meant for stalls, once.
  */
 final class Planted {
-    private record Amid(Span span, byte[] start) { }
+    private record Amid(Span span, byte[] start) {}
 
     private volatile Amid amid;
 
@@ -22,7 +22,8 @@
     /** Called amid each send. */
     void sending(byte[] bytes) {
         Amid now = amid;
-        if (now != null && bytes.length >= now.start.length
+        if (now != null
+                && bytes.length >= now.start.length
                 && Arrays.equals(bytes, 0, now.start.length, now.start, 0, now.start.length)) {
             amid = null;
             stall(now.span);
--- a/src/main/java/martenslip/exchange/Reports.java
+++ b/src/main/java/martenslip/exchange/Reports.java
@@ -36,6 +36,14 @@
     void noted(int peer, byte[] note);
 
     /** The one outcome of a ring. */
-    record RingOver(long contact, int ring, long target, int far, int width, Outcome outcome, Span took,
-                    boolean answered, Load load) { }
+    record RingOver(
+            long contact,
+            int ring,
+            long target,
+            int far,
+            int width,
+            Outcome outcome,
+            Span took,
+            boolean answered,
+            Load load) {}
 }
--- a/src/main/java/martenslip/exchange/Ring.java
+++ b/src/main/java/martenslip/exchange/Ring.java
@@ -23,6 +23,7 @@
     boolean heard;
     /** As it left, and its 2xx: for the contact's will. */
     Request invite;
+
     Hop hop;
     Response okay;
 
--- a/src/main/java/martenslip/exchange/RingInvite.java
+++ b/src/main/java/martenslip/exchange/RingInvite.java
@@ -23,8 +23,7 @@
 
     Request build(Taken taken, Neighbour to, Site.Group group, Span limit) {
         Request caller = taken.caller.invite();
-        String trunk = group == null ? ""
-                : ";tgrp=" + group.name() + ";trunk-context=" + site.trunkContext();
+        String trunk = group == null ? "" : ";tgrp=" + group.name() + ";trunk-context=" + site.trunkContext();
         HostPort at = to.uri().at();
         SipUri uri = SipUri.of(taken.number + trunk, at.host(), at.port());
         if (to.hop().reliable()) {
@@ -33,7 +32,10 @@
         Headers in = caller.headers();
         Headers headers = new Headers();
         headers.add("Max-Forwards", forwards(in.first("Max-Forwards")));
-        headers.add("From", "<sip:exchange-" + site.number() + "@" + at.host() + ">;tag=" + calls.branches().tag());
+        headers.add(
+                "From",
+                "<sip:exchange-" + site.number() + "@" + at.host() + ">;tag="
+                        + calls.branches().tag());
         headers.add("To", "<sip:" + taken.number + "@" + at.host() + ">");
         headers.add("Call-ID", calls.branches().callId("x" + site.number())).add("CSeq", "1 INVITE");
         String contact = calls.contact(to.hop().kind(), taken.number + trunk);
--- a/src/main/java/martenslip/exchange/Surroundings.java
+++ b/src/main/java/martenslip/exchange/Surroundings.java
@@ -32,6 +32,7 @@
 final class Surroundings {
     /** Between two tries to subscribe: a service that refuses at once would else be asked without end. */
     private static final Span AGAIN = Span.ofMillis(1000);
+
     private static final int MOST_NOTE = 256;
 
     private final Site site;
@@ -49,8 +50,7 @@
     private Wheel.Timer circuitsAgain;
     private Moment listAsked;
 
-    Surroundings(Site site, Calls calls, Reports reports, SwitchText text, Known known, KeptList kept,
-                 EventLog log) {
+    Surroundings(Site site, Calls calls, Reports reports, SwitchText text, Known known, KeptList kept, EventLog log) {
         this.site = site;
         this.calls = calls;
         this.reports = reports;
@@ -58,9 +58,19 @@
         this.known = known;
         this.kept = kept;
         this.log = log;
-        list = new Watch(calls, site.listUri(), site.list(), SwitchText.SWITCHES, SwitchText.TYPE,
+        list = new Watch(
+                calls,
+                site.listUri(),
+                site.list(),
+                SwitchText.SWITCHES,
+                SwitchText.TYPE,
                 listener(this::listed, this::listFailed));
-        circuits = new Watch(calls, site.circuitsUri(), site.circuits(), SwitchText.CIRCUITS, SwitchText.TYPE,
+        circuits = new Watch(
+                calls,
+                site.circuitsUri(),
+                site.circuits(),
+                SwitchText.CIRCUITS,
+                SwitchText.TYPE,
                 listener(this::circuitsTold, this::circuitsFailed));
     }
 
@@ -230,8 +240,10 @@
     private Request outside(String method, String uri) {
         Headers headers = new Headers();
         headers.add("Max-Forwards", "70");
-        headers.add("From", "<sip:exchange-" + site.number() + "@" + "martenslip.invalid>;tag="
-                + calls.branches().tag());
+        headers.add(
+                "From",
+                "<sip:exchange-" + site.number() + "@" + "martenslip.invalid>;tag="
+                        + calls.branches().tag());
         headers.add("To", "<" + uri + ">").add("Call-ID", calls.branches().callId("x" + site.number()));
         headers.add("CSeq", "1 " + method);
         return new Request(method, uri, headers);
@@ -242,7 +254,8 @@
         Request request = transaction.request();
         if (request.is("NOTIFY")) {
             if (!list.takes(transaction) && !circuits.takes(transaction)) {
-                transaction.respond(request.answer(481, "No such subscription", calls.branches().tag()));
+                transaction.respond(request.answer(
+                        481, "No such subscription", calls.branches().tag()));
             }
         } else if (request.is("MESSAGE")) {
             noteFrom(transaction, request);
@@ -254,11 +267,14 @@
     private void noteFrom(ServerTransaction transaction, Request request) throws BadValue {
         String user = martenslip.sip.message.SipUri.parse(request.from().uri()).plainUser();
         int peer = user != null && user.startsWith("exchange-") && Digits.only(user.substring(9), 5)
-                ? Integer.parseInt(user.substring(9)) : -1;
+                ? Integer.parseInt(user.substring(9))
+                : -1;
         if (!site.peers().containsKey(peer)) {
-            transaction.respond(request.answer(403, "Not a peer", calls.branches().tag()));
+            transaction.respond(
+                    request.answer(403, "Not a peer", calls.branches().tag()));
         } else if (request.body().length > MOST_NOTE) {
-            transaction.respond(request.answer(413, "Note over " + MOST_NOTE + " bytes", calls.branches().tag()));
+            transaction.respond(request.answer(
+                    413, "Note over " + MOST_NOTE + " bytes", calls.branches().tag()));
         } else {
             byte[] note = request.body();
             transaction.respond(request.answer(200, "OK", calls.branches().tag()));
--- a/src/main/java/martenslip/exchange/Switchboard.java
+++ b/src/main/java/martenslip/exchange/Switchboard.java
@@ -18,6 +18,7 @@
         final Site.Group group;
         /** Under none where more is under way than there was: rings that come back then must not seem to free any. */
         int free;
+
         int total;
         boolean known;
 
@@ -57,7 +58,8 @@
     /** Switches that bear the number and are not gone: two while one machine replaces another. */
     List<Neighbour> bearing(int number) {
         return neighbours.values().stream()
-                .filter(one -> one.line().number() == number && one.line().state() != SwitchLine.State.GONE).toList();
+                .filter(one -> one.line().number() == number && one.line().state() != SwitchLine.State.GONE)
+                .toList();
     }
 
     void listed(List<Neighbour> lines, boolean whole) {
--- a/src/main/java/martenslip/exchange/Taken.java
+++ b/src/main/java/martenslip/exchange/Taken.java
@@ -15,9 +15,11 @@
     final Moment at;
     /** How many rings it has had. */
     int rings;
+
     Ring ring;
     /** The final answer has been given, by whichever side. */
     boolean answered;
+
     Response answer;
     boolean sent;
     boolean confirmed;
@@ -30,6 +32,7 @@
     Blame last = Blame.NONE;
     /** Its INVITE would count as a new one by now. */
     boolean forgotten;
+
     Wheel.Timer lastWord;
 
     Taken(Contact contact, CallIn caller, String number, Moment at) {
@@ -65,7 +68,21 @@
 
     Will will() {
         Will.Out out = ring != null && (!ring.told || bye == Will.Bye.RING) ? ring.out() : null;
-        return new Will(contact, number, at, caller.invite(), caller.transaction().from(), caller.tag(), rings, out,
-                heldUntil, last, answer, answered, sent, confirmed, bye);
+        return new Will(
+                contact,
+                number,
+                at,
+                caller.invite(),
+                caller.transaction().from(),
+                caller.tag(),
+                rings,
+                out,
+                heldUntil,
+                last,
+                answer,
+                answered,
+                sent,
+                confirmed,
+                bye);
     }
 }
--- a/src/main/java/martenslip/exchange/Warming.java
+++ b/src/main/java/martenslip/exchange/Warming.java
@@ -60,7 +60,8 @@
 
     void run() {
         List<Integer> reached = site.groups().keySet().stream()
-                .filter(one -> site.numbering().leadingTo(one) != null).toList();
+                .filter(one -> site.numbering().leadingTo(one) != null)
+                .toList();
         if (reached.isEmpty()) {
             return;
         }
@@ -108,8 +109,9 @@
             lines.add(new Neighbour(line, SipUri.of(null, "127.0.0.1", 9), far));
         }
         decider.listed(ListKind.WHOLE, lines);
-        decider.circuits(site.groups().values().stream().map(group ->
-                new SwitchText.GroupState(group.name(), group.circuits(), group.circuits())).toList());
+        decider.circuits(site.groups().values().stream()
+                .map(group -> new SwitchText.GroupState(group.name(), group.circuits(), group.circuits()))
+                .toList());
         decider.begin();
         decider.tellAll();
     }
@@ -145,7 +147,8 @@
                     Response ok = request.answer(200, "OK", "far");
                     ok.headers().add("Contact", "<sip:far@127.0.0.1:9>");
                     arrive(ok);
-                } else if (message instanceof Response response && response.success()
+                } else if (message instanceof Response response
+                        && response.success()
                         && response.cseq().method().equals("INVITE")) {
                     arrive(within(response, "ACK", 1));
                     arrive(within(response, "BYE", 2));
--- a/src/main/java/martenslip/exchange/Will.java
+++ b/src/main/java/martenslip/exchange/Will.java
@@ -21,16 +21,41 @@
  * @param confirmed its 2xx was acknowledged
  * @param bye the side that is owed a BYE
  */
-record Will(Contact contact, String number, Moment at, Request invite, Hop from, String tag, int rings, Out out,
-            Moment heldUntil, Blame last, Response answer, boolean answered, boolean sent, boolean confirmed, Bye bye) {
-    enum Bye { NONE, CALLER, RING }
+record Will(
+        Contact contact,
+        String number,
+        Moment at,
+        Request invite,
+        Hop from,
+        String tag,
+        int rings,
+        Out out,
+        Moment heldUntil,
+        Blame last,
+        Response answer,
+        boolean answered,
+        boolean sent,
+        boolean confirmed,
+        Bye bye) {
+    enum Bye {
+        NONE,
+        CALLER,
+        RING
+    }
 
     /** {@code invite} bears its Via; {@code stood} is its 2xx, or null. */
-    record Out(int number, long target, int far, Moment at, Moment until, Request invite, Hop hop, Response stood) { }
+    record Out(int number, long target, int far, Moment at, Moment until, Request invite, Hop hop, Response stood) {}
 
     Roll.Held held() {
         boolean live = out != null && bye == Bye.NONE;
-        return new Roll.Held(contact, at, rings, live ? out.number() : -1, live ? out.target() : 0,
-                live && out.stood() != null, answered, heldUntil);
+        return new Roll.Held(
+                contact,
+                at,
+                rings,
+                live ? out.number() : -1,
+                live ? out.target() : 0,
+                live && out.stood() != null,
+                answered,
+                heldUntil);
     }
 }
--- a/src/main/java/martenslip/expect/Check.java
+++ b/src/main/java/martenslip/expect/Check.java
@@ -26,10 +26,11 @@
         }
     }
 
-    private record Asked(int skill, int to, Set<Condition> conditions, long seed) { }
+    private record Asked(int skill, int to, Set<Condition> conditions, long seed) {}
 
     /** For one pair and skill; wide expectations have fewer for each, and no fewer than {@link #LEAST}. */
     private static final int TRIALS = 60;
+
     private static final int LEAST = 6;
     private static final int WIDE = 600;
     /** For a part: its deviation is then under 3 in 100. */
@@ -58,7 +59,8 @@
     private List<Integer> destinations(Expectation one) {
         List<Integer> all = new ArrayList<>();
         for (int far : origin.numbering().exchanges()) {
-            if (far != origin.number() && (one == null || one.to().isEmpty() || one.to().contains(far))) {
+            if (far != origin.number()
+                    && (one == null || one.to().isEmpty() || one.to().contains(far))) {
                 all.add(far);
             }
         }
@@ -66,8 +68,9 @@
     }
 
     private Trial.Path path(int skill, int to, List<Condition> conditions, long seed) {
-        return made.computeIfAbsent(new Asked(skill, to, Set.copyOf(conditions), seed), any ->
-                new Trial(sites, origin.number(), regions, maker, conditions, seed).offer(skill, to));
+        return made.computeIfAbsent(
+                new Asked(skill, to, Set.copyOf(conditions), seed),
+                any -> new Trial(sites, origin.number(), regions, maker, conditions, seed).offer(skill, to));
     }
 
     public Verdict of(Expectation one) {
@@ -124,7 +127,11 @@
         for (int seed = 0; seed < LEAST; seed++) {
             counts.merge(told(path(skill, far, one.conditions(), seed), far), 1, Integer::sum);
         }
-        return "most went " + counts.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
+        return "most went "
+                + counts.entrySet().stream()
+                        .max(Map.Entry.comparingByValue())
+                        .orElseThrow()
+                        .getKey();
     }
 
     private static boolean meets(Expectation one, Trial.Path path, int destination) {
@@ -136,8 +143,9 @@
         }
         List<Route> routes = ((Outcome.Goes) one.outcome()).routes();
         if (one.often() == Often.NEVER) {
-            return path.tries().stream().anyMatch(far -> routes.get(0).takes(far, destination)
-                    && (routes.get(0).via().isEmpty() || far != destination));
+            return path.tries().stream()
+                    .anyMatch(far -> routes.get(0).takes(far, destination)
+                            && (routes.get(0).via().isEmpty() || far != destination));
         }
         for (int i = 0; i < path.tries().size(); i++) {
             Route route = routes.get(Math.min(i, routes.size() - 1));
@@ -158,8 +166,11 @@
         for (int i = 0; i < path.tries().size(); i++) {
             int far = path.tries().get(i);
             String came = i < path.became().size() ? path.became().get(i) : "no answer";
-            text.append(i == 0 ? "" : ", then ").append(far == destination ? "direct" : "via " + name(far)).append(" (")
-                    .append(came).append(')');
+            text.append(i == 0 ? "" : ", then ")
+                    .append(far == destination ? "direct" : "via " + name(far))
+                    .append(" (")
+                    .append(came)
+                    .append(')');
         }
         String end = path.end().toString().toLowerCase(java.util.Locale.ROOT);
         return text.isEmpty() ? "nowhere and was " + end : text + " and " + (end.equals("stood") ? end : "was " + end);
@@ -171,8 +182,9 @@
         for (int far : destinations(null)) {
             for (int skill = 0; skill < origin.skills().size(); skill++) {
                 int which = skill;
-                boolean spoken = all.stream().anyMatch(one -> (one.skill() < 0 || one.skill() == which)
-                        && (one.to().isEmpty() || one.to().contains(far)));
+                boolean spoken = all.stream()
+                        .anyMatch(one -> (one.skill() < 0 || one.skill() == which)
+                                && (one.to().isEmpty() || one.to().contains(far)));
                 if (!spoken) {
                     left.add(origin.skills().get(skill).name() + " to " + name(far));
                 }
@@ -198,13 +210,18 @@
             if (stood == 0) {
                 found.add("nothing reaches " + name(far) + ": it went " + told(path(skill, far, List.of(), 0), far));
             } else if (by.size() == 1 && !by.contains(far)) {
-                found.add(name(far) + " is reached by one tandem alone, " + name(by.iterator().next()));
+                found.add(name(far) + " is reached by one tandem alone, "
+                        + name(by.iterator().next()));
             }
         }
-        origin.numbering().redundant().forEach(digits ->
-                found.add("prefix " + digits + " changes nothing: a shorter one leads to the same exchange"));
-        origin.numbering().shadowed().forEach(digits ->
-                found.add("prefix " + digits + " is never met: longer ones take each digit that may follow"));
+        origin.numbering()
+                .redundant()
+                .forEach(digits ->
+                        found.add("prefix " + digits + " changes nothing: a shorter one leads to the same exchange"));
+        origin.numbering()
+                .shadowed()
+                .forEach(digits ->
+                        found.add("prefix " + digits + " is never met: longer ones take each digit that may follow"));
         return found;
     }
 
@@ -224,7 +241,8 @@
                 if (first.equals(Set.of(far))) {
                     lines.add(what + "goes direct");
                 } else if (!first.contains(-1) && !first.contains(far)) {
-                    lines.add(what + "goes via " + String.join(" or ", first.stream().map(this::name).toList()));
+                    lines.add(what + "goes via "
+                            + String.join(" or ", first.stream().map(this::name).toList()));
                 } else if (stood) {
                     lines.add(what + "stands");
                 }
--- a/src/main/java/martenslip/expect/Contradictions.java
+++ b/src/main/java/martenslip/expect/Contradictions.java
@@ -16,10 +16,9 @@
  */
 public final class Contradictions {
     /** The two, why, and a state in which both are demanded. */
-    public record Pair(Expectation one, Expectation other, String why, List<Condition> state) { }
+    public record Pair(Expectation one, Expectation other, String why, List<Condition> state) {}
 
-    private Contradictions() {
-    }
+    private Contradictions() {}
 
     public static List<Pair> among(List<Expectation> all) {
         List<Pair> pairs = new ArrayList<>();
@@ -46,12 +45,18 @@
             int sum = 0;
             for (int j = i; j < all.size() && sum <= 100; j++) {
                 Expectation one = all.get(j);
-                if (one.often() == Often.AT_LEAST && one.outcome() instanceof Outcome.Goes goes && alike(first, one)
-                        && taken.stream().allMatch(route -> apart(route, goes.routes().get(0)))) {
+                if (one.often() == Often.AT_LEAST
+                        && one.outcome() instanceof Outcome.Goes goes
+                        && alike(first, one)
+                        && taken.stream()
+                                .allMatch(route -> apart(route, goes.routes().get(0)))) {
                     taken.add(goes.routes().get(0));
                     sum += one.percent();
                     if (sum > 100) {
-                        pairs.add(new Pair(first, one, "the parts of " + taken.size() + " lines add up to " + sum + "%",
+                        pairs.add(new Pair(
+                                first,
+                                one,
+                                "the parts of " + taken.size() + " lines add up to " + sum + "%",
                                 first.conditions()));
                     }
                 }
@@ -60,12 +65,15 @@
     }
 
     private static boolean alike(Expectation a, Expectation b) {
-        return a.skill() == b.skill() && a.from().equals(b.from()) && a.to().equals(b.to())
+        return a.skill() == b.skill()
+                && a.from().equals(b.from())
+                && a.to().equals(b.to())
                 && Set.copyOf(a.conditions()).equals(Set.copyOf(b.conditions()));
     }
 
     private static boolean apart(Route a, Route b) {
-        return a.via().isEmpty() != b.via().isEmpty() || !a.via().isEmpty() && a.via().stream().noneMatch(b.via()::contains);
+        return a.via().isEmpty() != b.via().isEmpty()
+                || !a.via().isEmpty() && a.via().stream().noneMatch(b.via()::contains);
     }
 
     /** True where some contact is spoken of by both. */
@@ -87,7 +95,8 @@
         all.addAll(b.conditions());
         Set<Object> spoken = new HashSet<>();
         for (Condition one : all) {
-            Object of = one instanceof Condition.Desk desk ? (Object) desk.exchange()
+            Object of = one instanceof Condition.Desk desk
+                    ? (Object) desk.exchange()
                     : one instanceof Condition.Group group ? group.name() : "cut";
             if (!spoken.add(of)) {
                 return null;
@@ -133,11 +142,13 @@
         if (a.often() == Often.NEVER || b.often() == Often.NEVER) {
             Route never = a.often() == Often.NEVER ? one : other;
             Route wanted = a.often() == Often.NEVER ? other : one;
-            boolean within = never.via().isEmpty() ? wanted.via().isEmpty()
+            boolean within = never.via().isEmpty()
+                    ? wanted.via().isEmpty()
                     : !wanted.via().isEmpty() && never.via().containsAll(wanted.via());
             return within ? "one says never" : null;
         }
         return apart(one, other) && shares(a) + shares(b) > 100
-                ? "the first ring can't go both ways" + (shares(a) + shares(b) < 200 ? " that often" : "") : null;
+                ? "the first ring can't go both ways" + (shares(a) + shares(b) < 200 ? " that often" : "")
+                : null;
     }
 }
--- a/src/main/java/martenslip/expect/ExpectFile.java
+++ b/src/main/java/martenslip/expect/ExpectFile.java
@@ -36,7 +36,7 @@
     }
 
     /** Names and regions of desks as the file defines them, by exchange. */
-    public record Read(List<Expectation> expectations, Map<Integer, String> names, Map<Integer, String> regions) { }
+    public record Read(List<Expectation> expectations, Map<Integer, String> names, Map<Integer, String> regions) {}
 
     public static Read read(String file, String text, Site site) throws Rejected {
         ExpectFile reader = new ExpectFile(site);
@@ -64,8 +64,13 @@
     private BaseErrorListener listener() {
         return new BaseErrorListener() {
             @Override
-            public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
-                                    RecognitionException e) {
+            public void syntaxError(
+                    Recognizer<?, ?> recognizer,
+                    Object symbol,
+                    int line,
+                    int column,
+                    String message,
+                    RecognitionException e) {
                 faults.add(new Fault(line, "column " + (column + 1), message.replace("\\n", "the line's end")));
             }
         };
@@ -81,8 +86,10 @@
             if (site.numbering().leadingTo(exchange) == null) {
                 fault(desk.number, "no number leads to exchange " + exchange);
             } else if (desk.region != null && !site.regions().contains(desk.region.getText())) {
-                fault(desk.region, "no region is called " + desk.region.getText()
-                        + nearest(desk.region.getText(), site.regions()));
+                fault(
+                        desk.region,
+                        "no region is called " + desk.region.getText()
+                                + nearest(desk.region.getText(), site.regions()));
             } else if (desks.putIfAbsent(desk.name.getText(), exchange) != null) {
                 fault(desk.name, desk.name.getText() + " is defined already");
             } else if (desk.region != null) {
@@ -116,9 +123,11 @@
     }
 
     private static String nearest(String wrong, List<String> known) {
-        return known.stream().min(Comparator.comparingInt(one -> distance(wrong, one)))
+        return known.stream()
+                .min(Comparator.comparingInt(one -> distance(wrong, one)))
                 .filter(one -> distance(wrong, one) <= Math.max(2, wrong.length() / 4))
-                .map(one -> "; did you mean " + one + "?").orElse("");
+                .map(one -> "; did you mean " + one + "?")
+                .orElse("");
     }
 
     /** Letters to put in, take out or change (Levenshtein). */
@@ -157,17 +166,26 @@
         int line = written.getStart().getLine();
         Set<Integer> from = subject.from == null ? Set.of() : exchanges(subject.from);
         if (subject.from != null && !from.isEmpty() && !from.contains(site.number())) {
-            fault(subject.from, subject.from.getText() + " is not the exchange of this file, which is "
-                    + site.number());
+            fault(
+                    subject.from,
+                    subject.from.getText() + " is not the exchange of this file, which is " + site.number());
         }
         int percent = written.often() instanceof ExpectParser.AtLeastContext least
-                ? Integer.parseInt(least.NUMBER().getText()) : 100;
+                ? Integer.parseInt(least.NUMBER().getText())
+                : 100;
         if (percent > 100) {
             fault(written.often().getStart(), "over 100%");
         }
-        expectations.add(new Expectation(line, lines[line - 1].trim(), skill(subject), from,
+        expectations.add(new Expectation(
+                line,
+                lines[line - 1].trim(),
+                skill(subject),
+                from,
                 subject.to == null ? Set.of() : new TreeSet<>(exchanges(subject.to)),
-                nothing ? Often.NEVER : often, percent, outcome, conditions));
+                nothing ? Often.NEVER : often,
+                percent,
+                outcome,
+                conditions));
     }
 
     private int skill(ExpectParser.SubjectContext subject) {
@@ -177,8 +195,9 @@
         List<String> names = site.skills().stream().map(one -> one.name()).toList();
         int at = names.indexOf(subject.skill.getText());
         if (at < 0) {
-            fault(subject.skill, "no skill is called " + subject.skill.getText()
-                    + nearest(subject.skill.getText(), names));
+            fault(
+                    subject.skill,
+                    "no skill is called " + subject.skill.getText() + nearest(subject.skill.getText(), names));
         }
         return at;
     }
@@ -226,7 +245,8 @@
             return group(group.NAME().getSymbol(), group.state.getText().equals("gone") ? -1 : 0);
         }
         if (written instanceof ExpectParser.GroupFreeContext group) {
-            return group(group.NAME().getSymbol(), Integer.parseInt(group.NUMBER().getText()));
+            return group(
+                    group.NAME().getSymbol(), Integer.parseInt(group.NUMBER().getText()));
         }
         Token region = ((ExpectParser.RegionCutContext) written).NAME().getSymbol();
         if (!site.regions().contains(region.getText())) {
@@ -237,17 +257,23 @@
 
     private static List<Condition> states(Set<Integer> exchanges, Token state) {
         Condition.State is = Condition.State.valueOf(state.getText().toUpperCase(java.util.Locale.ROOT));
-        return exchanges.stream().<Condition>map(one -> new Condition.Desk(one, is)).toList();
+        return exchanges.stream()
+                .<Condition>map(one -> new Condition.Desk(one, is))
+                .toList();
     }
 
     private List<Condition> group(Token name, int free) {
-        List<String> names = site.groups().values().stream().map(Site.Group::name).toList();
+        List<String> names =
+                site.groups().values().stream().map(Site.Group::name).toList();
         if (!names.contains(name.getText())) {
             fault(name, "no group is called " + name.getText() + nearest(name.getText(), names));
             return List.of();
         }
-        int circuits = site.groups().values().stream().filter(one -> one.name().equals(name.getText()))
-                .findFirst().orElseThrow().circuits();
+        int circuits = site.groups().values().stream()
+                .filter(one -> one.name().equals(name.getText()))
+                .findFirst()
+                .orElseThrow()
+                .circuits();
         if (free > circuits) {
             fault(name, name.getText() + " has " + circuits + " circuits in all");
         }
--- a/src/main/java/martenslip/expect/Expectation.java
+++ b/src/main/java/martenslip/expect/Expectation.java
@@ -7,18 +7,31 @@
  * One expectation as written: {@code skill}, {@code from} and {@code to} are -1 where any will do. {@code percent} is
  * for {@link Often#AT_LEAST}.
  */
-public record Expectation(int line, String text, int skill, Set<Integer> from, Set<Integer> to, Often often, int percent,
-                          Outcome outcome, List<Condition> conditions) {
-    public enum Often { ALWAYS, NEVER, MAY, AT_LEAST }
+public record Expectation(
+        int line,
+        String text,
+        int skill,
+        Set<Integer> from,
+        Set<Integer> to,
+        Often often,
+        int percent,
+        Outcome outcome,
+        List<Condition> conditions) {
+    public enum Often {
+        ALWAYS,
+        NEVER,
+        MAY,
+        AT_LEAST
+    }
 
     /** What is expected of a contact. */
     public sealed interface Outcome {
         /** Its rings go these ways, one after the other; the last stands for all later ones. */
-        record Goes(List<Route> routes) implements Outcome { }
+        record Goes(List<Route> routes) implements Outcome {}
 
-        record Stands() implements Outcome { }
+        record Stands() implements Outcome {}
 
-        record Deferred() implements Outcome { }
+        record Deferred() implements Outcome {}
     }
 
     /** One ring's way: direct where {@code via} is empty, else by one of these exchanges. */
@@ -35,13 +48,19 @@
 
     /** What must be so for the expectation to be demanded. */
     public sealed interface Condition {
-        enum State { DRAINING, GONE, COLD, PRESSED, SILENT }
+        enum State {
+            DRAINING,
+            GONE,
+            COLD,
+            PRESSED,
+            SILENT
+        }
 
-        record Desk(int exchange, State state) implements Condition { }
+        record Desk(int exchange, State state) implements Condition {}
 
         /** Circuits that the group has free; -1 for a group that is gone. */
-        record Group(String name, int free) implements Condition { }
+        record Group(String name, int free) implements Condition {}
 
-        record Cut(String region) implements Condition { }
+        record Cut(String region) implements Condition {}
     }
 }
--- a/src/main/java/martenslip/expect/Trial.java
+++ b/src/main/java/martenslip/expect/Trial.java
@@ -27,18 +27,23 @@
  * its seed; without I/O.
  */
 public final class Trial {
-    public enum End { STOOD, DEFERRED, ABANDONED }
+    public enum End {
+        STOOD,
+        DEFERRED,
+        ABANDONED
+    }
 
     /** The exchanges that the first exchange's rings went to, in turn, with what became of each, and the end. */
-    public record Path(List<Integer> tries, List<String> became, End end) { }
+    public record Path(List<Integer> tries, List<String> became, End end) {}
 
     private static final Span SET_UP = Span.ofMillis(5);
     private static final Moment START = new Moment(Span.ofMillis(1_000_000).ns());
     /** Past each rule's span, so a state is settled when the contact comes. */
     private static final String LAST_DIGITS = "00000";
+
     private static final Span SETTLED = Span.ofMillis(60_000);
 
-    private record Event(Moment at, long order, Runnable what) { }
+    private record Event(Moment at, long order, Runnable what) {}
 
     private final Map<Integer, Site> sites;
     private final Map<Integer, String> regions;
@@ -48,8 +53,8 @@
     private final Map<Integer, Condition.State> desks = new HashMap<>();
     private final Map<String, Integer> groups = new HashMap<>();
     private final Map<Integer, Node> nodes = new HashMap<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparing(Event::at).thenComparing(Event::order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::order));
     private final List<Integer> tries = new ArrayList<>();
     private final List<String> became = new ArrayList<>();
     private String cut;
@@ -58,8 +63,13 @@
     private End end;
 
     /** {@code sites} holds the files of this and, as far as known, other exchanges. */
-    public Trial(Map<Integer, Site> sites, int origin, Map<Integer, String> regions, Maker maker,
-                 List<Condition> conditions, long seed) {
+    public Trial(
+            Map<Integer, Site> sites,
+            int origin,
+            Map<Integer, String> regions,
+            Maker maker,
+            List<Condition> conditions,
+            long seed) {
         this.sites = sites;
         this.origin = sites.get(origin);
         this.regions = regions;
@@ -93,7 +103,12 @@
     private void hush(Node first, Moment until) {
         desks.forEach((exchange, state) -> {
             if (state == Condition.State.SILENT && exchange != origin.number()) {
-                first.take(exchange, origin.usual(), -1, origin.skills().get(origin.usual()).patience(), null);
+                first.take(
+                        exchange,
+                        origin.usual(),
+                        -1,
+                        origin.skills().get(origin.usual()).patience(),
+                        null);
             }
         });
         run(until);
@@ -120,7 +135,8 @@
     }
 
     private boolean away(int exchange) {
-        return desks.get(exchange) == Condition.State.GONE || desks.get(exchange) == Condition.State.SILENT
+        return desks.get(exchange) == Condition.State.GONE
+                || desks.get(exchange) == Condition.State.SILENT
                 || severed(origin.number(), exchange);
     }
 
@@ -151,8 +167,11 @@
                 Condition.State state = desks.get(far);
                 if (state != Condition.State.GONE) {
                     boolean cold = state == Condition.State.COLD;
-                    lines.add(new SwitchLine(far + 1, far, state == Condition.State.DRAINING
-                            ? SwitchLine.State.DRAINING : SwitchLine.State.READY, cold ? now : null,
+                    lines.add(new SwitchLine(
+                            far + 1,
+                            far,
+                            state == Condition.State.DRAINING ? SwitchLine.State.DRAINING : SwitchLine.State.READY,
+                            cold ? now : null,
                             site.regions().indexOf(regions.getOrDefault(far, ""))));
                 }
             }
@@ -203,8 +222,17 @@
             Skill is = site.skills().get(skill);
             // A number of the desk, led as a caller's is: a longer prefix may lead it elsewhere.
             String number = site.numbering().leadingTo(destination) + LAST_DIGITS;
-            Contact contact = new Contact(id, skill, Long.parseLong(number.replace("+", "")),
-                    site.numbering().exchange(number), from, is.width(), patience, false, from >= 0, false);
+            Contact contact = new Contact(
+                    id,
+                    skill,
+                    Long.parseLong(number.replace("+", "")),
+                    site.numbering().exchange(number),
+                    from,
+                    is.width(),
+                    patience,
+                    false,
+                    from >= 0,
+                    false);
             contacts.put(id, contact);
             callers.put(id, back);
             // A drain is demanded of once its grace is over.
@@ -232,8 +260,7 @@
                 @Override
                 public void turned(Cause cause, Blame blame) {
                     told(cause + (blame == Blame.NONE ? "" : " " + blame));
-                    module.ringEnded(now, new RingEnd(id, number, target, cause, blame, SET_UP, false,
-                            new float[0]));
+                    module.ringEnded(now, new RingEnd(id, number, target, cause, blame, SET_UP, false, new float[0]));
                 }
 
                 private void told(String what) {
--- a/src/main/java/martenslip/lookout/Lookout.java
+++ b/src/main/java/martenslip/lookout/Lookout.java
@@ -25,6 +25,7 @@
     private static final Span GRACE = Span.ofMillis(500);
     /** Replacements in {@link #WITHIN}; past them it is the machine that fails, and more threads don't help. */
     private static final int MOST = 8;
+
     private static final Span WITHIN = Span.ofMillis(30_000);
 
     private final Moment[] turned;
@@ -61,7 +62,8 @@
         lastLook = now;
         int worst = -1;
         for (int i = 0; i < turned.length; i++) {
-            if (silence(i, now).longerThan(STALL) && (worst < 0 || silence(i, now).longerThan(silence(worst, now)))) {
+            if (silence(i, now).longerThan(STALL)
+                    && (worst < 0 || silence(i, now).longerThan(silence(worst, now)))) {
                 worst = i;
             }
         }
--- a/src/main/java/martenslip/platform/Configuration.java
+++ b/src/main/java/martenslip/platform/Configuration.java
@@ -15,10 +15,19 @@
  * What the platform tells one controller at its start and at each SIGHUP; read whole or not at all. An error names the
  * path in the file and the reason.
  */
-record Configuration(String name, InetSocketAddress listen, long seed, int sockets, String limits,
-                 InetSocketAddress peerListen,
-                 List<InetSocketAddress> peers, InetSocketAddress peersAll, InetSocketAddress journal, long position,
-                 List<ListEvent> known, Map<String, String> settings) {
+record Configuration(
+        String name,
+        InetSocketAddress listen,
+        long seed,
+        int sockets,
+        String limits,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers,
+        InetSocketAddress peersAll,
+        InetSocketAddress journal,
+        long position,
+        List<ListEvent> known,
+        Map<String, String> settings) {
     private static final int MOST_BYTES = 4 << 20;
 
     static Configuration read(Path file) throws IOException {
@@ -47,12 +56,19 @@
         Map<?, ?> limits = map(all.get("limits"), "limits");
         Map<String, String> settings = Flat.of(map(all.get("settings"), "settings"));
         Settings.check(settings);
-        return new Configuration(text(all.get("name"), "name"), Addresses.of(all.get("listen"), "listen"),
+        return new Configuration(
+                text(all.get("name"), "name"),
+                Addresses.of(all.get("listen"), "listen"),
                 seed(text(all.get("seed"), "seed")),
-                (int) within(limits.get("sockets"), "limits.sockets", 1, Integer.MAX_VALUE), limits.toString(),
-                optional(all.get("peer_listen"), "peer_listen"), List.copyOf(peers),
-                optional(all.get("peers_all"), "peers_all"), Addresses.of(all.get("journal"), "journal"), position,
-                List.copyOf(known), settings);
+                (int) within(limits.get("sockets"), "limits.sockets", 1, Integer.MAX_VALUE),
+                limits.toString(),
+                optional(all.get("peer_listen"), "peer_listen"),
+                List.copyOf(peers),
+                optional(all.get("peers_all"), "peers_all"),
+                Addresses.of(all.get("journal"), "journal"),
+                position,
+                List.copyOf(known),
+                settings);
     }
 
     private static double within(Object value, String where, double least, double most) throws IOException {
--- a/src/main/java/martenslip/platform/Flat.java
+++ b/src/main/java/martenslip/platform/Flat.java
@@ -10,8 +10,7 @@
  * {@code _}.
  */
 final class Flat {
-    private Flat() {
-    }
+    private Flat() {}
 
     static Map<String, String> of(Map<?, ?> settings) {
         Map<String, String> flat = new LinkedHashMap<>();
--- a/src/main/java/martenslip/platform/Rehearsal.java
+++ b/src/main/java/martenslip/platform/Rehearsal.java
@@ -23,27 +23,37 @@
 public final class Rehearsal {
     private static final int CONTACTS = 30;
     private static final int PATIENCE_MS = 2000;
-    private static final String EACH = "{\"instanceId\":\"s-%d\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"here\",\"cell\":%d,"
-            + "\"lifecycle\":\"up\",\"startedAtMs\":0}";
+    private static final String EACH =
+            "{\"instanceId\":\"s-%d\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"here\",\"cell\":%d,"
+                    + "\"lifecycle\":\"up\",\"startedAtMs\":0}";
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     /** Throws where the controller does not serve: the build must then fail. */
     public static void run(Maker maker) throws IOException {
         Path file = Files.createTempFile("rehearsal", ".json");
-        try (ServerSocket machine = listener(); ServerSocket feed = listener()) {
+        try (ServerSocket machine = listener();
+                ServerSocket feed = listener()) {
             each(machine, Rehearsal::answer);
             each(feed, Rehearsal::tell);
-            String list = String.format("{\"pos\":1,\"hosts\":{\"generation\":1,\"reset\":true,\"instances\":[" + EACH + ","
-                    + EACH + "]}}", 0, machine.getLocalPort(), 0, 1, machine.getLocalPort(), 1);
-            Files.writeString(file, "{\"name\":\"rehearsal\",\"listen\":\"127.0.0.1:0\",\"seed\":\"1\",\"limits\":{\"sockets\":"
-                    + "64},\"peer_listen\":\"127.0.0.1:0\",\"peers\":[],\"journal\":\"127.0.0.1:"
-                    + feed.getLocalPort() + "\",\"known\":{\"pos\":1,\"entries\":[" + list + "]},\"settings\":{\"classes\":[{"
-                    + "\"name\":\"any\",\"aim-ns\":1000000000,\"hard-limit-ns\":3000000000,\"worth\":1}],\"zones\":[\"here\"],"
-                    + "\"me\":0,\"family-info\":{\"mean-hold-ns\":[1000000000],\"widths\":[1],\"home-no\":0,\"release-ns\":"
-                    + "200000000},\"policy-limits\":{\"send-cap\":5,\"cancel\":true,\"peers\":true,\"max-open\":50},"
-                    + "\"report\":{\"fields\":[\"spare\",\"total\",\"allowed\"]},\"round-ns\":5000000}}");
+            String list = String.format(
+                    "{\"pos\":1,\"hosts\":{\"generation\":1,\"reset\":true,\"instances\":[" + EACH + "," + EACH + "]}}",
+                    0,
+                    machine.getLocalPort(),
+                    0,
+                    1,
+                    machine.getLocalPort(),
+                    1);
+            Files.writeString(
+                    file,
+                    "{\"name\":\"rehearsal\",\"listen\":\"127.0.0.1:0\",\"seed\":\"1\",\"limits\":{\"sockets\":"
+                            + "64},\"peer_listen\":\"127.0.0.1:0\",\"peers\":[],\"journal\":\"127.0.0.1:"
+                            + feed.getLocalPort() + "\",\"known\":{\"pos\":1,\"entries\":[" + list
+                            + "]},\"settings\":{\"classes\":[{"
+                            + "\"name\":\"any\",\"aim-ns\":1000000000,\"hard-limit-ns\":3000000000,\"worth\":1}],\"zones\":[\"here\"],"
+                            + "\"me\":0,\"family-info\":{\"mean-hold-ns\":[1000000000],\"widths\":[1],\"home-no\":0,\"release-ns\":"
+                            + "200000000},\"policy-limits\":{\"send-cap\":5,\"cancel\":true,\"peers\":true,\"max-open\":50},"
+                            + "\"report\":{\"fields\":[\"spare\",\"total\",\"allowed\"]},\"round-ns\":5000000}}");
             try (Serve serve = new Serve(file, maker, new PrintStream(OutputStream.nullOutputStream()))) {
                 serve.open();
                 serve.reload();
@@ -89,8 +99,10 @@
     }
 
     private static void tell(Socket socket) throws IOException {
-        say(socket, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\nid: 2\ndata: {\"pos\":2,\"hosts\":{"
-                + "\"generation\":2,\"reset\":false,\"instances\":[]}}\n\n");
+        say(
+                socket,
+                "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\nid: 2\ndata: {\"pos\":2,\"hosts\":{"
+                        + "\"generation\":2,\"reset\":false,\"instances\":[]}}\n\n");
         while (socket.getInputStream().read() >= 0) {
             // Until the controller ends it.
             continue;
@@ -107,9 +119,14 @@
             String tag = line.substring(at, line.indexOf('"', at));
             if (line.contains("\"START\"") && taken++ % 3 < 2) {
                 say(socket, "{\"verb\":\"STARTED\",\"tag\":\"" + tag + "\",\"opts\":{},\"blob\":\"c=\"}\n");
-                say(socket, "{\"verb\":\"FINISH\",\"tag\":\"" + tag + "\",\"opts\":{\"load\":\"spare:8;total:9\"},\"rc\":16}\n");
+                say(
+                        socket,
+                        "{\"verb\":\"FINISH\",\"tag\":\"" + tag
+                                + "\",\"opts\":{\"load\":\"spare:8;total:9\"},\"rc\":16}\n");
             } else if (line.contains("\"START\"")) {
-                say(socket, "{\"verb\":\"FINISH\",\"tag\":\"" + tag + "\",\"opts\":{\"note\":\"overload\"},\"rc\":34}\n");
+                say(
+                        socket,
+                        "{\"verb\":\"FINISH\",\"tag\":\"" + tag + "\",\"opts\":{\"note\":\"overload\"},\"rc\":34}\n");
             }
         }
     }
@@ -122,12 +139,14 @@
             int passed = 0;
             for (int i = 0; i < 1000 && passed == 0; i++) {
                 say(line, message("OPTIONS", "ping", "0000000000000000", "", ""));
-                passed = new String(room, 0, in.read(room), StandardCharsets.US_ASCII).startsWith("SIP/2.0 200") ? 1 : 0;
+                passed =
+                        new String(room, 0, in.read(room), StandardCharsets.US_ASCII).startsWith("SIP/2.0 200") ? 1 : 0;
             }
             if (passed == 0) {
                 throw new IOException("the rehearsal's controller never passed its test");
             }
-            String figures = "Call-Kind: any\r\nAnswer-Within: " + PATIENCE_MS + "\r\nRouting-Data: dest:1;width:1;via:-1\r\n";
+            String figures =
+                    "Call-Kind: any\r\nAnswer-Within: " + PATIENCE_MS + "\r\nRouting-Data: dest:1;width:1;via:-1\r\n";
             for (int i = 1; i <= CONTACTS; i++) {
                 String tag = String.format("%016x", i);
                 say(line, message("INVITE", "00000000000000aa", tag, figures, "c=\r\n"));
--- a/src/main/java/martenslip/platform/Roster.java
+++ b/src/main/java/martenslip/platform/Roster.java
@@ -21,13 +21,14 @@
  * and the module's list in step with the journal's events. The deciding thread's.
  */
 final class Roster {
-    private record Known(long number, long startedMs) { }
+    private record Known(long number, long startedMs) {}
 
     private final Desk desk;
     private final SwitchConnections lines;
     private final List<String> zones;
     /** What the clock of the program shows less what the Unix clock shows, at the start. */
     private final Span offset;
+
     private final Log log;
     private final Map<String, Known> known = new LinkedHashMap<>();
     private long numbers;
@@ -81,15 +82,16 @@
             }
             Known one = new Known(before == null ? ++numbers : before.number, entry.startedMs());
             known.put(entry.id(), one);
-            Moment started = entry.startedMs() == 0 ? null
-                    : new Moment(entry.startedMs() * 1_000_000).plus(offset);
+            Moment started = entry.startedMs() == 0 ? null : new Moment(entry.startedMs() * 1_000_000).plus(offset);
             if (before != null && entry.startedMs() > before.startedMs) {
                 restarted.put(one.number, started);
             }
-            log.line("list", entry.id() + " is switch " + one.number + ", number " + entry.number() + ", "
-                    + entry.state() + " at " + entry.at() + " since " + entry.startedMs());
-            told.add(new SwitchLine(one.number, entry.number(), entry.state(), started,
-                    Math.max(0, zones.indexOf(entry.zone()))));
+            log.line(
+                    "list",
+                    entry.id() + " is switch " + one.number + ", number " + entry.number() + ", " + entry.state()
+                            + " at " + entry.at() + " since " + entry.startedMs());
+            told.add(new SwitchLine(
+                    one.number, entry.number(), entry.state(), started, Math.max(0, zones.indexOf(entry.zone()))));
             if (entry.state() == SwitchLine.State.GONE) {
                 left.add(entry.id());
             } else {
--- a/src/main/java/martenslip/platform/Serve.java
+++ b/src/main/java/martenslip/platform/Serve.java
@@ -42,12 +42,15 @@
      * soonest. What comes later than the first of these is refused.
      */
     private static final Span STILL_TAKEN = Span.ofMillis(1800);
+
     private static final Span LAST_FOR_SURE = Span.ofMillis(2000);
     /** Half of what the platform adds to every time limit on sockets. */
     private static final Span ON_SOCKETS = Span.ofMillis(25);
+
     private static final Span LOOK = Span.ofMillis(50);
     /** Well under the kill, which comes 1.7 s after the end begins at the soonest. */
     private static final Span HANG_UP = Span.ofMillis(600);
+
     private static final Span TELL = Span.ofMillis(5000);
     /** Descriptors of files and the JVM, the journal's two feeds, the listener and the peers' socket. */
     private static final int NOT_FOR_CONNECTIONS = 28;
@@ -85,58 +88,87 @@
         start = Configuration.read(file);
         Map<String, String> settings = start.settings();
         Terms terms = terms(settings);
-        Bounds bounds = new Bounds(MOST_LINES, Span.ofMillis(2000), Span.ofMillis(20_000), Span.ofMillis(1500),
-                256 * 1024, Span.ofMillis(3000), Span.ofMillis(500));
+        Bounds bounds = new Bounds(
+                MOST_LINES,
+                Span.ofMillis(2000),
+                Span.ofMillis(20_000),
+                Span.ofMillis(1500),
+                256 * 1024,
+                Span.ofMillis(3000),
+                Span.ofMillis(500));
         callers = new Callers(terms, bounds, writers, drops, fromCallers);
         Span connect = span(settings, "policy-limits.connect-timeout-ns", 500e6);
         Span idle = span(settings, "policy-limits.conn-idle-ns", 600e9);
-        Bounds toSwitches = new Bounds(256, idle.times(2), idle.times(2), Span.ofMillis(400), 256 * 1024,
-                Span.ofMillis(3000), connect);
-        switches = new SwitchConnections(toSwitches, sockets, writers, wheel,
-                new Load(Arrays.asList(settings.getOrDefault("report.fields", "").split(","))), drops, this::turn,
+        Bounds toSwitches = new Bounds(
+                256, idle.times(2), idle.times(2), Span.ofMillis(400), 256 * 1024, Span.ofMillis(3000), connect);
+        switches = new SwitchConnections(
+                toSwitches,
+                sockets,
+                writers,
+                wheel,
+                new Load(
+                        Arrays.asList(settings.getOrDefault("report.fields", "").split(","))),
+                drops,
+                this::turn,
                 fromSwitches);
         desk = new Desk(wheel, terms, outward);
-        roster = new Roster(desk, switches, settings.getOrDefault("zones", ""), wheel.now(),
-                System.currentTimeMillis(), log);
+        roster = new Roster(
+                desk, switches, settings.getOrDefault("zones", ""), wheel.now(), System.currentTimeMillis(), log);
         journal = new Journal(start.journal(), start.position(), fromJournal);
         boolean notes = "true".equals(settings.get("policy-limits.peers")) && start.peerListen() != null;
         int own = (int) number(settings, "me", -1);
-        peers = notes ? new Peers(start.peerListen(), start.peers(), start.peersAll(), own, drops,
-                (peer, note) -> loop.offer((Runnable) () -> desk.tell(to -> to.peerNote(wheel.now(), peer, note))))
+        peers = notes
+                ? new Peers(
+                        start.peerListen(),
+                        start.peers(),
+                        start.peersAll(),
+                        own,
+                        drops,
+                        (peer, note) ->
+                                loop.offer((Runnable) () -> desk.tell(to -> to.peerNote(wheel.now(), peer, note))))
                 : null;
         desk.module(maker.make(settings, start.seed(), wheel.now(), desk));
     }
 
     /** Begins to serve; the port that is listened on is returned. */
     public int open() throws IOException {
-        loop.start(new EventLoop.Duty() {
-            @Override
-            public void take(Object next) {
-                log.line("fault", "unknown piece of work " + next);
-            }
-
-            @Override
-            public void after() {
-                // Messages go out as they are queued; nothing is left for the end of a turn.
-            }
-
-            @Override
-            public void fault(Throwable fault) {
-                log.line("fault", fault + " at " + Arrays.stream(fault.getStackTrace()).limit(3).toList());
-            }
-        }, () -> {
-            decides = Thread.currentThread();
-            roster.remembered(start.known(), wheel.now());
-            allot();
-            Moment begun = wheel.now();
-            look(begun);
-            wheel.after(TELL, this::told);
-        });
+        loop.start(
+                new EventLoop.Duty() {
+                    @Override
+                    public void take(Object next) {
+                        log.line("fault", "unknown piece of work " + next);
+                    }
+
+                    @Override
+                    public void after() {
+                        // Messages go out as they are queued; nothing is left for the end of a turn.
+                    }
+
+                    @Override
+                    public void fault(Throwable fault) {
+                        log.line(
+                                "fault",
+                                fault + " at "
+                                        + Arrays.stream(fault.getStackTrace())
+                                                .limit(3)
+                                                .toList());
+                    }
+                },
+                () -> {
+                    decides = Thread.currentThread();
+                    roster.remembered(start.known(), wheel.now());
+                    allot();
+                    Moment begun = wheel.now();
+                    look(begun);
+                    wheel.after(TELL, this::told);
+                });
         journal.start();
         port = callers.open(start.listen());
         log.line("settings", start.settings().toString());
-        log.line("start", start.name() + " listens at " + start.listen() + ", limits " + start.limits() + ", journal "
-                + start.journal() + " from " + start.position());
+        log.line(
+                "start",
+                start.name() + " listens at " + start.listen() + ", limits " + start.limits() + ", journal "
+                        + start.journal() + " from " + start.position());
         return port;
     }
 
@@ -157,17 +189,22 @@
     private void look(Moment begun) {
         if (switches.allTold() || wheel.now().since(begun).longerThan(READY_AT_LAST)) {
             ready = true;
-            log.line("ready", "after " + wheel.now().since(begun).ns() / 1_000_000 + " ms, states of all groups: "
-                    + switches.allTold());
+            log.line(
+                    "ready",
+                    "after " + wheel.now().since(begun).ns() / 1_000_000 + " ms, states of all groups: "
+                            + switches.allTold());
         } else {
             wheel.after(Span.ofMillis(10), () -> look(begun));
         }
     }
 
     private void told() {
-        log.line("counts", desk.counts() + " open=" + desk.open() + " standing=" + desk.standing() + " unheard="
-                + desk.unheardReleases() + " lines=" + callers.count() + " switch-lines=" + switches.count()
-                + " threads=" + Thread.activeCount() + " waiting=" + loop.waiting() + " drops=" + drops.counts());
+        log.line(
+                "counts",
+                desk.counts() + " open=" + desk.open() + " standing=" + desk.standing() + " unheard="
+                        + desk.unheardReleases() + " lines=" + callers.count() + " switch-lines=" + switches.count()
+                        + " threads=" + Thread.activeCount() + " waiting=" + loop.waiting() + " drops="
+                        + drops.counts());
         wheel.after(TELL, this::told);
     }
 
@@ -206,12 +243,16 @@
             wheel.after(LOOK, this::ending);
             return;
         }
-        Thread last = new Thread(null, () -> {
-            // While the deciding thread still answers: what comes until a connection is ended has an owner.
-            callers.hangUp(HANG_UP);
-            close();
-            done.countDown();
-        }, "last", 128 * 1024);
+        Thread last = new Thread(
+                null,
+                () -> {
+                    // While the deciding thread still answers: what comes until a connection is ended has an owner.
+                    callers.hangUp(HANG_UP);
+                    close();
+                    done.countDown();
+                },
+                "last",
+                128 * 1024);
         last.start();
     }
 
@@ -249,7 +290,10 @@
             names[i] = settings.get("classes." + i + ".name");
             longest = longest.least(span(settings, "classes." + i + ".hard-limit-ns", 9e9));
         }
-        return new Terms(List.of(names), (int) number(settings, "policy-limits.max-open", 20_000), longest,
+        return new Terms(
+                List.of(names),
+                (int) number(settings, "policy-limits.max-open", 20_000),
+                longest,
                 span(settings, "guarantees.answer-slack-ns", 20e6).plus(ON_SOCKETS));
     }
 
--- a/src/main/java/martenslip/platform/Settings.java
+++ b/src/main/java/martenslip/platform/Settings.java
@@ -12,26 +12,35 @@
 final class Settings {
     /** A century: no span of a call, a connection or a start is longer. */
     private static final double LONGEST_NS = 3.2e18;
+
     private static final double MOST = 1e9;
 
-    private record Bound(String path, double least, double most) { }
+    private record Bound(String path, double least, double most) {}
 
-    private static final List<Bound> NUMBERS = List.of(new Bound("round-ns", 1, LONGEST_NS), new Bound("me", -1, MOST),
-            new Bound("n-instances", 0, MOST), new Bound("family-info.mean-hold-ns", 0, LONGEST_NS),
-            new Bound("family-info.widths", 0, MOST), new Bound("family-info.home-no", -1, MOST),
-            new Bound("family-info.release-ns", 0, LONGEST_NS), new Bound("guarantees.warm-within-ns", 0, LONGEST_NS),
-            new Bound("guarantees.cold-share", 0, 1), new Bound("guarantees.fall-multiple", 0, MOST),
-            new Bound("guarantees.fall-ns", 0, LONGEST_NS), new Bound("guarantees.drain-grace-ns", 0, LONGEST_NS),
-            new Bound("guarantees.answer-slack-ns", 0, LONGEST_NS), new Bound("policy-limits.send-cap", 0, MOST),
-            new Bound("policy-limits.max-open", 0, MOST), new Bound("policy-limits.max-retry-after-ns", 0, LONGEST_NS),
+    private static final List<Bound> NUMBERS = List.of(
+            new Bound("round-ns", 1, LONGEST_NS),
+            new Bound("me", -1, MOST),
+            new Bound("n-instances", 0, MOST),
+            new Bound("family-info.mean-hold-ns", 0, LONGEST_NS),
+            new Bound("family-info.widths", 0, MOST),
+            new Bound("family-info.home-no", -1, MOST),
+            new Bound("family-info.release-ns", 0, LONGEST_NS),
+            new Bound("guarantees.warm-within-ns", 0, LONGEST_NS),
+            new Bound("guarantees.cold-share", 0, 1),
+            new Bound("guarantees.fall-multiple", 0, MOST),
+            new Bound("guarantees.fall-ns", 0, LONGEST_NS),
+            new Bound("guarantees.drain-grace-ns", 0, LONGEST_NS),
+            new Bound("guarantees.answer-slack-ns", 0, LONGEST_NS),
+            new Bound("policy-limits.send-cap", 0, MOST),
+            new Bound("policy-limits.max-open", 0, MOST),
+            new Bound("policy-limits.max-retry-after-ns", 0, LONGEST_NS),
             new Bound("policy-limits.connect-timeout-ns", 0, LONGEST_NS),
             new Bound("policy-limits.conn-idle-ns", 0, LONGEST_NS));
-    private static final List<Bound> OF_A_CLASS = List.of(new Bound("aim-ns", 0, LONGEST_NS),
-            new Bound("hard-limit-ns", 0, LONGEST_NS), new Bound("worth", 0, 1e12));
+    private static final List<Bound> OF_A_CLASS = List.of(
+            new Bound("aim-ns", 0, LONGEST_NS), new Bound("hard-limit-ns", 0, LONGEST_NS), new Bound("worth", 0, 1e12));
     private static final List<String> SWITCHES = List.of("cancel", "peers", "probes", "retry-after");
 
-    private Settings() {
-    }
+    private Settings() {}
 
     /** Throws where one is wrong; the text names its path and the reason. */
     static void check(Map<String, String> settings) throws IOException {
--- a/src/main/java/martenslip/platform/caller/Callers.java
+++ b/src/main/java/martenslip/platform/caller/Callers.java
@@ -7,10 +7,10 @@
 import java.net.SocketTimeoutException;
 import java.util.HashSet;
 import java.util.Map;
-import java.util.concurrent.RejectedExecutionException;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import martenslip.control.Moment;
@@ -37,6 +37,7 @@
 public final class Callers implements AutoCloseable {
     /** Greatest message of the platform, and room for a set-up of the usual size. */
     private static final int MOST_BYTES = 16 * 1024;
+
     private static final int FIRST_BYTES = 1024;
     private static final int STACK = 128 * 1024;
     private static final int BACKLOG = 512;
@@ -47,11 +48,13 @@
 
     /** A line is quiet that has brought nothing for so long: more than a reader may be late. */
     private static final long QUIET_NS = 400_000_000L;
+
     private static final int MOST_LOOKS = 16;
     private static final int WAIT_MS = 10;
     private static final int MOST_WAITS = 100;
     /** How often the accepting thread looks whether it is to end. */
     private static final int LOOK_MS = 250;
+
     private static final int LAST_LOOK_MS = 5;
 
     /** Takes what is fit; called by reading threads and may make them wait. */
@@ -74,6 +77,7 @@
         final AtomicInteger open = new AtomicInteger();
         /** Of the set-ups that are open: whether their caller has gone. One id names one of them. */
         final Map<String, Withdrawal> waiting = new ConcurrentHashMap<>();
+
         volatile long heardAt;
         volatile boolean good;
         int wrong;
@@ -153,7 +157,8 @@
         Line last = null;
         for (Line one : lines.values()) {
             boolean only = last != null && last.connection.number() == but;
-            if (one.good && (last == null || only || one.connection.number() != but && last.heardAt - one.heardAt < 0)) {
+            if (one.good
+                    && (last == null || only || one.connection.number() != but && last.heardAt - one.heardAt < 0)) {
                 last = one;
             }
         }
@@ -225,8 +230,15 @@
             return;
         }
         socket.setTcpNoDelay(true);
-        Connection connection = new Connection(++numbers, socket, (InetSocketAddress) socket.getRemoteSocketAddress(),
-                true, bounds, events, new Framer(MOST_BYTES, FIRST_BYTES, true), writers);
+        Connection connection = new Connection(
+                ++numbers,
+                socket,
+                (InetSocketAddress) socket.getRemoteSocketAddress(),
+                true,
+                bounds,
+                events,
+                new Framer(MOST_BYTES, FIRST_BYTES, true),
+                writers);
         lines.put(connection.number(), new Line(connection));
         begin(connection);
     }
@@ -279,8 +291,12 @@
             long now = System.nanoTime();
             Line worst = null;
             for (Line one : lines.values()) {
-                if (one.open.get() <= 0 && now - one.heardAt > QUIET_NS && !busy.contains(one) && (worst == null
-                        || worst.good && !one.good || worst.good == one.good && one.heardAt - worst.heardAt < 0)) {
+                if (one.open.get() <= 0
+                        && now - one.heardAt > QUIET_NS
+                        && !busy.contains(one)
+                        && (worst == null
+                                || worst.good && !one.good
+                                || worst.good == one.good && one.heardAt - worst.heardAt < 0)) {
                     worst = one;
                 }
             }
--- a/src/main/java/martenslip/platform/caller/Fit.java
+++ b/src/main/java/martenslip/platform/caller/Fit.java
@@ -47,13 +47,30 @@
         int skill = terms.skills().indexOf(String.valueOf(invite.headers().first("Call-Kind")));
         if (at != null) {
             // Of one that stands nothing else is needed.
-            return new SetUp(line, invite, tag, key, Math.max(0, skill), heardAt, Span.ZERO, 0, -1, 1, transit,
-                    again, at, "", caller);
+            return new SetUp(
+                    line,
+                    invite,
+                    tag,
+                    key,
+                    Math.max(0, skill),
+                    heardAt,
+                    Span.ZERO,
+                    0,
+                    -1,
+                    1,
+                    transit,
+                    again,
+                    at,
+                    "",
+                    caller);
         }
         if (skill < 0) {
             throw new Unfit("no such Call-Kind");
         }
-        double within = number(invite.headers().first("Answer-Within"), "Answer-Within", 1,
+        double within = number(
+                invite.headers().first("Answer-Within"),
+                "Answer-Within",
+                1,
                 2.0 * terms.patienceMost().ns() / 1e6);
         int destination = (int) number(figures.get("dest"), "dest", 0, MOST_NUMBER);
         int width = (int) number(figures.getOrDefault("width", "1"), "width", 1, MOST_WIDTH);
@@ -62,8 +79,22 @@
         if (description == null) {
             throw new Unfit("the description is no text");
         }
-        return new SetUp(line, invite, tag, key, skill, heardAt, Span.ofMillis(within), destination, hint, width,
-                transit, again, null, description, caller);
+        return new SetUp(
+                line,
+                invite,
+                tag,
+                key,
+                skill,
+                heardAt,
+                Span.ofMillis(within),
+                destination,
+                hint,
+                width,
+                transit,
+                again,
+                null,
+                description,
+                caller);
     }
 
     /** 16 hex digits. */
@@ -81,8 +112,7 @@
     }
 
     private static String key(String uri) throws Unfit {
-        String key = uri.startsWith("sip:") && uri.endsWith(NET)
-                ? uri.substring(4, uri.length() - NET.length()) : "";
+        String key = uri.startsWith("sip:") && uri.endsWith(NET) ? uri.substring(4, uri.length() - NET.length()) : "";
         if (!hex(key)) {
             throw new Unfit("the number called is none");
         }
--- a/src/main/java/martenslip/platform/caller/Utf8.java
+++ b/src/main/java/martenslip/platform/caller/Utf8.java
@@ -6,8 +6,7 @@
 
 /** Bytes that can go through JSON and come back the same. */
 final class Utf8 {
-    private Utf8() {
-    }
+    private Utf8() {}
 
     /** Null where the bytes are no text: JSON could not carry them unchanged. */
     static String text(byte[] bytes) {
@@ -21,7 +20,10 @@
 
     private static String decoded(byte[] bytes) {
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(bytes))
+                    .toString();
         } catch (CharacterCodingException e) {
             return null;
         }
--- a/src/main/java/martenslip/platform/desk/Desk.java
+++ b/src/main/java/martenslip/platform/desk/Desk.java
@@ -41,6 +41,7 @@
     private final Releases releases;
     /** Sizes of the groups as they were told last. */
     private final Map<Long, Integer> sizes = new HashMap<>();
+
     private final ArrayDeque<Consumer<Controller>> news = new ArrayDeque<>();
     private final Counts counts = new Counts();
     private Controller module;
@@ -120,8 +121,11 @@
         if (asked.standsAt() == null && (same != null || closing || byId.size() >= terms.mostOpen())) {
             counts.refusedUnseen++;
             out.settled(asked.line(), asked.tag());
-            out.toCaller(asked.line(), same != null ? Replies.plain(asked.invite(), 482, "Loop Detected")
-                    : Replies.deferred(asked.invite(), Span.ZERO));
+            out.toCaller(
+                    asked.line(),
+                    same != null
+                            ? Replies.plain(asked.invite(), 482, "Loop Detected")
+                            : Replies.deferred(asked.invite(), Span.ZERO));
             return;
         }
         if (asked.caller().made()) {
@@ -138,8 +142,17 @@
         Moment now = wheel.now();
         Span left = asked.patience().minus(now.since(asked.heardAt()).least(Span.ZERO));
         one.lastWord = wheel.at(LastWord.of(now, left.plus(terms.answerSlack())), () -> lastWord(one));
-        Contact contact = new Contact(one.id, asked.skill(), asked.dialled(), asked.destination(), asked.hint(),
-                asked.width(), left.least(Span.ZERO), false, asked.transit(), asked.again());
+        Contact contact = new Contact(
+                one.id,
+                asked.skill(),
+                asked.dialled(),
+                asked.destination(),
+                asked.hint(),
+                asked.width(),
+                left.least(Span.ZERO),
+                false,
+                asked.transit(),
+                asked.again());
         tell(to -> to.offered(wheel.now(), contact));
     }
 
@@ -194,8 +207,11 @@
         Taken early = byTag.get(bye.callId());
         boolean open = early != null && early.open && early.line == line;
         boolean stands = early != null && early.stands;
-        out.toCaller(line, open || stands ? Replies.plain(bye, 200, "OK")
-                : Replies.plain(bye, 481, "Call/Transaction Does Not Exist"));
+        out.toCaller(
+                line,
+                open || stands
+                        ? Replies.plain(bye, 200, "OK")
+                        : Replies.plain(bye, 481, "Call/Transaction Does Not Exist"));
         if (stands) {
             standing.releasedByCaller(early);
         } else if (open) {
@@ -282,8 +298,9 @@
 
     /** An answer counts for the attempt that is out; to one that was never written there is none. */
     private static boolean out(Taken one, long target) {
-        return one.attempt != null && one.attempt.target == target && (one.attempt.queued == null
-                || one.attempt.queued.message().written());
+        return one.attempt != null
+                && one.attempt.target == target
+                && (one.attempt.queued == null || one.attempt.queued.message().written());
     }
 
     public void load(long target, float[] report) {
@@ -304,8 +321,7 @@
     private float[] state(Taken one, Ended end, float[] report) {
         boolean full = end.cause() == Cause.NOT_SENT && end.blame() == Blame.NO_CIRCUIT;
         Integer size = sizes.get(one.attempt.target);
-        return full && report.length == 0 && size != null ? new float[] {one.asked.width() - 1, size}
-                : report;
+        return full && report.length == 0 && size != null ? new float[] {one.asked.width() - 1, size} : report;
     }
 
     /** A switch that has left the list for good; its number does not come again. */
@@ -318,8 +334,8 @@
         for (Taken one : List.copyOf(underWay.values())) {
             if (one.attempt.connection() == connection) {
                 boolean never = one.attempt.revoked();
-                attemptOver(one, !everUp ? Cause.UNREACHABLE : never ? Cause.NOT_SENT : Cause.CUT, Blame.NONE,
-                        NO_REPORT);
+                attemptOver(
+                        one, !everUp ? Cause.UNREACHABLE : never ? Cause.NOT_SENT : Cause.CUT, Blame.NONE, NO_REPORT);
             }
         }
     }
@@ -352,8 +368,8 @@
             return;
         }
         Span took = wheel.now().since(was.begun);
-        tell(to -> to.ringEnded(wheel.now(), new RingEnd(one.id, was.number, was.target, cause, Blame.NONE, took, true,
-                report)));
+        tell(to -> to.ringEnded(
+                wheel.now(), new RingEnd(one.id, was.number, was.target, cause, Blame.NONE, took, true, report)));
     }
 
     /**
@@ -385,8 +401,9 @@
         }
         counts.ended(cause, blame);
         Span took = wheel.now().since(attempt.begun);
-        tell(to -> to.ringEnded(wheel.now(), new RingEnd(one.id, attempt.number, attempt.target, cause, blame, took,
-                !one.open, report)));
+        tell(to -> to.ringEnded(
+                wheel.now(),
+                new RingEnd(one.id, attempt.number, attempt.target, cause, blame, took, !one.open, report)));
     }
 
     private void lastWord(Taken one) {
@@ -411,9 +428,18 @@
         counts.rings++;
         SetUp asked = one.asked;
         Moment until = wheel.now().plus(limit);
-        Queued queued = asked.caller().made() ? null : out.start(target, new Start(one.tag,
-                terms.skills().get(asked.skill()), one.key, asked.description(), until, asked.caller()),
-                () -> unsent(one, number));
+        Queued queued = asked.caller().made()
+                ? null
+                : out.start(
+                        target,
+                        new Start(
+                                one.tag,
+                                terms.skills().get(asked.skill()),
+                                one.key,
+                                asked.description(),
+                                until,
+                                asked.caller()),
+                        () -> unsent(one, number));
         Taken.Attempt attempt = new Taken.Attempt(number, target, queued, wheel.now());
         one.attempt = attempt;
         underWay.put(one.id, one);
@@ -448,7 +474,7 @@
         }
         Taken.Attempt attempt = one.attempt;
         if (!attempt.revoked()) {
-            out.finish(attempt.target, attempt.connection(), one.tag, Ended.NORMAL, () -> { });
+            out.finish(attempt.target, attempt.connection(), one.tag, Ended.NORMAL, () -> {});
         }
         attempt.givenUp = true;
         // Called within the module: how it ended is told after, when it is known whether the contact is over.
--- a/src/main/java/martenslip/platform/desk/Releases.java
+++ b/src/main/java/martenslip/platform/desk/Releases.java
@@ -13,6 +13,7 @@
 final class Releases {
     /** How often releases are said again to callers who were not heard to take them, and how often at most. */
     private static final Span AGAIN = Span.ofMillis(400);
+
     private static final int MOST_SAID = 6;
     private static final int MOST_RELEASES = 4096;
 
@@ -22,6 +23,7 @@
         final byte[] message;
         /** The connection that it was said on last; the next time another is taken, where there is one. */
         long line;
+
         int said;
 
         Release(String tag, byte[] message, long line) {
--- a/src/main/java/martenslip/platform/desk/Replies.java
+++ b/src/main/java/martenslip/platform/desk/Replies.java
@@ -7,8 +7,7 @@
 
 /** The messages that go to callers. */
 public final class Replies {
-    private Replies() {
-    }
+    private Replies() {}
 
     public static byte[] plain(Request request, int status, String reason) {
         return request.answer(status, reason, null).bytes();
@@ -30,7 +29,9 @@
 
     static byte[] release(String tag, String key, int cause) {
         Headers headers = new Headers();
-        headers.add("Via", "SIP/2.0/TCP controller").add("Call-ID", tag).add("CSeq", "2 BYE")
+        headers.add("Via", "SIP/2.0/TCP controller")
+                .add("Call-ID", tag)
+                .add("CSeq", "2 BYE")
                 .add("Reason", "Q.850;cause=" + cause);
         return new Request("BYE", "sip:" + key + "@net", headers).bytes();
     }
--- a/src/main/java/martenslip/platform/desk/SetUp.java
+++ b/src/main/java/martenslip/platform/desk/SetUp.java
@@ -9,9 +9,22 @@
  * {@code key} the number called as it was written, {@code standsAt} the switch where it stands already, or null,
  * {@code caller} whether it still waits for the answer.
  */
-public record SetUp(long line, Request invite, String tag, String key, int skill, Moment heardAt, Span patience,
-                    int destination, int hint, int width, boolean transit, boolean again, String standsAt,
-                    String description, Withdrawal caller) {
+public record SetUp(
+        long line,
+        Request invite,
+        String tag,
+        String key,
+        int skill,
+        Moment heardAt,
+        Span patience,
+        int destination,
+        int hint,
+        int width,
+        boolean transit,
+        boolean again,
+        String standsAt,
+        String description,
+        Withdrawal caller) {
     long dialled() {
         return Long.parseUnsignedLong(key, 16);
     }
--- a/src/main/java/martenslip/platform/desk/Standing.java
+++ b/src/main/java/martenslip/platform/desk/Standing.java
@@ -93,7 +93,7 @@
     }
 
     private void finish(Taken one) {
-        out.finish(one.attempt.target, one.attempt.connection(), one.tag, Ended.NORMAL, () -> { });
+        out.finish(one.attempt.target, one.attempt.connection(), one.tag, Ended.NORMAL, () -> {});
     }
 
     private void release(Taken one, int cause) {
--- a/src/main/java/martenslip/platform/desk/Terms.java
+++ b/src/main/java/martenslip/platform/desk/Terms.java
@@ -7,5 +7,4 @@
  * What the settings say that is no matter of decisions: names of skills in the order of their numbers, the most open
  * contacts, the longest patience of any skill, how late a final answer is still one.
  */
-public record Terms(List<String> skills, int mostOpen, Span patienceMost, Span answerSlack) {
-}
+public record Terms(List<String> skills, int mostOpen, Span patienceMost, Span answerSlack) {}
--- a/src/main/java/martenslip/platform/journal/Feed.java
+++ b/src/main/java/martenslip/platform/journal/Feed.java
@@ -23,6 +23,7 @@
     private static final int CONNECT_MS = 700;
     /** A comment is due each second. */
     private static final int SILENT_MS = 1600;
+
     private static final int MOST_LINE = 1 << 20;
     private static final Span FIRST_PAUSE = Span.ofMillis(50);
     private static final Span LONGEST_PAUSE = Span.ofMillis(400);
@@ -93,8 +94,10 @@
 
     /** True where anything at all was said. */
     private boolean read() throws IOException, InterruptedException {
-        HttpURLConnection http = (HttpURLConnection) URI.create("http://" + at.getAddress().getHostAddress() + ":"
-                + at.getPort() + "/journal").toURL().openConnection();
+        HttpURLConnection http = (HttpURLConnection)
+                URI.create("http://" + at.getAddress().getHostAddress() + ":" + at.getPort() + "/journal")
+                        .toURL()
+                        .openConnection();
         try {
             http.setConnectTimeout(CONNECT_MS);
             http.setReadTimeout(SILENT_MS);
--- a/src/main/java/martenslip/platform/journal/Journal.java
+++ b/src/main/java/martenslip/platform/journal/Journal.java
@@ -22,6 +22,7 @@
     private Feed newest;
     /** The one before, as long as the newest has not talked; or null. */
     private Feed before;
+
     private boolean newestTalked;
     private boolean closing;
     private volatile long position;
--- a/src/main/java/martenslip/platform/json/Addresses.java
+++ b/src/main/java/martenslip/platform/json/Addresses.java
@@ -6,8 +6,7 @@
 
 /** Addresses as the platform writes them: IPv4 and a port; names are never looked up. */
 public final class Addresses {
-    private Addresses() {
-    }
+    private Addresses() {}
 
     public static InetSocketAddress of(Object value, String where) throws IOException {
         String text = value instanceof String given ? given : "";
--- a/src/main/java/martenslip/platform/json/Json.java
+++ b/src/main/java/martenslip/platform/json/Json.java
@@ -13,13 +13,17 @@
 /** JSON into plain maps, lists, texts, numbers and truths, with bounds on depth and length. */
 public final class Json {
     private static final int MOST_DEPTH = 24;
-    public static final JsonFactory FACTORY = JsonFactory.builder().streamReadConstraints(StreamReadConstraints
-            .builder().maxNestingDepth(MOST_DEPTH).maxStringLength(1 << 16).maxNumberLength(40).build())
+    public static final JsonFactory FACTORY = JsonFactory.builder()
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(MOST_DEPTH)
+                    .maxStringLength(1 << 16)
+                    .maxNumberLength(40)
+                    .build())
             // Names of fields come from outside without end; kept for good they would be growth.
-            .disable(JsonFactory.Feature.INTERN_FIELD_NAMES).build();
+            .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
+            .build();
 
-    private Json() {
-    }
+    private Json() {}
 
     /** One whole value and nothing after it. */
     public static Object read(byte[] bytes) throws IOException {
@@ -57,7 +61,8 @@
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
-            default -> throw new IOException("no value at " + in.currentLocation().getColumnNr());
+            default ->
+                throw new IOException("no value at " + in.currentLocation().getColumnNr());
         };
     }
 
--- a/src/main/java/martenslip/platform/peer/Peers.java
+++ b/src/main/java/martenslip/platform/peer/Peers.java
@@ -29,8 +29,14 @@
     private final Drops drops;
     private final Heard heard;
 
-    public Peers(InetSocketAddress at, List<InetSocketAddress> peers, InetSocketAddress all, int own, Drops drops,
-                 Heard heard) throws IOException {
+    public Peers(
+            InetSocketAddress at,
+            List<InetSocketAddress> peers,
+            InetSocketAddress all,
+            int own,
+            Drops drops,
+            Heard heard)
+            throws IOException {
         this.peers = peers;
         this.all = all;
         this.own = own;
@@ -47,7 +53,8 @@
 
     /** Any thread; a note that is too long is not sent. */
     public void send(int peer, byte[] note) {
-        InetSocketAddress to = peer == Orders.ALL_PEERS ? all : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
+        InetSocketAddress to =
+                peer == Orders.ALL_PEERS ? all : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
         if (to == null || note.length > MOST_BYTES || note.length == 0) {
             drops.count("note not sent");
             return;
--- a/src/main/java/martenslip/platform/switchconnection/Load.java
+++ b/src/main/java/martenslip/platform/switchconnection/Load.java
@@ -9,8 +9,23 @@
  * never as 0. The wire may name a field by the simulator's word where the settings have the platform's.
  */
 public final class Load {
-    private static final Map<String, String> OTHER = Map.of("spare", "x0", "total", "x1", "allowed", "qps",
-            "cut_by", "eps", "depth", "queue", "concurrent", "inflight", "load_share", "util", "mean_ms", "latency_ms");
+    private static final Map<String, String> OTHER = Map.of(
+            "spare",
+            "x0",
+            "total",
+            "x1",
+            "allowed",
+            "qps",
+            "cut_by",
+            "eps",
+            "depth",
+            "queue",
+            "concurrent",
+            "inflight",
+            "load_share",
+            "util",
+            "mean_ms",
+            "latency_ms");
 
     private final Map<String, Integer> places = new HashMap<>();
     private final int count;
@@ -35,7 +50,8 @@
         boolean any = false;
         for (String one : text.split("[;,]")) {
             int colon = one.indexOf(':');
-            Integer place = colon < 0 ? null : places.get(one.substring(0, colon).trim());
+            Integer place =
+                    colon < 0 ? null : places.get(one.substring(0, colon).trim());
             if (place != null) {
                 values[place] = number(one.substring(colon + 1).trim(), absent(place));
                 any = true;
--- a/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
@@ -8,16 +8,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Supplier;
 import martenslip.control.Moment;
 import martenslip.control.Span;
+import martenslip.platform.desk.Start;
 import martenslip.pulse.Pulse;
 import martenslip.sip.transport.Bounds;
 import martenslip.sip.transport.Connection;
-import martenslip.platform.desk.Start;
 import martenslip.sip.transport.Drops;
 import martenslip.sip.transport.Outgoing;
 import martenslip.sip.transport.Queued;
@@ -63,9 +63,11 @@
     private static final Span LONGEST_PAUSE = Span.ofMillis(1000);
     /** A switch tells the state of its group before anything else: one that has not by then has none. */
     private static final Span TELLS = Span.ofMillis(150);
+
     private static final Span LOOK = Span.ofMillis(500);
     /** How long a release is kept for a further connection where nothing says that it was heard. */
     private static final Span UNHEARD = Span.ofMillis(4000);
+
     private static final int MOST_UNHEARD = 2048;
 
     private static final class Link {
@@ -73,6 +75,7 @@
         final Far far;
         /** Opened for a sign of life only, and ended once it has come up. */
         boolean asks;
+
         boolean up;
         Moment upAt;
         boolean told;
@@ -80,6 +83,7 @@
         volatile boolean first;
         /** The newest state that was read and not yet taken, or that is kept while another link's count. */
         final AtomicReference<byte[]> newest = new AtomicReference<>();
+
         volatile long readAt;
 
         Link(Connection connection, Far far) {
@@ -88,7 +92,7 @@
         }
     }
 
-    private record Unheard(int cause, Moment at) { }
+    private record Unheard(int cause, Moment at) {}
 
     private static final class Far {
         final long id;
@@ -99,6 +103,7 @@
         boolean drains;
         /** Listed and not draining; who writes looks at it. */
         volatile boolean takesNew = true;
+
         Span pause = Span.ZERO;
         boolean waiting;
         boolean failed;
@@ -126,8 +131,15 @@
     private boolean closing;
 
     /** {@code sockets} makes one not yet connected for each connection. */
-    public SwitchConnections(Bounds bounds, Supplier<Socket> sockets, Writers writers, Wheel wheel, Load loads,
-                             Drops drops, Turn turn, Heard heard) {
+    public SwitchConnections(
+            Bounds bounds,
+            Supplier<Socket> sockets,
+            Writers writers,
+            Wheel wheel,
+            Load loads,
+            Drops drops,
+            Turn turn,
+            Heard heard) {
         this.bounds = bounds;
         this.sockets = sockets;
         this.writers = writers;
@@ -194,9 +206,13 @@
      * it: the own exchange's switch has no group and says nothing. One that can't be reached is not waited for.
      */
     public boolean allTold() {
-        return fars.values().stream().allMatch(far -> !far.listed || far.failed
-                || far.links.stream().anyMatch(link -> link.told
-                || link.up && wheel.now().since(link.upAt).longerThan(TELLS)));
+        return fars.values().stream()
+                .allMatch(far -> !far.listed
+                        || far.failed
+                        || far.links.stream()
+                                .anyMatch(link -> link.told
+                                        || link.up
+                                                && wheel.now().since(link.upAt).longerThan(TELLS)));
     }
 
     public int count() {
@@ -205,8 +221,14 @@
 
     /** Connections that the switches of the list may need: to each, to one that takes its place, and one that asks. */
     public int needs() {
-        return (2 * EACH + 1) * (int) fars.values().stream().filter(far -> far.listed && !far.drains).count()
-                + EACH * (int) fars.values().stream().filter(far -> !far.listed || far.drains).count();
+        return (2 * EACH + 1)
+                        * (int) fars.values().stream()
+                                .filter(far -> far.listed && !far.drains)
+                                .count()
+                + EACH
+                        * (int) fars.values().stream()
+                                .filter(far -> !far.listed || far.drains)
+                                .count();
     }
 
     private void fill(Far far) {
@@ -218,8 +240,8 @@
     }
 
     private boolean open(Far far) {
-        Connection connection = new Connection(++numbers, sockets.get(), far.at, false, bounds, events,
-                new LineCutter(), writers);
+        Connection connection =
+                new Connection(++numbers, sockets.get(), far.at, false, bounds, events, new LineCutter(), writers);
         Link link = new Link(connection, far);
         links.put(connection.number(), link);
         far.links.add(link);
@@ -257,8 +279,8 @@
         if (far == null) {
             return null;
         }
-        Revocable message = new Revocable(SwitchSays.STARTS_AT_MOST + 2 * start.description().length(),
-                () -> due(far, start), () -> put(unsent));
+        Revocable message = new Revocable(
+                SwitchSays.STARTS_AT_MOST + 2 * start.description().length(), () -> due(far, start), () -> put(unsent));
         // The end of an earlier attempt must not be said again on a connection that comes up after this one.
         far.releases.remove(start.tag());
         for (boolean up : new boolean[] {true, false}) {
@@ -274,8 +296,10 @@
     /** What a set-up reads as when it is written, or null where there is nothing left to ask for. */
     private static byte[] due(Far far, Start start) {
         Moment now = new Moment(System.nanoTime());
-        return far.takesNew && start.due(now) ? SwitchSays.start(start.tag(), start.skill(),
-                start.left(now).ns() / 1_000_000, start.key(), start.description()) : null;
+        return far.takesNew && start.due(now)
+                ? SwitchSays.start(
+                        start.tag(), start.skill(), start.left(now).ns() / 1_000_000, start.key(), start.description())
+                : null;
     }
 
     /** {@code written} is run by the deciding thread once it has been written, or can't be any more. */
@@ -351,7 +375,6 @@
             drops.count("switch line over", why);
             put(() -> over(connection, why));
         }
-
     };
 
     private void put(Runnable what) {
@@ -393,7 +416,10 @@
             far.pulse.neverUp(wheel.now());
         }
         heard.connectionOver(far.id, connection.number(), connection.everUp());
-        if (connection.refused() && far.listed && !far.drains && far.links.stream().noneMatch(other -> other.up)) {
+        if (connection.refused()
+                && far.listed
+                && !far.drains
+                && far.links.stream().noneMatch(other -> other.up)) {
             heard.processOver(far.id);
         }
         if (told && !far.links.isEmpty()) {
@@ -432,10 +458,16 @@
         Far far = link.far;
         switch (says.verb()) {
             case "STARTED" -> heard.started(far.id, number, says.tag(), says.description());
-            case "FINISH" -> heard.ended(far.id, number, says.tag(), says.cause(), says.note(), link.first
-                    ? loads.read(says.load()) : loads.processor(says.load()));
+            case "FINISH" ->
+                heard.ended(
+                        far.id,
+                        number,
+                        says.tag(),
+                        says.cause(),
+                        says.note(),
+                        link.first ? loads.read(says.load()) : loads.processor(says.load()));
             case "FINISHED" -> far.releases.remove(says.tag());
-            case "PENDING", "ECHOED" -> { }
+            case "PENDING", "ECHOED" -> {}
             default -> {
                 drops.count("a switch's line of an unknown type");
                 link.connection.close("unknown type");
--- a/src/main/java/martenslip/platform/switchconnection/SwitchSays.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchSays.java
@@ -11,6 +11,7 @@
 record SwitchSays(String verb, String tag, String load, String note, int cause, String description) {
     /** All of a set-up toward a switch but its description: names of classes are short. */
     static final int STARTS_AT_MOST = 256;
+
     private static final byte[] STATE = "\"LOAD\"".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
 
     /** True where the type can only be the state of a group: a quote in a text is written with a stroke before it. */
@@ -75,19 +76,23 @@
     }
 
     static byte[] start(String tag, String skill, long leftMs, String key, String description) {
-        return line("START", tag, out -> {
-            out.writeStringField("class", skill);
-            out.writeStringField("key", key);
-            out.writeStringField("left", Long.toString(leftMs));
-        }, out -> out.writeStringField("blob", description));
+        return line(
+                "START",
+                tag,
+                out -> {
+                    out.writeStringField("class", skill);
+                    out.writeStringField("key", key);
+                    out.writeStringField("left", Long.toString(leftMs));
+                },
+                out -> out.writeStringField("blob", description));
     }
 
     static byte[] finish(String tag, int cause) {
-        return line("FINISH", tag, out -> { }, out -> out.writeNumberField("rc", cause));
+        return line("FINISH", tag, out -> {}, out -> out.writeNumberField("rc", cause));
     }
 
     static byte[] finished(String tag) {
-        return line("FINISHED", tag, out -> { }, out -> { });
+        return line("FINISHED", tag, out -> {}, out -> {});
     }
 
     private interface Part {
--- a/src/main/java/martenslip/play/Controllers.java
+++ b/src/main/java/martenslip/play/Controllers.java
@@ -23,6 +23,7 @@
 final class Controllers implements AutoCloseable {
     /** Figures of the day's rules that only whoever judges them needs. */
     private static final Set<String> JUDGED = Set.of("drain-grace-ms", "fall-ms");
+
     private static final long READY_SECONDS = 20;
 
     private final Day day;
@@ -61,7 +62,7 @@
     private static InetSocketAddress free(InetAddress host) throws IOException {
         for (int tries = 0; tries < 50; tries++) {
             try (ServerSocket tcp = new ServerSocket(0, 1, host);
-                 DatagramSocket udp = new DatagramSocket(new InetSocketAddress(host, tcp.getLocalPort()))) {
+                    DatagramSocket udp = new DatagramSocket(new InetSocketAddress(host, tcp.getLocalPort()))) {
                 return new InetSocketAddress(host, udp.getLocalPort());
             } catch (java.net.BindException e) {
                 continue;
@@ -86,40 +87,77 @@
         InetSocketAddress at = places.get(exchange);
         String service = office.getAddress().getHostAddress() + ":" + office.getPort();
         StringBuilder text = new StringBuilder();
-        text.append("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<exchange xmlns=\"urn:martenslip:exchange:1\" number=\"")
-                .append(exchange).append("\" region=\"").append(region(exchange)).append("\" seed=\"")
-                .append(day.seed() * 1000 + exchange).append("\">\n");
-        text.append("  <listen host=\"").append(at.getAddress().getHostAddress()).append("\" udp=\"").append(at.getPort())
-                .append("\" tcp=\"").append(at.getPort()).append("\"/>\n");
-        text.append("  <circuits uri=\"sip:circuits-").append(exchange).append('@').append(service).append("\"/>\n");
-        text.append("  <switch-list uri=\"sip:switches@").append(service).append("\" kept=\"kept-").append(exchange)
+        text.append(
+                        "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<exchange xmlns=\"urn:martenslip:exchange:1\" number=\"")
+                .append(exchange)
+                .append("\" region=\"")
+                .append(region(exchange))
+                .append("\" seed=\"")
+                .append(day.seed() * 1000 + exchange)
+                .append("\">\n");
+        text.append("  <listen host=\"")
+                .append(at.getAddress().getHostAddress())
+                .append("\" udp=\"")
+                .append(at.getPort())
+                .append("\" tcp=\"")
+                .append(at.getPort())
+                .append("\"/>\n");
+        text.append("  <circuits uri=\"sip:circuits-")
+                .append(exchange)
+                .append('@')
+                .append(service)
+                .append("\"/>\n");
+        text.append("  <switch-list uri=\"sip:switches@")
+                .append(service)
+                .append("\" kept=\"kept-")
+                .append(exchange)
                 .append(".xml\"/>\n  <regions>\n");
-        day.regions().forEach(name -> text.append("    <region name=\"").append(name).append("\"/>\n"));
+        day.regions()
+                .forEach(name -> text.append("    <region name=\"").append(name).append("\"/>\n"));
         text.append("  </regions>\n  <skills usual=\"").append(day.usual()).append("\">\n");
         day.skills().forEach(skill -> text.append("    ").append(line(skill)).append("\n"));
         text.append("  </skills>\n  <numbering>\n");
         for (int i = 0; i < day.exchanges(); i++) {
-            text.append("    <prefix digits=\"").append(prefix(i)).append("\" exchange=\"").append(i).append("\"/>\n");
+            text.append("    <prefix digits=\"")
+                    .append(prefix(i))
+                    .append("\" exchange=\"")
+                    .append(i)
+                    .append("\"/>\n");
         }
-        text.append("  </numbering>\n  <groups trunk-context=\"").append(day.groups().context()).append("\">\n");
+        text.append("  </numbering>\n  <groups trunk-context=\"")
+                .append(day.groups().context())
+                .append("\">\n");
         for (Plan.Group group : plan.of(exchange)) {
             int far = group.a() == exchange ? group.b() : group.a();
-            text.append("    <group name=\"").append(group.name()).append("\" far=\"").append(far)
-                    .append("\" circuits=\"").append(group.circuits()).append("\"/>\n");
+            text.append("    <group name=\"")
+                    .append(group.name())
+                    .append("\" far=\"")
+                    .append(far)
+                    .append("\" circuits=\"")
+                    .append(group.circuits())
+                    .append("\"/>\n");
         }
         text.append("  </groups>\n");
         for (Node node : List.of(day.limits(), day.rules(), day.reports())) {
             boolean limits = node == day.limits() && lanes > 0;
-            text.append("  <").append(node.name()).append(limits ? " lanes=\"" + lanes + "\"" : "")
-                    .append(node.attributes().entrySet().stream().filter(one -> !limits || !one.getKey().equals("lanes"))
-                    .filter(one -> !JUDGED.contains(one.getKey()))
-                    .map(one -> " " + one.getKey() + "=\"" + one.getValue() + "\"").collect(Collectors.joining()))
+            text.append("  <")
+                    .append(node.name())
+                    .append(limits ? " lanes=\"" + lanes + "\"" : "")
+                    .append(node.attributes().entrySet().stream()
+                            .filter(one -> !limits || !one.getKey().equals("lanes"))
+                            .filter(one -> !JUDGED.contains(one.getKey()))
+                            .map(one -> " " + one.getKey() + "=\"" + one.getValue() + "\"")
+                            .collect(Collectors.joining()))
                     .append("/>\n");
         }
         text.append("  <peers>\n");
         for (int i = 0; i < day.exchanges(); i++) {
             if (i != exchange) {
-                text.append("    <peer exchange=\"").append(i).append("\" uri=\"").append(uri(i)).append("\"/>\n");
+                text.append("    <peer exchange=\"")
+                        .append(i)
+                        .append("\" uri=\"")
+                        .append(uri(i))
+                        .append("\"/>\n");
             }
         }
         text.append("  </peers>\n</exchange>\n");
@@ -129,7 +167,8 @@
     private static String line(Skill skill) {
         return "<skill name=\"" + skill.name() + "\" value=\"" + skill.value() + "\" width=\"" + skill.width()
                 + "\" answer-target-ms=\"" + skill.answerTarget().ns() / 1e6 + "\" patience-ms=\""
-                + skill.patience().ns() / 1e6 + "\" mean-hold-ms=\"" + skill.meanHold().ns() / 1e6
+                + skill.patience().ns() / 1e6 + "\" mean-hold-ms=\""
+                + skill.meanHold().ns() / 1e6
                 + (skill.priority().isEmpty() ? "" : "\" resource-priority=\"" + skill.priority()) + "\"/>";
     }
 
@@ -151,10 +190,20 @@
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(options);
-        command.addAll(List.of("-XX:-UsePerfData", "-Dmartenslip.log=" + System.getProperty("martenslip.log", "INFO"),
-                "-cp", System.getProperty("java.class.path"), "martenslip.cli.Main", "run", "--planted", "--figures", "10",
+        command.addAll(List.of(
+                "-XX:-UsePerfData",
+                "-Dmartenslip.log=" + System.getProperty("martenslip.log", "INFO"),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "martenslip.cli.Main",
+                "run",
+                "--planted",
+                "--figures",
+                "10",
                 file(exchange).toString()));
-        Process process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.appendTo(log)).start();
+        Process process = new ProcessBuilder(command)
+                .redirectError(ProcessBuilder.Redirect.appendTo(log))
+                .start();
         processes.set(exchange, process);
         BufferedReader said = process.inputReader();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
@@ -172,8 +221,8 @@
     }
 
     private static void copy(BufferedReader from, Path to) {
-        try (var out = Files.newBufferedWriter(to, java.nio.file.StandardOpenOption.CREATE,
-                java.nio.file.StandardOpenOption.APPEND)) {
+        try (var out = Files.newBufferedWriter(
+                to, java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND)) {
             for (String line = from.readLine(); line != null; line = from.readLine()) {
                 out.write(line + "\n");
                 out.flush();
@@ -210,8 +259,13 @@
 
     /** CPU spent by the controllers that run. */
     double cpuSeconds() {
-        return processes.stream().filter(one -> one != null && one.isAlive())
-                .mapToDouble(one -> one.info().totalCpuDuration().map(span -> span.toNanos() / 1e9).orElse(0.0)).sum();
+        return processes.stream()
+                .filter(one -> one != null && one.isAlive())
+                .mapToDouble(one -> one.info()
+                        .totalCpuDuration()
+                        .map(span -> span.toNanos() / 1e9)
+                        .orElse(0.0))
+                .sum();
     }
 
     @Override
--- a/src/main/java/martenslip/play/CoresBench.java
+++ b/src/main/java/martenslip/play/CoresBench.java
@@ -35,13 +35,21 @@
     }
 
     /** Contacts for groups that are full: {@code tooMany} rings came where no circuit was left. */
-    public record Full(int lanes, long dialled, long stood, long refused, long urgent, long urgentRefused, long tooMany,
-                       double used) { }
+    public record Full(
+            int lanes,
+            long dialled,
+            long stood,
+            long refused,
+            long urgent,
+            long urgentRefused,
+            long tooMany,
+            double used) {}
 
     private static final int FAR = 8;
     private static final Span HOLD = Span.ofMillis(1000);
     /** Far past the 10 ms that are asked for: a shared machine alone may add as much. */
     private static final long MOST_MICROS = 250_000;
+
     private static final int SMALL = 60;
 
     private final Path folder;
@@ -68,8 +76,17 @@
                 for (int rate : rates) {
                     Row row = bench.row(rate);
                     rows.add(row);
-                    out.printf(Locale.ROOT, "%5d %10.0f %7d  %-7d %7.2f %7.2f %9.2f %17.3f%n", row.lanes, row.rate,
-                            row.stood, row.dialled, row.p50 / 1000.0, row.p99 / 1000.0, row.p999 / 1000.0, row.cpuMs);
+                    out.printf(
+                            Locale.ROOT,
+                            "%5d %10.0f %7d  %-7d %7.2f %7.2f %9.2f %17.3f%n",
+                            row.lanes,
+                            row.rate,
+                            row.stood,
+                            row.dialled,
+                            row.p50 / 1000.0,
+                            row.p99 / 1000.0,
+                            row.p999 / 1000.0,
+                            row.cpuMs);
                     out.flush();
                     if (!row.carried(MOST_MICROS)) {
                         break;
@@ -88,8 +105,17 @@
             try (Bench bench = new Bench(count, SMALL, 8)) {
                 Full row = bench.full(1.3 * FAR * SMALL / 1.375);
                 rows.add(row);
-                out.printf(Locale.ROOT, "%5d %8d %7d %8d %7d %16d %15d %13.1f%%%n", row.lanes, row.dialled, row.stood,
-                        row.refused, row.urgent, row.urgentRefused, row.tooMany, 100 * row.used);
+                out.printf(
+                        Locale.ROOT,
+                        "%5d %8d %7d %8d %7d %16d %15d %13.1f%%%n",
+                        row.lanes,
+                        row.dialled,
+                        row.stood,
+                        row.refused,
+                        row.urgent,
+                        row.urgentRefused,
+                        row.tooMany,
+                        100 * row.used);
             }
         }
         return rows;
@@ -130,10 +156,12 @@
             List<String> command = new ArrayList<>();
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
             command.addAll(options);
-            command.addAll(List.of("-cp", System.getProperty("java.class.path"), "martenslip.cli.Main", "run",
-                    file.toString()));
+            command.addAll(List.of(
+                    "-cp", System.getProperty("java.class.path"), "martenslip.cli.Main", "run", file.toString()));
             process = new ProcessBuilder(command)
-                    .redirectError(ProcessBuilder.Redirect.appendTo(folder.resolve("exchange.log").toFile())).start();
+                    .redirectError(ProcessBuilder.Redirect.appendTo(
+                            folder.resolve("exchange.log").toFile()))
+                    .start();
             at = ready();
             // Until the list and the circuits are there all would be refused.
             TimeUnit.MILLISECONDS.sleep(1500);
@@ -163,8 +191,13 @@
             for (int i = 0; i <= FAR; i++) {
                 prefixes.append(String.format("<prefix digits='+9155%02d' exchange='%d'/>", i, i));
                 if (i > 0) {
-                    groups.append("<group name='b-").append(i).append("' far='").append(i).append("' circuits='")
-                            .append(circuits).append("'/>");
+                    groups.append("<group name='b-")
+                            .append(i)
+                            .append("' far='")
+                            .append(i)
+                            .append("' circuits='")
+                            .append(circuits)
+                            .append("'/>");
                 }
             }
             return "<exchange xmlns='urn:martenslip:exchange:1' number='0' region='here' seed='7'><listen host='"
@@ -181,9 +214,12 @@
         }
 
         private Dialler dial(double rate, int forSeconds) throws IOException, InterruptedException {
-            Dialler.Plan plan = new Dialler.Plan(rate, Span.ofMillis(forSeconds * 1000.0), HOLD, "+9155", FAR,
-                    urgentEvery, "q735.1");
-            try (Dialler dialler = new Dialler(new InetSocketAddress(address(60), 0), at, plan,
+            Dialler.Plan plan = new Dialler.Plan(
+                    rate, Span.ofMillis(forSeconds * 1000.0), HOLD, "+9155", FAR, urgentEvery, "q735.1");
+            try (Dialler dialler = new Dialler(
+                    new InetSocketAddress(address(60), 0),
+                    at,
+                    plan,
                     "r" + runs + "x" + (long) rate + "x" + forSeconds)) {
                 dialler.run();
                 return dialler;
@@ -191,15 +227,24 @@
         }
 
         private double cpu() {
-            return process.info().totalCpuDuration().map(span -> span.toNanos() / 1e6).orElse(0.0);
+            return process.info()
+                    .totalCpuDuration()
+                    .map(span -> span.toNanos() / 1e6)
+                    .orElse(0.0);
         }
 
         Row row(double rate) throws IOException, InterruptedException {
             double before = cpu();
             Dialler done = dial(rate, seconds);
             Histogram took = done.took();
-            return new Row(lanes, rate, done.dialled(), done.stood(), took.getValueAtPercentile(50),
-                    took.getValueAtPercentile(99), took.getValueAtPercentile(99.9),
+            return new Row(
+                    lanes,
+                    rate,
+                    done.dialled(),
+                    done.stood(),
+                    took.getValueAtPercentile(50),
+                    took.getValueAtPercentile(99),
+                    took.getValueAtPercentile(99.9),
                     (cpu() - before) / Math.max(1, done.dialled()));
         }
 
@@ -222,8 +267,15 @@
             Dialler done = dial(rate, seconds);
             looks.join();
             long tooMany = mirrors.stream().mapToLong(Mirror::noCircuit).sum();
-            return new Full(lanes, done.dialled(), done.stood(), done.refused(), done.dialled() / urgentEvery,
-                    done.urgentRefused(), tooMany, (double) used[0] / Math.max(1, used[1]));
+            return new Full(
+                    lanes,
+                    done.dialled(),
+                    done.stood(),
+                    done.refused(),
+                    done.dialled() / urgentEvery,
+                    done.urgentRefused(),
+                    tooMany,
+                    (double) used[0] / Math.max(1, used[1]));
         }
 
         @Override
--- a/src/main/java/martenslip/play/Day.java
+++ b/src/main/java/martenslip/play/Day.java
@@ -15,19 +15,43 @@
 import martenslip.provision.Skill;
 
 /** A day file, checked whole. Times of troubles are spans from the first contact. */
-public record Day(String name, long seed, Span length, int exchanges, List<String> regions, List<Skill> skills,
-                  List<Double> shares, String usual, Traffic traffic, GroupPlan groups, Switches switches,
-                  Span same, Span cross, Set<Integer> overTcp, Span lag, Span silentLag, Node limits, Node rules,
-                  Node reports, List<Trouble> troubles) {
-    public record Traffic(double rate, int redials, Span redialAfter, double tryPart, double comeAgain, double drift,
-                          Span driftEvery, String prefix) { }
+public record Day(
+        String name,
+        long seed,
+        Span length,
+        int exchanges,
+        List<String> regions,
+        List<Skill> skills,
+        List<Double> shares,
+        String usual,
+        Traffic traffic,
+        GroupPlan groups,
+        Switches switches,
+        Span same,
+        Span cross,
+        Set<Integer> overTcp,
+        Span lag,
+        Span silentLag,
+        Node limits,
+        Node rules,
+        Node reports,
+        List<Trouble> troubles) {
+    public record Traffic(
+            double rate,
+            int redials,
+            Span redialAfter,
+            double tryPart,
+            double comeAgain,
+            double drift,
+            Span driftEvery,
+            String prefix) {}
 
-    public record GroupPlan(String context, double spare, double uneven, double unlinked) { }
+    public record GroupPlan(String context, double spare, double uneven, double unlinked) {}
 
-    public record Switches(double use, Span mostWait, double coldFrom, Span warm, Span reportEvery, double noise) { }
+    public record Switches(double use, Span mostWait, double coldFrom, Span warm, Span reportEvery, double noise) {}
 
     /** {@code span} is zero where it has none; {@code said} has the rest. */
-    public record Trouble(String kind, Span at, Span span, List<Integer> exchanges, int region, Node said) { }
+    public record Trouble(String kind, Span at, Span span, List<Integer> exchanges, int region, Node said) {}
 
     private static final Sheet SHEET = Sheet.of("day.xsd");
 
@@ -43,12 +67,19 @@
 
     private static Day of(Node root, List<Fault> faults) {
         int exchanges = root.integer("exchanges");
-        List<String> regions = root.child("regions").children().stream().map(one -> one.text("name")).toList();
+        List<String> regions = root.child("regions").children().stream()
+                .map(one -> one.text("name"))
+                .toList();
         List<Skill> skills = new ArrayList<>();
         List<Double> shares = new ArrayList<>();
         for (Node node : root.child("skills").children()) {
-            skills.add(new Skill(node.text("name"), node.decimal("value"), node.integer("width"),
-                    node.ms("answer-target-ms"), node.ms("patience-ms"), node.ms("mean-hold-ms"),
+            skills.add(new Skill(
+                    node.text("name"),
+                    node.decimal("value"),
+                    node.integer("width"),
+                    node.ms("answer-target-ms"),
+                    node.ms("patience-ms"),
+                    node.ms("mean-hold-ms"),
                     node.text("resource-priority").toLowerCase(java.util.Locale.ROOT)));
             shares.add(node.decimal("share"));
         }
@@ -64,31 +95,65 @@
                 faults.add(node.fault("region", "no region is called " + node.text("region")));
             }
             need(node, faults);
-            troubles.add(new Trouble(node.name(), node.ms("at").times(1000),
-                    node.has("for") ? node.ms("for").times(1000) : Span.ZERO, which, region, node));
+            troubles.add(new Trouble(
+                    node.name(),
+                    node.ms("at").times(1000),
+                    node.has("for") ? node.ms("for").times(1000) : Span.ZERO,
+                    which,
+                    region,
+                    node));
         }
-        return new Day(root.text("name"), Long.parseLong(root.text("seed")), root.ms("seconds").times(1000),
-                exchanges, regions, skills, shares, root.child("skills").text("usual"),
-                new Traffic(traffic.decimal("contacts-per-second"), traffic.integer("redials"),
-                        traffic.ms("redial-after-ms"), traffic.decimal("try-part"), traffic.decimal("come-again"),
-                        traffic.decimal("drift"), traffic.ms("drift-every-ms"), traffic.text("prefix")),
-                new GroupPlan(groups.text("trunk-context"), groups.decimal("spare"), groups.decimal("uneven"),
+        return new Day(
+                root.text("name"),
+                Long.parseLong(root.text("seed")),
+                root.ms("seconds").times(1000),
+                exchanges,
+                regions,
+                skills,
+                shares,
+                root.child("skills").text("usual"),
+                new Traffic(
+                        traffic.decimal("contacts-per-second"),
+                        traffic.integer("redials"),
+                        traffic.ms("redial-after-ms"),
+                        traffic.decimal("try-part"),
+                        traffic.decimal("come-again"),
+                        traffic.decimal("drift"),
+                        traffic.ms("drift-every-ms"),
+                        traffic.text("prefix")),
+                new GroupPlan(
+                        groups.text("trunk-context"),
+                        groups.decimal("spare"),
+                        groups.decimal("uneven"),
                         groups.decimal("unlinked")),
-                new Switches(processor.decimal("use"), processor.ms("most-wait-ms"), processor.decimal("cold-from"),
-                        processor.ms("warm-ms"), processor.ms("report-every-ms"), processor.decimal("report-noise")),
-                network.ms("same-ms"), network.ms("cross-ms"),
-                new TreeSet<>(numbers(network, "tcp-exchanges", exchanges, faults)), root.child("list").ms("lag-ms"),
-                root.child("list").ms("silent-lag-ms"), root.child("limits"), root.child("rules"),
-                root.child("reports"), troubles);
+                new Switches(
+                        processor.decimal("use"),
+                        processor.ms("most-wait-ms"),
+                        processor.decimal("cold-from"),
+                        processor.ms("warm-ms"),
+                        processor.ms("report-every-ms"),
+                        processor.decimal("report-noise")),
+                network.ms("same-ms"),
+                network.ms("cross-ms"),
+                new TreeSet<>(numbers(network, "tcp-exchanges", exchanges, faults)),
+                root.child("list").ms("lag-ms"),
+                root.child("list").ms("silent-lag-ms"),
+                root.child("limits"),
+                root.child("rules"),
+                root.child("reports"),
+                troubles);
     }
 
     private static List<Integer> numbers(Node node, String attribute, int exchanges, List<Fault> faults) {
         if (!node.has(attribute) || node.text(attribute).isEmpty()) {
             return List.of();
         }
-        List<Integer> all = Arrays.stream(node.text(attribute).split("\\s+")).map(Integer::valueOf).toList();
-        all.stream().filter(one -> one >= exchanges).forEach(one ->
-                faults.add(node.fault(attribute, "there is no exchange " + one)));
+        List<Integer> all = Arrays.stream(node.text(attribute).split("\\s+"))
+                .map(Integer::valueOf)
+                .toList();
+        all.stream()
+                .filter(one -> one >= exchanges)
+                .forEach(one -> faults.add(node.fault(attribute, "there is no exchange " + one)));
         return all;
     }
 
@@ -106,7 +171,8 @@
             case "wear", "cut" -> List.of("part");
             default -> List.of("exchanges");
         };
-        needed.stream().filter(one -> !node.has(one)).forEach(one ->
-                faults.add(node.fault("a " + node.name() + " needs " + one)));
+        needed.stream()
+                .filter(one -> !node.has(one))
+                .forEach(one -> faults.add(node.fault("a " + node.name() + " needs " + one)));
     }
 }
--- a/src/main/java/martenslip/play/Plan.java
+++ b/src/main/java/martenslip/play/Plan.java
@@ -13,7 +13,7 @@
 /** Where contacts go and how large the groups are, drawn for a day from its seed. */
 public final class Plan {
     /** A group between two exchanges, {@code a} the lower number. */
-    public record Group(String name, int a, int b, int circuits) { }
+    public record Group(String name, int a, int b, int circuits) {}
 
     private final double[][] weights;
     private final List<Group> groups = new ArrayList<>();
@@ -67,8 +67,14 @@
         thinFirst.sort(Comparator.comparingDouble(Map.Entry::getValue));
         int unlinked = (int) (thinFirst.size() * day.groups().unlinked());
         // What pairs without a group carry goes over others, so these get room for it.
-        double without = thinFirst.stream().limit(unlinked).mapToDouble(Map.Entry::getValue).sum();
-        double with = thinFirst.stream().skip(unlinked).mapToDouble(Map.Entry::getValue).sum();
+        double without = thinFirst.stream()
+                .limit(unlinked)
+                .mapToDouble(Map.Entry::getValue)
+                .sum();
+        double with = thinFirst.stream()
+                .skip(unlinked)
+                .mapToDouble(Map.Entry::getValue)
+                .sum();
         double further = 1 + 2 * without / with;
         thinFirst.stream().skip(unlinked).forEach(one -> {
             double load = one.getValue() * further * (1 + day.groups().spare());
@@ -100,6 +106,8 @@
     }
 
     public List<Group> of(int exchange) {
-        return groups.stream().filter(group -> group.a() == exchange || group.b() == exchange).toList();
+        return groups.stream()
+                .filter(group -> group.a() == exchange || group.b() == exchange)
+                .toList();
     }
 }
--- a/src/main/java/martenslip/play/Play.java
+++ b/src/main/java/martenslip/play/Play.java
@@ -46,7 +46,7 @@
         int disorderly;
         boolean fell;
         try (Controllers controllers = new Controllers(day, plan, folder, options, lanes);
-             World world = new World(day, plan, controllers, capture)) {
+                World world = new World(day, plan, controllers, capture)) {
             begin(controllers, world);
             double before = controllers.cpuSeconds();
             world.callers().begin();
@@ -80,8 +80,8 @@
             world.controllerUp(i);
         }
         world.office().lag(day.lag());
-        out.println("day " + day.name() + ": " + day.exchanges() + " exchanges, " + day.traffic().rate()
-                + " contacts a second, " + day.length().ns() / SECOND + " s; kept in " + folder);
+        out.println("day " + day.name() + ": " + day.exchanges() + " exchanges, "
+                + day.traffic().rate() + " contacts a second, " + day.length().ns() / SECOND + " s; kept in " + folder);
         TimeUnit.MILLISECONDS.sleep(SUBSCRIBE_MS);
     }
 
@@ -114,8 +114,15 @@
                 wanted += row.wanted();
                 served += row.of(Tally.End.IN_TARGET);
             }
-            out.printf(Locale.ROOT, "%5d s  wanted %d, in target %d, standing %d, circuits used %d, waits ms%s%n", second, wanted,
-                    served, world.callers().standing(), world.trunks().used(), world.waits());
+            out.printf(
+                    Locale.ROOT,
+                    "%5d s  wanted %d, in target %d, standing %d, circuits used %d, waits ms%s%n",
+                    second,
+                    wanted,
+                    served,
+                    world.callers().standing(),
+                    world.trunks().used(),
+                    world.waits());
         });
     }
 
@@ -132,19 +139,47 @@
     private void table(World world, double cpu) throws InterruptedException {
         CompletableFuture<Void> printed = new CompletableFuture<>();
         world.callers().look(tally -> {
-            out.printf(Locale.ROOT, "%-14s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s%n", "skill", "wanted",
-                    "tries", "in-tgt", "late", "deferred", "abandnd", "gave-up", "no-answ", "cut", "p50-ms", "p99-ms",
+            out.printf(
+                    Locale.ROOT,
+                    "%-14s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s%n",
+                    "skill",
+                    "wanted",
+                    "tries",
+                    "in-tgt",
+                    "late",
+                    "deferred",
+                    "abandnd",
+                    "gave-up",
+                    "no-answ",
+                    "cut",
+                    "p50-ms",
+                    "p99-ms",
                     "p99.9-ms");
             for (Map.Entry<String, Tally.Row> one : tally.rows().entrySet()) {
                 Tally.Row row = one.getValue();
-                out.printf(Locale.ROOT, "%-14s %8d %8d %8d %8d %8d %8d %8d %8d %8d %8.1f %8.1f %8.1f%n", one.getKey(),
-                        row.wanted(), row.tries(), row.of(Tally.End.IN_TARGET), row.of(Tally.End.LATE),
-                        row.of(Tally.End.DEFERRED), row.of(Tally.End.ABANDONED), row.of(Tally.End.GAVE_UP),
-                        row.of(Tally.End.NO_ANSWER), row.of(Tally.End.CUT), row.setUpMs(50), row.setUpMs(99),
+                out.printf(
+                        Locale.ROOT,
+                        "%-14s %8d %8d %8d %8d %8d %8d %8d %8d %8d %8.1f %8.1f %8.1f%n",
+                        one.getKey(),
+                        row.wanted(),
+                        row.tries(),
+                        row.of(Tally.End.IN_TARGET),
+                        row.of(Tally.End.LATE),
+                        row.of(Tally.End.DEFERRED),
+                        row.of(Tally.End.ABANDONED),
+                        row.of(Tally.End.GAVE_UP),
+                        row.of(Tally.End.NO_ANSWER),
+                        row.of(Tally.End.CUT),
+                        row.setUpMs(50),
+                        row.setUpMs(99),
                         row.setUpMs(99.9));
             }
-            long tries = tally.rows().values().stream().mapToLong(Tally.Row::tries).sum();
-            out.printf(Locale.ROOT, "controllers: %.1f s of CPU since the first contact, %.3f ms a try%n", cpu,
+            long tries =
+                    tally.rows().values().stream().mapToLong(Tally.Row::tries).sum();
+            out.printf(
+                    Locale.ROOT,
+                    "controllers: %.1f s of CPU since the first contact, %.3f ms a try%n",
+                    cpu,
                     cpu * 1000 / Math.max(1, tries));
             printed.complete(null);
         });
--- a/src/main/java/martenslip/play/Troubles.java
+++ b/src/main/java/martenslip/play/Troubles.java
@@ -17,7 +17,7 @@
     }
 
     /** One deed; {@code at} counts from the first contact. */
-    record Deed(Span at, String what, Does does) { }
+    record Deed(Span at, String what, Does does) {}
 
     private final World world;
     private final Controllers controllers;
@@ -38,37 +38,68 @@
     private void add(Day.Trouble trouble) {
         Node said = trouble.said();
         switch (trouble.kind()) {
-            case "burst" -> both(trouble, () -> world.callers().times(said.decimal("times")),
-                    () -> world.callers().times(1));
-            case "hot-caller" -> both(trouble,
-                    () -> world.callers().hot(trouble.exchanges().get(0), said.decimal("part")),
-                    () -> world.callers().hot(0, -1));
-            case "slow" -> each(trouble, one -> world.machine(one).slow(said.decimal("times")),
-                    one -> world.machine(one).slow(1));
-            case "hang" -> each(trouble, one -> world.machine(one).silent(true),
-                    one -> world.machine(one).silent(false));
-            case "circuits-lost" -> both(trouble, () -> world.circuits(trouble.region(), said.decimal("part")),
-                    () -> world.circuits(trouble.region(), 1));
-            case "region-cut" -> both(trouble, () -> world.network().cut(trouble.region()),
-                    () -> world.network().cut(-1));
+            case "burst" ->
+                both(
+                        trouble,
+                        () -> world.callers().times(said.decimal("times")),
+                        () -> world.callers().times(1));
+            case "hot-caller" ->
+                both(
+                        trouble,
+                        () -> world.callers().hot(trouble.exchanges().get(0), said.decimal("part")),
+                        () -> world.callers().hot(0, -1));
+            case "slow" ->
+                each(
+                        trouble,
+                        one -> world.machine(one).slow(said.decimal("times")),
+                        one -> world.machine(one).slow(1));
+            case "hang" ->
+                each(
+                        trouble,
+                        one -> world.machine(one).silent(true),
+                        one -> world.machine(one).silent(false));
+            case "circuits-lost" ->
+                both(
+                        trouble,
+                        () -> world.circuits(trouble.region(), said.decimal("part")),
+                        () -> world.circuits(trouble.region(), 1));
+            case "region-cut" ->
+                both(
+                        trouble,
+                        () -> world.network().cut(trouble.region()),
+                        () -> world.network().cut(-1));
             case "drain" -> each(trouble, world::drain, world::drained);
-            case "list-late" -> both(trouble, () -> world.office().late(said.ms("late-ms")),
-                    () -> world.office().late(Span.ZERO));
+            case "list-late" ->
+                both(
+                        trouble,
+                        () -> world.office().late(said.ms("late-ms")),
+                        () -> world.office().late(Span.ZERO));
             case "restart" -> each(trouble, world::down, world::upCold);
             case "kill" -> each(trouble, this::kill, this::back);
-            case "wear" -> both(trouble, () -> world.network().wear(wear(said)),
-                    () -> world.network().wear(Network.Wear.NONE));
-            case "reset" -> each(trouble, this::reset, one -> { });
-            case "stall" -> trouble.exchanges().forEach(one -> deeds.add(new Deed(trouble.at(), "stall " + one, () ->
-                    controllers.stall(one, said.integer("lane"), trouble.span(), said.has("amid") ? said.text("amid") : ""))));
-            case "cut" -> both(trouble, () -> world.callers().cutSome(said.decimal("part")), () -> { });
+            case "wear" ->
+                both(
+                        trouble,
+                        () -> world.network().wear(wear(said)),
+                        () -> world.network().wear(Network.Wear.NONE));
+            case "reset" -> each(trouble, this::reset, one -> {});
+            case "stall" ->
+                trouble.exchanges()
+                        .forEach(one -> deeds.add(new Deed(
+                                trouble.at(),
+                                "stall " + one,
+                                () -> controllers.stall(
+                                        one,
+                                        said.integer("lane"),
+                                        trouble.span(),
+                                        said.has("amid") ? said.text("amid") : ""))));
+            case "cut" -> both(trouble, () -> world.callers().cutSome(said.decimal("part")), () -> {});
             default -> throw new IllegalStateException("a trouble that the schema knows alone: " + trouble.kind());
         }
     }
 
     private static Network.Wear wear(Node said) {
-        return new Network.Wear(said.decimal("part"), said.decimal("copies", 0),
-                Span.ofMillis(said.decimal("reorder-ms", 0)));
+        return new Network.Wear(
+                said.decimal("part"), said.decimal("copies", 0), Span.ofMillis(said.decimal("reorder-ms", 0)));
     }
 
     private void kill(int exchange) throws IOException, InterruptedException {
@@ -116,7 +147,9 @@
         for (int exchange : trouble.exchanges()) {
             deeds.add(new Deed(trouble.at(), trouble.kind() + " " + exchange, () -> begin.run(exchange)));
             if (trouble.span().longerThan(Span.ZERO)) {
-                deeds.add(new Deed(trouble.at().plus(trouble.span()), trouble.kind() + " " + exchange + " ends",
+                deeds.add(new Deed(
+                        trouble.at().plus(trouble.span()),
+                        trouble.kind() + " " + exchange + " ends",
                         () -> end.run(exchange)));
             }
         }
