--- a/src/main/java/martenslip/play/World.java
+++ b/src/main/java/martenslip/play/World.java
@@ -56,18 +56,33 @@
         office = new Office(network.wire("office", -1), trunks, day.regions(), day.exchanges(), Span.ZERO);
         office.open(address(3, 1));
         Day.Traffic traffic = day.traffic();
-        callers = new Callers(new Callers.Ways(traffic.rate(), day.skills(), day.shares(), traffic.redials(),
-                traffic.redialAfter(), traffic.tryPart(), traffic.comeAgain(), traffic.driftEvery(),
-                traffic.drift(), traffic.prefix()), plan.weights(), this::machineHop,
-                martenslip.sip.transport.Gate.OPEN, day.seed() + 5);
+        callers = new Callers(
+                new Callers.Ways(
+                        traffic.rate(),
+                        day.skills(),
+                        day.shares(),
+                        traffic.redials(),
+                        traffic.redialAfter(),
+                        traffic.tryPart(),
+                        traffic.comeAgain(),
+                        traffic.driftEvery(),
+                        traffic.drift(),
+                        traffic.prefix()),
+                plan.weights(),
+                this::machineHop,
+                martenslip.sip.transport.Gate.OPEN,
+                day.seed() + 5);
         callers.open(address(4, 1));
         rules();
     }
 
     private void rules() {
-        capture.fact("rules", "release-ms=" + day.rules().text("release-ms") + " drain-grace-ms="
-                + day.rules().text("drain-grace-ms") + " fall-multiple=" + day.rules().text("fall-multiple")
-                + " fall-ms=" + day.rules().text("fall-ms"));
+        capture.fact(
+                "rules",
+                "release-ms=" + day.rules().text("release-ms") + " drain-grace-ms="
+                        + day.rules().text("drain-grace-ms") + " fall-multiple="
+                        + day.rules().text("fall-multiple")
+                        + " fall-ms=" + day.rules().text("fall-ms"));
     }
 
     private static InetAddress address(int third, int fourth) throws IOException {
@@ -98,17 +113,31 @@
             widths.put(skill.priority(), skill.width());
         }
         Day.Switches switches = day.switches();
-        Processor.Make processor = new Processor.Make(plan.unit(), switches.mostWait(), switches.coldFrom(),
-                switches.warm(), day.rules().decimal("fall-multiple"), day.rules().ms("fall-ms"));
-        Machine.Make make = new Machine.Make(exchange, regionOf(exchange), processor, switches.reportEvery(),
-                switches.noise(), numbering, widths, day.seed() * 31 + number,
+        Processor.Make processor = new Processor.Make(
+                plan.unit(),
+                switches.mostWait(),
+                switches.coldFrom(),
+                switches.warm(),
+                day.rules().decimal("fall-multiple"),
+                day.rules().ms("fall-ms"));
+        Machine.Make make = new Machine.Make(
+                exchange,
+                regionOf(exchange),
+                processor,
+                switches.reportEvery(),
+                switches.noise(),
+                numbering,
+                widths,
+                day.seed() * 31 + number,
                 day.reports().text("fields").contains("allowed"));
         Network.Wire wire = network.wire("switch-" + exchange + "-" + number, regionOf(exchange));
         Machine machine = new Machine(make, trunks, wire, controllers.hop(exchange), cold);
         machine.open(address(2, number));
         InetSocketAddress at = machine.at(kind(exchange));
-        capture.fact("machine", "local=switch-" + exchange + "-" + number + " number=" + exchange + " at="
-                + at.getAddress().getHostAddress() + ":" + at.getPort());
+        capture.fact(
+                "machine",
+                "local=switch-" + exchange + "-" + number + " number=" + exchange + " at="
+                        + at.getAddress().getHostAddress() + ":" + at.getPort());
         Machine before = machines.getAndSet(exchange, machine);
         wires.set(exchange, wire);
         if (cold) {
@@ -120,19 +149,28 @@
     private void coldFact(int exchange) {
         Machine machine = machines.get(exchange);
         InetSocketAddress at = machine.at(kind(exchange));
-        capture.fact("cold", "at=" + at.getAddress().getHostAddress() + ":" + at.getPort() + " capacity="
-                + machine.capacity() + " from=" + day.switches().coldFrom() + " warm-ms="
-                + day.switches().warm().ns() / 1e6);
+        capture.fact(
+                "cold",
+                "at=" + at.getAddress().getHostAddress() + ":" + at.getPort() + " capacity="
+                        + machine.capacity() + " from=" + day.switches().coldFrom() + " warm-ms="
+                        + day.switches().warm().ns() / 1e6);
     }
 
     void list(int exchange, Machine machine, SwitchLine.State state, boolean started, Span further) {
-        office.change(exchange, regionOf(exchange), machine.at(kind(exchange)), kind(exchange), state,
-                started ? new Moment(System.nanoTime()) : null, further);
+        office.change(
+                exchange,
+                regionOf(exchange),
+                machine.at(kind(exchange)),
+                kind(exchange),
+                state,
+                started ? new Moment(System.nanoTime()) : null,
+                further);
     }
 
     void controllerUp(int exchange) throws IOException {
-        capture.fact("controller", "number=" + exchange + " host=" + Controllers.host(exchange).getHostAddress()
-                + " state=up");
+        capture.fact(
+                "controller",
+                "number=" + exchange + " host=" + Controllers.host(exchange).getHostAddress() + " state=up");
     }
 
     /** The controller has been killed: what it held goes with it. */
--- a/src/main/java/martenslip/proof/AddedDelay.java
+++ b/src/main/java/martenslip/proof/AddedDelay.java
@@ -61,7 +61,8 @@
         try {
             if (message instanceof Request request) {
                 invite(at, in, remote, request);
-            } else if (message instanceof Response response && response.status() == 200
+            } else if (message instanceof Response response
+                    && response.status() == 200
                     && response.cseq().method().equals("INVITE")) {
                 ok(at, in, remote, response);
             }
@@ -124,9 +125,14 @@
     }
 
     private static void line(PrintStream out, String name, Histogram histogram) {
-        out.printf(Locale.ROOT, "%-16s n=%d p50=%.2f ms p99=%.2f ms p99.9=%.2f ms max=%.2f ms%n", name,
-                histogram.getTotalCount(), histogram.getValueAtPercentile(50) / 1000.0,
-                histogram.getValueAtPercentile(99) / 1000.0, histogram.getValueAtPercentile(99.9) / 1000.0,
+        out.printf(
+                Locale.ROOT,
+                "%-16s n=%d p50=%.2f ms p99=%.2f ms p99.9=%.2f ms max=%.2f ms%n",
+                name,
+                histogram.getTotalCount(),
+                histogram.getValueAtPercentile(50) / 1000.0,
+                histogram.getValueAtPercentile(99) / 1000.0,
+                histogram.getValueAtPercentile(99.9) / 1000.0,
                 histogram.getMaxValue() / 1000.0);
     }
 }
--- a/src/main/java/martenslip/proof/CaptureFile.java
+++ b/src/main/java/martenslip/proof/CaptureFile.java
@@ -24,8 +24,7 @@
         void fact(Moment at, String kind, Map<String, String> words);
     }
 
-    private CaptureFile() {
-    }
+    private CaptureFile() {}
 
     public static void read(Path file, Reader reader) throws IOException {
         try (InputStream in = new BufferedInputStream(Files.newInputStream(file), 1 << 20)) {
--- a/src/main/java/martenslip/proof/Drains.java
+++ b/src/main/java/martenslip/proof/Drains.java
@@ -15,7 +15,7 @@
 final class Drains {
     private static final Sheet SHEET = Sheet.of("switches.xsd");
 
-    private record Told(boolean ready, long version, Moment at) { }
+    private record Told(boolean ready, long version, Moment at) {}
 
     private final Map<String, Told> told = new HashMap<>();
     private final List<String> broken = new ArrayList<>();
@@ -55,8 +55,8 @@
             return;
         }
         if (at.since(last.at).longerThan(grace)) {
-            broken.add("controller " + controller + ": ring to " + to + " " + at.since(last.at).ns() / 1_000_000
-                    + " ms after it was told, Call-ID " + invite.callId());
+            broken.add("controller " + controller + ": ring to " + to + " "
+                    + at.since(last.at).ns() / 1_000_000 + " ms after it was told, Call-ID " + invite.callId());
         }
     }
 
--- a/src/main/java/martenslip/proof/FinalAnswers.java
+++ b/src/main/java/martenslip/proof/FinalAnswers.java
@@ -63,10 +63,15 @@
         }
         String exact = invite.headers().first("Martenslip-Patience");
         String whole = invite.headers().first("Expires");
-        Span patience = Span.ofMillis(exact != null ? Double.parseDouble(exact)
-                : whole != null ? Double.parseDouble(whole) * 1000 : 1e9);
-        asked.putIfAbsent(invite.via().branch(),
-                new Asked(at, controller, patience, String.valueOf(invite.headers().first("Session-ID"))));
+        Span patience = Span.ofMillis(
+                exact != null ? Double.parseDouble(exact) : whole != null ? Double.parseDouble(whole) * 1000 : 1e9);
+        asked.putIfAbsent(
+                invite.via().branch(),
+                new Asked(
+                        at,
+                        controller,
+                        patience,
+                        String.valueOf(invite.headers().first("Session-ID"))));
     }
 
     void answered(Moment at, int controller, Response response) throws BadValue {
@@ -121,8 +126,9 @@
 
     /** What was handed to a connection as it was reset may never have left it. */
     private boolean mayNotHaveArrived(Asked one) {
-        return resets.getOrDefault(one.controller, List.of()).stream().anyMatch(reset -> reset.end != null
-                && reset.begin.before(one.at.plus(UNSENT)) && !reset.end.before(one.at));
+        return resets.getOrDefault(one.controller, List.of()).stream()
+                .anyMatch(reset ->
+                        reset.end != null && reset.begin.before(one.at.plus(UNSENT)) && !reset.end.before(one.at));
     }
 
     private boolean excused(Asked one) {
@@ -138,10 +144,9 @@
             if (one.answer == null && !excused(one)) {
                 broken.add("contact " + one.session + " at controller " + one.controller + ": no final answer within "
                         + ms(one.patience) + " ms of " + one.at.ns());
-            } else if (one.answer != null
-                    && one.answeredAt.since(one.at).longerThan(one.patience.plus(SLACK))) {
-                broken.add("contact " + one.session + " at controller " + one.controller + ": " + one.answer
-                        + " after " + ms(one.answeredAt.since(one.at)) + " ms, patience " + ms(one.patience));
+            } else if (one.answer != null && one.answeredAt.since(one.at).longerThan(one.patience.plus(SLACK))) {
+                broken.add("contact " + one.session + " at controller " + one.controller + ": " + one.answer + " after "
+                        + ms(one.answeredAt.since(one.at)) + " ms, patience " + ms(one.patience));
             }
         }
         return new Verdict(1, "one final answer in time", asked.size(), broken);
--- a/src/main/java/martenslip/proof/Proof.java
+++ b/src/main/java/martenslip/proof/Proof.java
@@ -40,12 +40,18 @@
             case "resetting" -> answers.resetting(Integer.parseInt(words.get("number")), at);
             case "reset" -> answers.reset(Integer.parseInt(words.get("number")), at);
             case "machine" -> machines.put(words.get("local"), words.get("at"));
-            case "cold" -> cold.started(words.get("at"), at, Double.parseDouble(words.get("capacity")),
-                    Double.parseDouble(words.get("from")), Span.ofMillis(Double.parseDouble(words.get("warm-ms"))));
+            case "cold" ->
+                cold.started(
+                        words.get("at"),
+                        at,
+                        Double.parseDouble(words.get("capacity")),
+                        Double.parseDouble(words.get("from")),
+                        Span.ofMillis(Double.parseDouble(words.get("warm-ms"))));
             case "rules" -> {
                 rings.release(Span.ofMillis(Double.parseDouble(words.get("release-ms"))));
                 drains.grace(Span.ofMillis(Double.parseDouble(words.get("drain-grace-ms"))));
-                cold.budget(Double.parseDouble(words.get("fall-multiple")),
+                cold.budget(
+                        Double.parseDouble(words.get("fall-multiple")),
                         Span.ofMillis(Double.parseDouble(words.get("fall-ms"))));
             }
             default -> {
@@ -104,7 +110,8 @@
         Request request = (Request) message;
         if (request.is("INVITE") && request.to().tag().isEmpty()) {
             answers.taken(at, controller, request);
-        } else if (request.is("NOTIFY") && "martenslip-switches".equals(request.headers().first("Event"))) {
+        } else if (request.is("NOTIFY")
+                && "martenslip-switches".equals(request.headers().first("Event"))) {
             drains.told(at, controller, request.body());
         }
     }
--- a/src/main/java/martenslip/proof/Rings.java
+++ b/src/main/java/martenslip/proof/Rings.java
@@ -51,7 +51,8 @@
 
         /** It may still hold something: it was cancelled, timed out or reset, or nothing was ever heard. */
         boolean held() {
-            return cancelledAt != null && (finalAt == null || cancelledAt.before(finalAt)) || finalAt == null
+            return cancelledAt != null && (finalAt == null || cancelledAt.before(finalAt))
+                    || finalAt == null
                     || timedOut;
         }
     }
@@ -90,8 +91,8 @@
         }
         Moment end = answered.get(contact);
         if (end != null && end.plus(SLACK).before(at)) {
-            twoOut.add("contact " + contact + ": ring to " + to + " " + at.since(end).ns() / 1_000_000
-                    + " ms after its final answer, Call-ID " + ring.callId);
+            twoOut.add("contact " + contact + ": ring to " + to + " "
+                    + at.since(end).ns() / 1_000_000 + " ms after its final answer, Call-ID " + ring.callId);
         }
         before.add(ring);
         return true;
@@ -104,7 +105,8 @@
         Ring last = rings == null ? ring : rings.get(rings.size() - 1);
         Moment end = answered.get(contact);
         boolean beside = last != ring && last.first.plus(ON_ITS_WAY).before(at);
-        boolean after = end != null && ring.finalAt == null && end.plus(ON_ITS_WAY).before(at);
+        boolean after =
+                end != null && ring.finalAt == null && end.plus(ON_ITS_WAY).before(at);
         if (beside || after) {
             twoOut.add("contact " + contact + ": ring to " + ring.to + " of " + ring.first.ns() + " sent again at "
                     + at.ns() + (beside ? " beside a later one" : " after its final answer") + ", Call-ID "
@@ -118,7 +120,8 @@
             twoOut.add("contact " + contact + ": ring to " + ring.to + " at " + at.ns() + " while one to " + before.to
                     + " of " + before.first.ns() + " is out, Call-IDs " + before.callId + " and " + ring.callId);
         } else if (before.held() && at.since(end).plus(SLACK).compareTo(release) < 0) {
-            tooSoon.add("contact " + contact + ": ring to " + ring.to + " " + at.since(end).ns() / 1_000_000
+            tooSoon.add("contact " + contact + ": ring to " + ring.to + " "
+                    + at.since(end).ns() / 1_000_000
                     + " ms after one to " + before.to + " was given up, Call-IDs " + before.callId + " and "
                     + ring.callId);
         }
--- a/src/main/java/martenslip/provision/Prefixes.java
+++ b/src/main/java/martenslip/provision/Prefixes.java
@@ -50,8 +50,11 @@
 
     /** A prefix that leads to the exchange, or null: the first in the order of their text. */
     public String leadingTo(int exchange) {
-        return given.entrySet().stream().filter(one -> one.getValue() == exchange).map(one -> one.getKey())
-                .findFirst().orElse(null);
+        return given.entrySet().stream()
+                .filter(one -> one.getValue() == exchange)
+                .map(one -> one.getKey())
+                .findFirst()
+                .orElse(null);
     }
 
     /** All exchanges that some prefix leads to. */
@@ -77,8 +80,10 @@
 
     /** Prefixes that change nothing, as a shorter one leads to the same exchange. */
     public List<String> redundant() {
-        return given.entrySet().stream().filter(one -> upTo(one.getKey(), one.getKey().length() - 1) == one.getValue())
-                .map(one -> one.getKey()).toList();
+        return given.entrySet().stream()
+                .filter(one -> upTo(one.getKey(), one.getKey().length() - 1) == one.getValue())
+                .map(one -> one.getKey())
+                .toList();
     }
 
     /** Prefixes that no number of further digits meets, as longer ones take each digit that may follow. */
--- a/src/main/java/martenslip/provision/Sheet.java
+++ b/src/main/java/martenslip/provision/Sheet.java
@@ -113,7 +113,7 @@
     }
 
     /** A parser and a validator cost more to make than a short text costs to read, so they are used again. */
-    private record Tools(XMLReader reader, ValidatorHandler validator) { }
+    private record Tools(XMLReader reader, ValidatorHandler validator) {}
 
     private synchronized Tools take() {
         Tools kept = idle.poll();
--- a/src/main/java/martenslip/provision/Site.java
+++ b/src/main/java/martenslip/provision/Site.java
@@ -12,18 +12,34 @@
  * One exchange as its file describes it, checked whole. {@code groups} and {@code peers} are by the number of
  * the far exchange; {@code udp} and {@code tcp} are null where that listener is not wanted.
  */
-public record Site(int number, int region, long seed, InetSocketAddress udp, InetSocketAddress tcp, Hop circuits,
-                   String circuitsUri, Hop list, String listUri, Path kept, List<String> regions,
-                   List<Skill> skills, int usual, Prefixes numbering, String trunkContext,
-                   Map<Integer, Group> groups, Limits limits, RuleFigures rules, List<String> reports,
-                   Map<Integer, Peer> peers) {
-    public record Group(String name, int far, int circuits) { }
+public record Site(
+        int number,
+        int region,
+        long seed,
+        InetSocketAddress udp,
+        InetSocketAddress tcp,
+        Hop circuits,
+        String circuitsUri,
+        Hop list,
+        String listUri,
+        Path kept,
+        List<String> regions,
+        List<Skill> skills,
+        int usual,
+        Prefixes numbering,
+        String trunkContext,
+        Map<Integer, Group> groups,
+        Limits limits,
+        RuleFigures rules,
+        List<String> reports,
+        Map<Integer, Peer> peers) {
+    public record Group(String name, int far, int circuits) {}
 
-    public record Limits(int mostRings, int mostOpen, Span comeBack, Span silence, int lanes) { }
+    public record Limits(int mostRings, int mostOpen, Span comeBack, Span silence, int lanes) {}
 
-    public record RuleFigures(Span release, double coldShare, Span warmWithin, double fallMultiple) { }
+    public record RuleFigures(Span release, double coldShare, Span warmWithin, double fallMultiple) {}
 
-    public record Peer(int exchange, String uri, Hop hop) { }
+    public record Peer(int exchange, String uri, Hop hop) {}
 
     /** The module's plain map of names to values. {@code round} is how late a clock may be heard. */
     public Map<String, String> settings(Span round) {
@@ -37,7 +53,9 @@
         }
         map.put("family-info.home-no", "" + number);
         map.put("family-info.release-ns", "" + rules.release().ns());
-        map.put("family-info.mean-hold-ns", joined(skills.stream().map(skill -> skill.meanHold().ns()).toList()));
+        map.put(
+                "family-info.mean-hold-ns",
+                joined(skills.stream().map(skill -> skill.meanHold().ns()).toList()));
         map.put("family-info.widths", joined(skills.stream().map(Skill::width).toList()));
         map.put("guarantees.cold-share", "" + rules.coldShare());
         map.put("guarantees.warm-within-ns", "" + rules.warmWithin().ns());
--- a/src/main/java/martenslip/provision/SiteFile.java
+++ b/src/main/java/martenslip/provision/SiteFile.java
@@ -71,16 +71,36 @@
         Map<Integer, Site.Peer> peers = peers(number);
         Node limits = root.child("limits");
         Node rules = root.child("rules");
-        return new Site(number, region, seed(), udp, tcp, hop(root.child("circuits"), "uri"),
-                root.child("circuits").text("uri"), hop(root.child("switch-list"), "uri"),
-                root.child("switch-list").text("uri"), beside.resolve(root.child("switch-list").text("kept")),
-                regions, skills, usual, numbering(), root.child("groups").text("trunk-context"), groups,
-                new Site.Limits(limits.integer("most-rings"), limits.integer("most-open"),
-                        limits.ms("come-back-ms"), limits.ms("silence-ms"),
+        return new Site(
+                number,
+                region,
+                seed(),
+                udp,
+                tcp,
+                hop(root.child("circuits"), "uri"),
+                root.child("circuits").text("uri"),
+                hop(root.child("switch-list"), "uri"),
+                root.child("switch-list").text("uri"),
+                beside.resolve(root.child("switch-list").text("kept")),
+                regions,
+                skills,
+                usual,
+                numbering(),
+                root.child("groups").text("trunk-context"),
+                groups,
+                new Site.Limits(
+                        limits.integer("most-rings"),
+                        limits.integer("most-open"),
+                        limits.ms("come-back-ms"),
+                        limits.ms("silence-ms"),
                         limits.has("lanes") ? limits.integer("lanes") : 1),
-                new Site.RuleFigures(rules.ms("release-ms"), rules.decimal("cold-share"),
-                        rules.ms("warm-within-ms"), rules.decimal("fall-multiple")),
-                List.of(root.child("reports").text("fields").split("\\s+")), peers);
+                new Site.RuleFigures(
+                        rules.ms("release-ms"),
+                        rules.decimal("cold-share"),
+                        rules.ms("warm-within-ms"),
+                        rules.decimal("fall-multiple")),
+                List.of(root.child("reports").text("fields").split("\\s+")),
+                peers);
     }
 
     private long seed() {
@@ -123,8 +143,14 @@
             unique(!names.add(node.text("name")), node, "name", "skill");
             String priority = node.text("resource-priority").toLowerCase(java.util.Locale.ROOT);
             unique(!priority.isEmpty() && !priorities.add(priority), node, "resource-priority", "priority");
-            Skill skill = new Skill(node.text("name"), node.decimal("value"), node.integer("width"),
-                    node.ms("answer-target-ms"), node.ms("patience-ms"), node.ms("mean-hold-ms"), priority);
+            Skill skill = new Skill(
+                    node.text("name"),
+                    node.decimal("value"),
+                    node.integer("width"),
+                    node.ms("answer-target-ms"),
+                    node.ms("patience-ms"),
+                    node.ms("mean-hold-ms"),
+                    priority);
             if (skill.answerTarget().longerThan(skill.patience())) {
                 faults.add(node.fault("answer-target-ms", "longer than the patience"));
             }
--- a/src/main/java/martenslip/pulse/Pulse.java
+++ b/src/main/java/martenslip/pulse/Pulse.java
@@ -13,10 +13,15 @@
  */
 public final class Pulse {
     /** What is to be done now. */
-    public enum Sign { WELL, ASK, OVER }
+    public enum Sign {
+        WELL,
+        ASK,
+        OVER
+    }
 
     /** Two missed seconds of an ordinary switch's states, and time left for a second question. */
     static final Span ASK_AFTER = Span.ofMillis(3000);
+
     static final Span ASK_AGAIN = Span.ofMillis(1000);
     /** Under the 8 s by what a look, a connection's limit and the release's way may take. */
     static final Span OVER_AFTER = Span.ofMillis(6300);
--- a/src/main/java/martenslip/roll/Afloat.java
+++ b/src/main/java/martenslip/roll/Afloat.java
@@ -19,7 +19,7 @@
     /** How old a notice may be when it is read: two turns of a busy thread and a way between regions. */
     public static final Span SETTLE = Span.ofMillis(30);
 
-    private record Ring(int number, int width, Moment until) { }
+    private record Ring(int number, int width, Moment until) {}
 
     private final Map<Integer, Map<Long, Ring>> byFar = new HashMap<>();
 
@@ -53,7 +53,7 @@
             return 0;
         }
         int all = 0;
-        for (Iterator<Ring> each = rings.values().iterator(); each.hasNext();) {
+        for (Iterator<Ring> each = rings.values().iterator(); each.hasNext(); ) {
             Ring ring = each.next();
             if (ring.until != null && !now.before(ring.until)) {
                 each.remove();
--- a/src/main/java/martenslip/roll/LastWord.java
+++ b/src/main/java/martenslip/roll/LastWord.java
@@ -11,8 +11,7 @@
     /** Half a round of the module: after its own last moment, and with room for a turn that is busy. */
     private static final Span BEFORE = Span.ofMillis(12);
 
-    private LastWord() {
-    }
+    private LastWord() {}
 
     public static Moment of(Moment taken, Span patience) {
         return taken.plus(patience.minus(BEFORE).least(Span.ZERO));
--- a/src/main/java/martenslip/roll/Roll.java
+++ b/src/main/java/martenslip/roll/Roll.java
@@ -28,8 +28,15 @@
      * What a lane holds of a contact: when it was taken, how many rings it had, the one that is out or stands, or -1,
      * and when the last one ended that may still hold something, or null.
      */
-    public record Held(Contact contact, Moment at, int rings, int out, long target, boolean stood, boolean answered,
-                       Moment heldUntil) { }
+    public record Held(
+            Contact contact,
+            Moment at,
+            int rings,
+            int out,
+            long target,
+            boolean stood,
+            boolean answered,
+            Moment heldUntil) {}
 
     /** What the roll orders beside the module. */
     public interface Lanes {
@@ -43,6 +50,7 @@
         final Moment at;
         /** Rings below this number were another module's. */
         int base;
+
         int next;
         int live = -1;
         long target;
@@ -61,14 +69,14 @@
         }
     }
 
-    private record Later(long contact, Moment at, long order) { }
+    private record Later(long contact, Moment at, long order) {}
 
     private final Controller module;
     private final Span release;
     private final Lanes lanes;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
-    private final PriorityQueue<Later> later = new PriorityQueue<>(
-            Comparator.comparing(Later::at).thenComparing(Later::order));
+    private final PriorityQueue<Later> later =
+            new PriorityQueue<>(Comparator.comparing(Later::at).thenComparing(Later::order));
     private long orders;
 
     /** {@code release} is how long nothing is sent for a contact after a ring that may still hold something. */
@@ -149,8 +157,17 @@
         boolean foreign = entry.foreign();
         entry.live = -1;
         if (!foreign) {
-            module.ringEnded(now, new RingEnd(end.contact(), end.ring() - entry.base, end.target(), end.cause(),
-                    end.blame(), end.took(), end.answered(), end.report()));
+            module.ringEnded(
+                    now,
+                    new RingEnd(
+                            end.contact(),
+                            end.ring() - entry.base,
+                            end.target(),
+                            end.cause(),
+                            end.blame(),
+                            end.took(),
+                            end.answered(),
+                            end.report()));
         } else if (!entry.answered) {
             offerLater(entry, mayHold(end.cause()) ? now.plus(release) : now);
         }
@@ -222,8 +239,17 @@
 
     private void over(Moment now, Entry entry, Cause cause) {
         if (entry.live >= 0) {
-            ended(now, new RingEnd(entry.contact.id(), entry.live, entry.target, cause, Blame.NONE, Span.ZERO,
-                    entry.answered, new float[0]));
+            ended(
+                    now,
+                    new RingEnd(
+                            entry.contact.id(),
+                            entry.live,
+                            entry.target,
+                            cause,
+                            Blame.NONE,
+                            Span.ZERO,
+                            entry.answered,
+                            new float[0]));
         }
     }
 
@@ -266,8 +292,19 @@
                 continue;
             }
             entry.known = true;
-            module.offered(now, new Contact(was.id(), was.skill(), was.dialled(), was.destination(), was.hint(),
-                    was.width(), left, was.redial(), was.inTransit(), was.cutBefore()));
+            module.offered(
+                    now,
+                    new Contact(
+                            was.id(),
+                            was.skill(),
+                            was.dialled(),
+                            was.destination(),
+                            was.hint(),
+                            was.width(),
+                            left,
+                            was.redial(),
+                            was.inTransit(),
+                            was.cutBefore()));
         }
     }
 }
--- a/src/main/java/martenslip/signal/Fields.java
+++ b/src/main/java/martenslip/signal/Fields.java
@@ -7,6 +7,5 @@
     /** {@code redial} or {@code cut} on a try that follows another. */
     public static final String AGAIN = "Martenslip-Again";
 
-    private Fields() {
-    }
+    private Fields() {}
 }
--- a/src/main/java/martenslip/signal/Load.java
+++ b/src/main/java/martenslip/signal/Load.java
@@ -24,9 +24,13 @@
             String algorithm = via.unquoted("oc-algo");
             double oc = number(via.get("oc"));
             boolean stands = algorithm != null && oc >= 0 && number(via.get("oc-validity")) != 0;
-            return new Load(stands && algorithm.equals("rate") ? oc : -1,
-                    stands && algorithm.equals("loss") ? Math.min(1, oc / 100) : -1, number(own.get("depth")),
-                    number(own.get("wait")), (int) number(own.get("spare")), (int) number(own.get("total")));
+            return new Load(
+                    stands && algorithm.equals("rate") ? oc : -1,
+                    stands && algorithm.equals("loss") ? Math.min(1, oc / 100) : -1,
+                    number(own.get("depth")),
+                    number(own.get("wait")),
+                    (int) number(own.get("spare")),
+                    (int) number(own.get("total")));
         } catch (BadValue e) {
             return NONE;
         }
@@ -42,9 +46,13 @@
         if (via.params().has("oc") && (allowed >= 0 || cutBy >= 0)) {
             boolean rate = allowed >= 0;
             long oc = Math.round(rate ? allowed : cutBy * 100);
-            response.headers().set("Via", via.with("oc", Long.toString(oc))
-                    .with("oc-algo", rate ? "\"rate\"" : "\"loss\"").with("oc-validity", Long.toString(validMs))
-                    .with("oc-seq", sequence));
+            response.headers()
+                    .set(
+                            "Via",
+                            via.with("oc", Long.toString(oc))
+                                    .with("oc-algo", rate ? "\"rate\"" : "\"loss\"")
+                                    .with("oc-validity", Long.toString(validMs))
+                                    .with("oc-seq", sequence));
         }
         StringBuilder own = new StringBuilder();
         add(own, "depth", depth);
@@ -64,7 +72,9 @@
     private static void add(StringBuilder text, String name, double value) {
         if (value >= 0) {
             boolean whole = value == Math.rint(value);
-            text.append(text.isEmpty() ? "" : ";").append(name).append('=')
+            text.append(text.isEmpty() ? "" : ";")
+                    .append(name)
+                    .append('=')
                     .append(whole ? Long.toString((long) value) : String.format(java.util.Locale.ROOT, "%.2f", value));
         }
     }
@@ -75,13 +85,14 @@
         values[0] = total < 0 ? spareKnown : spare;
         values[1] = total < 0 ? totalKnown : total;
         for (int i = 0; i < fields.size(); i++) {
-            values[2 + i] = (float) switch (fields.get(i)) {
-                case "allowed" -> allowed;
-                case "cut_by" -> cutBy;
-                case "depth" -> depth;
-                case "mean_ms" -> meanMs;
-                default -> -1;
-            };
+            values[2 + i] = (float)
+                    switch (fields.get(i)) {
+                        case "allowed" -> allowed;
+                        case "cut_by" -> cutBy;
+                        case "depth" -> depth;
+                        case "mean_ms" -> meanMs;
+                        default -> -1;
+                    };
         }
         return values;
     }
--- a/src/main/java/martenslip/signal/Neighbour.java
+++ b/src/main/java/martenslip/signal/Neighbour.java
@@ -5,5 +5,4 @@
 import martenslip.sip.transport.Hop;
 
 /** A switch of the list with the place where it is reached. */
-public record Neighbour(SwitchLine line, SipUri uri, Hop hop) {
-}
+public record Neighbour(SwitchLine line, SipUri uri, Hop hop) {}
--- a/src/main/java/martenslip/signal/Release.java
+++ b/src/main/java/martenslip/signal/Release.java
@@ -35,8 +35,8 @@
                     String cause = params.get("cause");
                     String location = params.get("location");
                     if (Digits.only(cause, 3)) {
-                        return new Release(Integer.parseInt(cause),
-                                location == null ? "" : location.toUpperCase(Locale.ROOT));
+                        return new Release(
+                                Integer.parseInt(cause), location == null ? "" : location.toUpperCase(Locale.ROOT));
                     }
                 } catch (BadValue e) {
                     return null;
--- a/src/main/java/martenslip/signal/SwitchText.java
+++ b/src/main/java/martenslip/signal/SwitchText.java
@@ -28,11 +28,11 @@
     public static final String TYPE = "application/martenslip+xml";
     private static final Sheet SHEET = Sheet.of("switches.xsd");
 
-    public record Lines(long version, boolean full, List<Neighbour> lines) { }
+    public record Lines(long version, boolean full, List<Neighbour> lines) {}
 
-    public record GroupState(String name, int total, int free) { }
+    public record GroupState(String name, int total, int free) {}
 
-    public record Groups(long version, boolean full, List<GroupState> groups) { }
+    public record Groups(long version, boolean full, List<GroupState> groups) {}
 
     private final List<String> regions;
     private final Moment start;
@@ -57,10 +57,18 @@
                 default -> SwitchLine.State.GONE;
             };
             Moment started = node.has("started") ? moment(node.text("started")) : null;
-            lines.add(new Neighbour(new SwitchLine(id(hop.address()), node.integer("number"), state, started,
-                    regions.indexOf(node.text("region"))), uri, hop));
+            lines.add(new Neighbour(
+                    new SwitchLine(
+                            id(hop.address()),
+                            node.integer("number"),
+                            state,
+                            started,
+                            regions.indexOf(node.text("region"))),
+                    uri,
+                    hop));
         }
-        return new Lines(Long.parseLong(root.text("version")), root.text("extent").equals("full"), lines);
+        return new Lines(
+                Long.parseLong(root.text("version")), root.text("extent").equals("full"), lines);
     }
 
     public Groups groups(byte[] body) throws Rejected, BadValue {
@@ -69,7 +77,8 @@
         for (Node node : root.children()) {
             groups.add(new GroupState(node.text("name"), node.integer("total"), node.integer("free")));
         }
-        return new Groups(Long.parseLong(root.text("version")), root.text("extent").equals("full"), groups);
+        return new Groups(
+                Long.parseLong(root.text("version")), root.text("extent").equals("full"), groups);
     }
 
     private static Node root(byte[] body, String name) throws Rejected, BadValue {
@@ -101,11 +110,19 @@
         StringBuilder text = open("switches", lines.version(), lines.full());
         for (Neighbour one : lines.lines()) {
             SwitchLine line = one.line();
-            text.append("<switch uri=\"").append(escaped(one.uri().toString())).append("\" number=\"")
-                    .append(line.number()).append("\" region=\"").append(regionName(line.zone()))
-                    .append("\" state=\"").append(line.state().name().toLowerCase(Locale.ROOT)).append('"');
+            text.append("<switch uri=\"")
+                    .append(escaped(one.uri().toString()))
+                    .append("\" number=\"")
+                    .append(line.number())
+                    .append("\" region=\"")
+                    .append(regionName(line.zone()))
+                    .append("\" state=\"")
+                    .append(line.state().name().toLowerCase(Locale.ROOT))
+                    .append('"');
             if (line.started() != null) {
-                text.append(" started=\"").append(startWall.plusNanos(line.started().since(start).ns())).append('"');
+                text.append(" started=\"")
+                        .append(startWall.plusNanos(line.started().since(start).ns()))
+                        .append('"');
             }
             text.append("/>\n");
         }
@@ -119,15 +136,25 @@
     public byte[] write(Groups groups) {
         StringBuilder text = open("circuits", groups.version(), groups.full());
         for (GroupState group : groups.groups()) {
-            text.append("<group name=\"").append(escaped(group.name())).append("\" total=\"").append(group.total())
-                    .append("\" free=\"").append(group.free()).append("\"/>\n");
+            text.append("<group name=\"")
+                    .append(escaped(group.name()))
+                    .append("\" total=\"")
+                    .append(group.total())
+                    .append("\" free=\"")
+                    .append(group.free())
+                    .append("\"/>\n");
         }
         return text.append("</circuits>\n").toString().getBytes(StandardCharsets.UTF_8);
     }
 
     private static StringBuilder open(String name, long version, boolean full) {
-        return new StringBuilder("<").append(name).append(" xmlns=\"urn:martenslip:switches:1\" version=\"")
-                .append(version).append("\" extent=\"").append(full ? "full" : "partial").append("\">\n");
+        return new StringBuilder("<")
+                .append(name)
+                .append(" xmlns=\"urn:martenslip:switches:1\" version=\"")
+                .append(version)
+                .append("\" extent=\"")
+                .append(full ? "full" : "partial")
+                .append("\">\n");
     }
 
     private static String escaped(String text) {
--- a/src/main/java/martenslip/sip/Endpoint.java
+++ b/src/main/java/martenslip/sip/Endpoint.java
@@ -36,22 +36,26 @@
     private final Consumer<Throwable> faults;
     private Calls calls;
     private First first = (message, from) -> false;
-    private Runnable after = () -> { };
+    private Runnable after = () -> {};
 
     public Endpoint(String name, Bounds bounds, Gate gate, Consumer<Throwable> faults) {
         this.faults = faults;
         loop = new EventLoop(name, INBOX);
-        transport = new Transport(name, bounds, new Sink() {
-            @Override
-            public boolean offer(Arrival arrival) {
-                return loop.offer(arrival);
-            }
-
-            @Override
-            public void put(Arrival arrival) throws InterruptedException {
-                loop.put(arrival, () -> drops().count("waited for the inbox"));
-            }
-        }, gate);
+        transport = new Transport(
+                name,
+                bounds,
+                new Sink() {
+                    @Override
+                    public boolean offer(Arrival arrival) {
+                        return loop.offer(arrival);
+                    }
+
+                    @Override
+                    public void put(Arrival arrival) throws InterruptedException {
+                        loop.put(arrival, () -> drops().count("waited for the inbox"));
+                    }
+                },
+                gate);
     }
 
     public Transport transport() {
@@ -85,7 +89,7 @@
         first = before;
         after = afterTurn;
         calls = new Calls(loop.wheel(), timers, outlet(), new Branches(seed), user, drops(), most);
-        loop.start(duty(), () -> { });
+        loop.start(duty(), () -> {});
     }
 
     private Outlet outlet() {
@@ -115,8 +119,8 @@
         return new EventLoop.Duty() {
             @Override
             public void take(Object next) {
-                boolean taken = next instanceof Arrival.Received received
-                        && first.takes(received.message(), received.from());
+                boolean taken =
+                        next instanceof Arrival.Received received && first.takes(received.message(), received.from());
                 if (!taken && next instanceof Arrival arrival) {
                     calls.transactions().arrived(arrival);
                 }
--- a/src/main/java/martenslip/sip/dialog/CallIn.java
+++ b/src/main/java/martenslip/sip/dialog/CallIn.java
@@ -13,7 +13,12 @@
  * after the first is refused with false. Owned by the thread of its {@link Calls}.
  */
 public final class CallIn implements Leg {
-    enum State { OPEN, ACCEPTED, CONFIRMED, OVER }
+    enum State {
+        OPEN,
+        ACCEPTED,
+        CONFIRMED,
+        OVER
+    }
 
     /** Hears of the call; the moments are those of the thread's wheel. */
     public interface Listener {
--- a/src/main/java/martenslip/sip/dialog/CallOut.java
+++ b/src/main/java/martenslip/sip/dialog/CallOut.java
@@ -15,7 +15,12 @@
  * {@link Calls}.
  */
 public final class CallOut implements Leg, Asker {
-    enum State { CALLING, STANDS, TAKEN_BACK, OVER }
+    enum State {
+        CALLING,
+        STANDS,
+        TAKEN_BACK,
+        OVER
+    }
 
     /** Hears of the call until it ends or is taken back. */
     public interface Listener {
--- a/src/main/java/martenslip/sip/dialog/Calls.java
+++ b/src/main/java/martenslip/sip/dialog/Calls.java
@@ -10,7 +10,6 @@
 import martenslip.sip.message.BadValue;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.message.SipUri;
 import martenslip.sip.transaction.Asker;
 import martenslip.sip.transaction.Branches;
 import martenslip.sip.transaction.ClientTransaction;
@@ -27,8 +26,21 @@
 /** All dialogs of calls of one thread (RFC 3261 12 to 15), and the checks that every request meets (8.2). */
 public final class Calls implements User {
     private static final Set<String> OWN = Set.of("INVITE", "ACK", "BYE", "CANCEL");
-    private static final Set<String> KNOWN = Set.of("INVITE", "ACK", "BYE", "CANCEL", "OPTIONS", "REGISTER", "PRACK",
-            "SUBSCRIBE", "NOTIFY", "PUBLISH", "INFO", "REFER", "MESSAGE", "UPDATE");
+    private static final Set<String> KNOWN = Set.of(
+            "INVITE",
+            "ACK",
+            "BYE",
+            "CANCEL",
+            "OPTIONS",
+            "REGISTER",
+            "PRACK",
+            "SUBSCRIBE",
+            "NOTIFY",
+            "PUBLISH",
+            "INFO",
+            "REFER",
+            "MESSAGE",
+            "UPDATE");
 
     private final Wheel wheel;
     private final Timers timers;
@@ -201,7 +213,8 @@
     void refuseInDialog(ServerTransaction transaction) {
         Request request = transaction.request();
         boolean change = request.is("INVITE") || request.is("UPDATE");
-        Response refusal = change ? request.answer(488, "Sessions are not changed here", null)
+        Response refusal = change
+                ? request.answer(488, "Sessions are not changed here", null)
                 : request.answer(KNOWN.contains(request.method()) ? 405 : 501, "Not in a call", null);
         if (!change) {
             refusal.headers().add("Allow", allow);
@@ -214,7 +227,8 @@
         Request request = transaction.request();
         try {
             String toTag = request.to().tag();
-            Leg leg = toTag.isEmpty() ? null
+            Leg leg = toTag.isEmpty()
+                    ? null
                     : legs.get(Dialog.id(request.callId(), toTag, request.from().tag()));
             if (leg != null) {
                 leg.requested(transaction);
@@ -238,8 +252,8 @@
         String method = request.method();
         if (!OWN.contains(method) && !user.methods().contains(method)) {
             boolean known = KNOWN.contains(method);
-            Response refusal = request.answer(known ? 405 : 501, "Method " + phrase(method) + " is not served",
-                    branches.tag());
+            Response refusal =
+                    request.answer(known ? 405 : 501, "Method " + phrase(method) + " is not served", branches.tag());
             refusal.headers().add("Allow", allow);
             return transaction.respond(refusal);
         }
@@ -263,7 +277,11 @@
     }
 
     private static String mergeKey(Request request) {
-        return request.callId() + ' ' + request.headers().first("From") + ' ' + request.headers().first("CSeq");
+        return request.callId()
+                + ' '
+                + request.headers().first("From")
+                + ' '
+                + request.headers().first("CSeq");
     }
 
     private void begin(ServerTransaction transaction, Request request) throws BadValue {
@@ -293,7 +311,6 @@
         }
     }
 
-
     @Override
     public void cancelled(ServerTransaction invite, Request cancel) {
         if (invite.attached() instanceof CallIn call) {
@@ -304,7 +321,8 @@
     @Override
     public void acked(Request ack, Hop from) {
         try {
-            Leg leg = legs.get(Dialog.id(ack.callId(), ack.to().tag(), ack.from().tag()));
+            Leg leg =
+                    legs.get(Dialog.id(ack.callId(), ack.to().tag(), ack.from().tag()));
             if (leg instanceof CallIn call) {
                 call.acked();
             }
@@ -324,8 +342,12 @@
     public void stray(Response response, Hop from) {
         drops.count("response without a transaction");
         try {
-            if (response.success() && response.cseq().method().equals("INVITE")
-                    && !legs.containsKey(Dialog.id(response.callId(), response.from().tag(), response.to().tag()))) {
+            if (response.success()
+                    && response.cseq().method().equals("INVITE")
+                    && !legs.containsKey(Dialog.id(
+                            response.callId(),
+                            response.from().tag(),
+                            response.to().tag()))) {
                 // Nobody here wants the call any more, but the far side holds it until it hears so (13.2.2.4).
                 Dialog unwanted = Dialog.unwanted(response);
                 transactions.sendAck(unwanted.ack(response.cseq().number()), unwanted.hop());
@@ -340,7 +362,8 @@
     public void broken(Hop hop, boolean everUp) {
         if (everUp) {
             for (Leg leg : new ArrayList<>(legs.values())) {
-                if (leg instanceof CallOut call && call.hop().reliable()
+                if (leg instanceof CallOut call
+                        && call.hop().reliable()
                         && call.hop().address().equals(hop.address())) {
                     call.broken();
                 }
--- a/src/main/java/martenslip/sip/dialog/Dialog.java
+++ b/src/main/java/martenslip/sip/dialog/Dialog.java
@@ -27,8 +27,14 @@
     private long localNumber;
     private long remoteNumber;
 
-    private Dialog(String callId, NameAddr local, NameAddr remote, List<String> routes, String remoteTarget,
-                   long localNumber, long remoteNumber) {
+    private Dialog(
+            String callId,
+            NameAddr local,
+            NameAddr remote,
+            List<String> routes,
+            String remoteTarget,
+            long localNumber,
+            long remoteNumber) {
         this.callId = callId;
         this.localTag = local.tag();
         this.remoteTag = remote.tag();
@@ -42,24 +48,42 @@
 
     /** RFC 3261 12.1.1. */
     public static Dialog asServer(Request request, String localTag) throws BadValue {
-        return new Dialog(request.callId(), request.to().withTag(localTag), request.from(),
-                request.headers().all("Record-Route"), contact(request.headers()), 0, request.cseq().number());
+        return new Dialog(
+                request.callId(),
+                request.to().withTag(localTag),
+                request.from(),
+                request.headers().all("Record-Route"),
+                contact(request.headers()),
+                0,
+                request.cseq().number());
     }
 
     /** RFC 3261 12.1.2. */
     public static Dialog asClient(Request request, Response response) throws BadValue {
         List<String> routes = new ArrayList<>(response.headers().all("Record-Route"));
         Collections.reverse(routes);
-        return new Dialog(request.callId(), request.from(), response.to(), routes, contact(response.headers()),
-                request.cseq().number(), -1);
+        return new Dialog(
+                request.callId(),
+                request.from(),
+                response.to(),
+                routes,
+                contact(response.headers()),
+                request.cseq().number(),
+                -1);
     }
 
     /** Of a 2xx whose INVITE is no longer known, to end it: all that this needs stands in the response. */
     static Dialog unwanted(Response response) throws BadValue {
         List<String> routes = new ArrayList<>(response.headers().all("Record-Route"));
         Collections.reverse(routes);
-        return new Dialog(response.callId(), response.from(), response.to(), routes, contact(response.headers()),
-                response.cseq().number() + TAKEN_OVER, -1);
+        return new Dialog(
+                response.callId(),
+                response.from(),
+                response.to(),
+                routes,
+                contact(response.headers()),
+                response.cseq().number() + TAKEN_OVER,
+                -1);
     }
 
     private static String contact(Headers headers) throws BadValue {
@@ -122,6 +146,7 @@
 
     /** Where requests of this dialog go: the first route, else the far side's contact (RFC 3261 12.2.1.1). */
     Hop hop() throws BadValue {
-        return Hops.of(SipUri.parse(routes.isEmpty() ? remoteTarget : NameAddr.parse(routes.get(0)).uri()));
+        return Hops.of(SipUri.parse(
+                routes.isEmpty() ? remoteTarget : NameAddr.parse(routes.get(0)).uri()));
     }
 }
--- a/src/main/java/martenslip/sip/dialog/Notifier.java
+++ b/src/main/java/martenslip/sip/dialog/Notifier.java
@@ -102,7 +102,8 @@
             return true;
         }
         if (one == null && subscribers().size() >= most) {
-            transaction.respond(request.answer(503, "Too many subscriptions", calls.branches().tag()));
+            transaction.respond(request.answer(
+                    503, "Too many subscriptions", calls.branches().tag()));
             return true;
         }
         String asked = request.headers().first("Expires");
@@ -131,7 +132,11 @@
         }
         String target = NameAddr.parse(contact).uri();
         String local = request.to().withTag(calls.branches().tag()).toString();
-        return new Subscriber(request.callId(), local, request.headers().first("From"), target,
+        return new Subscriber(
+                request.callId(),
+                local,
+                request.headers().first("From"),
+                target,
                 Hops.of(martenslip.sip.message.SipUri.parse(target)));
     }
 
@@ -146,7 +151,10 @@
 
     private void send(Subscriber one, byte[] body, String state) {
         Headers headers = new Headers();
-        headers.add("Max-Forwards", "70").add("From", one.local).add("To", one.remote).add("Call-ID", one.callId);
+        headers.add("Max-Forwards", "70")
+                .add("From", one.local)
+                .add("To", one.remote)
+                .add("Call-ID", one.callId);
         headers.add("CSeq", ++one.number + " NOTIFY").add("Event", event).add("Subscription-State", state);
         headers.add("Contact", calls.contact(one.hop.kind(), null));
         Request request = new Request("NOTIFY", one.target, headers);
--- a/src/main/java/martenslip/sip/dialog/Watch.java
+++ b/src/main/java/martenslip/sip/dialog/Watch.java
@@ -96,7 +96,9 @@
 
     private void subscribe(int seconds) {
         Headers headers = new Headers();
-        headers.add("Max-Forwards", "70").add("From", "<" + uri + ">;tag=" + tag).add("To", remote);
+        headers.add("Max-Forwards", "70")
+                .add("From", "<" + uri + ">;tag=" + tag)
+                .add("To", remote);
         headers.add("Call-ID", callId).add("CSeq", ++number + " SUBSCRIBE").add("Event", event);
         headers.add("Accept", accept).add("Expires", seconds).add("Contact", calls.contact(hop.kind(), null));
         calls.transactions().send(new Request("SUBSCRIBE", target, headers), hop, this);
@@ -149,7 +151,10 @@
     /** Takes a NOTIFY that is of this subscription; false where it is not. */
     public boolean takes(ServerTransaction transaction) throws BadValue {
         Request request = transaction.request();
-        if (!on || !request.is("NOTIFY") || !request.callId().equals(callId) || !request.to().tag().equals(tag)) {
+        if (!on
+                || !request.is("NOTIFY")
+                || !request.callId().equals(callId)
+                || !request.to().tag().equals(tag)) {
             return false;
         }
         long sequence = request.cseq().number();
@@ -165,7 +170,10 @@
         String state = request.headers().first("Subscription-State");
         if (state != null && state.startsWith("terminated")) {
             int semicolon = state.indexOf(';');
-            fail("ended" + (semicolon < 0 ? "" : " " + Params.parse(state.substring(semicolon)).get("reason")));
+            fail("ended"
+                    + (semicolon < 0
+                            ? ""
+                            : " " + Params.parse(state.substring(semicolon)).get("reason")));
         }
         return true;
     }
--- a/src/main/java/martenslip/sip/message/Digits.java
+++ b/src/main/java/martenslip/sip/message/Digits.java
@@ -2,8 +2,7 @@
 
 /** Numbers without sign in header values, read without patterns: they stand in every message. */
 public final class Digits {
-    private Digits() {
-    }
+    private Digits() {}
 
     /** True for 1 to {@code most} decimal digits and nothing else. */
     public static boolean only(String text, int most) {
--- a/src/main/java/martenslip/sip/message/Headers.java
+++ b/src/main/java/martenslip/sip/message/Headers.java
@@ -5,7 +5,7 @@
 
 /** Header fields in the order they stand; names are in their one spelling. Not for several threads at once. */
 public final class Headers {
-    private record Field(String name, String value) { }
+    private record Field(String name, String value) {}
 
     private final List<Field> fields;
 
--- a/src/main/java/martenslip/sip/message/Message.java
+++ b/src/main/java/martenslip/sip/message/Message.java
@@ -97,7 +97,10 @@
         StringBuilder text = new StringBuilder(512).append(startLine()).append("\r\n");
         headers.remove("Content-Length");
         headers.write(text);
-        byte[] head = Text.utf8(text.append("Content-Length: ").append(body.length).append("\r\n\r\n").toString());
+        byte[] head = Text.utf8(text.append("Content-Length: ")
+                .append(body.length)
+                .append("\r\n\r\n")
+                .toString());
         if (body.length == 0) {
             return head;
         }
--- a/src/main/java/martenslip/sip/message/NameAddr.java
+++ b/src/main/java/martenslip/sip/message/NameAddr.java
@@ -12,7 +12,9 @@
             if (close < 0) {
                 throw new BadValue("an angle bracket is not closed: " + text);
             }
-            return new NameAddr(text.substring(0, open).trim(), text.substring(open + 1, close).trim(),
+            return new NameAddr(
+                    text.substring(0, open).trim(),
+                    text.substring(open + 1, close).trim(),
                     Params.parse(text.substring(close + 1)));
         }
         // Without brackets all parameters belong to the header (RFC 3261 20.10).
--- a/src/main/java/martenslip/sip/message/Params.java
+++ b/src/main/java/martenslip/sip/message/Params.java
@@ -7,8 +7,9 @@
 /** Parameters behind semicolons, in the order written; names are compared without case. Immutable. */
 public final class Params {
     public static final Params NONE = new Params(List.of());
-    private static final String[] USUAL = {"branch", "tag", "rport", "received", "oc", "oc-algo", "lr", "transport",
-        "tgrp", "trunk-context"};
+    private static final String[] USUAL = {
+        "branch", "tag", "rport", "received", "oc", "oc-algo", "lr", "transport", "tgrp", "trunk-context"
+    };
 
     private record One(String name, String value) {
         @Override
@@ -33,7 +34,7 @@
             throw new BadValue("a parameter must follow a semicolon: " + rest);
         }
         List<One> found = new ArrayList<>(4);
-        for (int from = 1; from <= rest.length();) {
+        for (int from = 1; from <= rest.length(); ) {
             int semicolon = Text.outside(rest, ';', from);
             int end = semicolon < 0 ? rest.length() : semicolon;
             int equals = rest.indexOf('=', from);
@@ -42,7 +43,8 @@
             if (name.isEmpty()) {
                 throw new BadValue("a parameter without a name: " + text);
             }
-            found.add(new One(name, equals < 0 ? null : rest.substring(equals + 1, end).trim()));
+            found.add(new One(
+                    name, equals < 0 ? null : rest.substring(equals + 1, end).trim()));
             from = end + 1;
         }
         return new Params(found);
--- a/src/main/java/martenslip/sip/message/SipUri.java
+++ b/src/main/java/martenslip/sip/message/SipUri.java
@@ -85,7 +85,10 @@
 
     @Override
     public String toString() {
-        return (secure ? "sips:" : "sip:") + (user == null ? "" : user + "@") + at + params
+        return (secure ? "sips:" : "sip:")
+                + (user == null ? "" : user + "@")
+                + at
+                + params
                 + (headers.isEmpty() ? "" : "?" + headers);
     }
 }
--- a/src/main/java/martenslip/sip/message/Text.java
+++ b/src/main/java/martenslip/sip/message/Text.java
@@ -6,8 +6,7 @@
 
 /** Scanning of header values past quoted strings and angle brackets (RFC 3261 25.1). */
 final class Text {
-    private Text() {
-    }
+    private Text() {}
 
     /** The first place of {@code wanted} that is neither in a quoted string nor between angle brackets, or -1. */
     static int outside(String text, char wanted, int from) {
--- a/src/main/java/martenslip/sip/message/Via.java
+++ b/src/main/java/martenslip/sip/message/Via.java
@@ -23,7 +23,9 @@
         for (int i = 0; i < text.length() && space < 0; i++) {
             char c = text.charAt(i);
             slashes += c == '/' ? 1 : 0;
-            boolean inside = slashes == 2 && (c == ' ' || c == '\t') && text.charAt(i - 1) != '/'
+            boolean inside = slashes == 2
+                    && (c == ' ' || c == '\t')
+                    && text.charAt(i - 1) != '/'
                     && !text.substring(text.lastIndexOf('/', i) + 1, i).isBlank();
             space = inside ? i : -1;
         }
@@ -31,8 +33,10 @@
             throw new BadValue("no protocol and place: " + text);
         }
         String[] protocol = text.substring(0, space).split("/");
-        if (protocol.length != 3 || !protocol[0].trim().equalsIgnoreCase("SIP")
-                || !protocol[1].trim().equals("2.0") || !Text.token(protocol[2].trim())) {
+        if (protocol.length != 3
+                || !protocol[0].trim().equalsIgnoreCase("SIP")
+                || !protocol[1].trim().equals("2.0")
+                || !Text.token(protocol[2].trim())) {
             throw new BadValue("not SIP/2.0 over a transport: " + text);
         }
         return rest(protocol[2].trim(), text.substring(space).trim());
--- a/src/main/java/martenslip/sip/transaction/ClientTransaction.java
+++ b/src/main/java/martenslip/sip/transaction/ClientTransaction.java
@@ -12,7 +12,13 @@
  * (17.1.2). Owned by the thread of its {@link Transactions}.
  */
 public final class ClientTransaction extends Timed {
-    public enum State { CALLING, PROCEEDING, COMPLETED, ACCEPTED, TERMINATED }
+    public enum State {
+        CALLING,
+        PROCEEDING,
+        COMPLETED,
+        ACCEPTED,
+        TERMINATED
+    }
 
     private final Request request;
     private final Asker asker;
@@ -27,8 +33,8 @@
     /** It goes by TCP only as it is large. */
     private boolean forSize;
 
-    ClientTransaction(Transactions layer, Request request, byte[] bytes, String branch, Hop hop, boolean forSize,
-                      Asker asker) {
+    ClientTransaction(
+            Transactions layer, Request request, byte[] bytes, String branch, Hop hop, boolean forSize, Asker asker) {
         super(layer);
         this.bytes = bytes;
         this.branch = branch;
@@ -173,8 +179,10 @@
     }
 
     void broken(boolean everUp, Hop which) {
-        boolean mine = hop.reliable() && (hop.connection() == 0 ? hop.address().equals(which.address())
-                : hop.connection() == which.connection());
+        boolean mine = hop.reliable()
+                && (hop.connection() == 0
+                        ? hop.address().equals(which.address())
+                        : hop.connection() == which.connection());
         if (!mine || state != State.CALLING && state != State.PROCEEDING) {
             return;
         }
--- a/src/main/java/martenslip/sip/transaction/ServerTransaction.java
+++ b/src/main/java/martenslip/sip/transaction/ServerTransaction.java
@@ -11,7 +11,14 @@
  * {@link Transactions}.
  */
 public final class ServerTransaction extends Timed {
-    public enum State { TRYING, PROCEEDING, COMPLETED, CONFIRMED, ACCEPTED, TERMINATED }
+    public enum State {
+        TRYING,
+        PROCEEDING,
+        COMPLETED,
+        CONFIRMED,
+        ACCEPTED,
+        TERMINATED
+    }
 
     private final Request request;
     private final Hop from;
--- a/src/main/java/martenslip/sip/transaction/Timers.java
+++ b/src/main/java/martenslip/sip/transaction/Timers.java
@@ -7,8 +7,8 @@
  * an INVITE may go without a response before 100 is sent: at most 200 ms (17.2.1).
  */
 public record Timers(Span t1, Span t2, Span t4, Span trying) {
-    public static final Timers RFC = new Timers(Span.ofMillis(500), Span.ofMillis(4000), Span.ofMillis(5000),
-            Span.ZERO);
+    public static final Timers RFC =
+            new Timers(Span.ofMillis(500), Span.ofMillis(4000), Span.ofMillis(5000), Span.ZERO);
     /** For who answers most INVITEs within 200 ms, whose 100 would only cost. */
     public static final Timers QUICK = new Timers(RFC.t1, RFC.t2, RFC.t4, Span.ofMillis(200));
 
--- a/src/main/java/martenslip/sip/transaction/Transactions.java
+++ b/src/main/java/martenslip/sip/transaction/Transactions.java
@@ -57,8 +57,16 @@
         if (via.branch().startsWith(Via.COOKIE)) {
             return method + ' ' + via.branch() + ' ' + via.sentBy();
         }
-        return method + ' ' + request.callId() + ' ' + request.cseq().number() + ' ' + request.from().tag() + ' '
-                + via.sentBy() + via.branch();
+        return method
+                + ' '
+                + request.callId()
+                + ' '
+                + request.cseq().number()
+                + ' '
+                + request.from().tag()
+                + ' '
+                + via.sentBy()
+                + via.branch();
     }
 
     /** Sends a request over a transaction of its own; its Via is put here. */
@@ -82,8 +90,8 @@
         }
     }
 
-    private ClientTransaction start(Request request, byte[] bytes, String branch, Hop hop, boolean forSize,
-                                    Asker asker) {
+    private ClientTransaction start(
+            Request request, byte[] bytes, String branch, Hop hop, boolean forSize, Asker asker) {
         ClientTransaction transaction = new ClientTransaction(this, request, bytes, branch, hop, forSize, asker);
         if (open() >= most) {
             drops.count("transaction table full");
@@ -133,7 +141,8 @@
     }
 
     private void response(Response response, Hop from) throws BadValue {
-        ClientTransaction transaction = clients.get(clientKey(response.via().branch(), response.cseq().method()));
+        ClientTransaction transaction =
+                clients.get(clientKey(response.via().branch(), response.cseq().method()));
         if (transaction != null) {
             transaction.response(response);
         } else {
@@ -203,7 +212,9 @@
         }
         Via via = request.via();
         String rport = via.params().get("rport");
-        int port = rport != null ? Integer.parseInt(rport) : via.sentBy().port() < 0 ? 5060 : via.sentBy().port();
+        int port = rport != null
+                ? Integer.parseInt(rport)
+                : via.sentBy().port() < 0 ? 5060 : via.sentBy().port();
         return Hop.udp(new InetSocketAddress(from.address().getAddress(), port));
     }
 
@@ -221,7 +232,8 @@
     void shrunk(ClientTransaction transaction) {
         String branch = branches.branch();
         clients.remove(transaction.key());
-        transaction.overUdp(via(Hop.Kind.UDP, branch), branch, Hop.udp(transaction.hop().address()));
+        transaction.overUdp(
+                via(Hop.Kind.UDP, branch), branch, Hop.udp(transaction.hop().address()));
         clients.put(transaction.key(), transaction);
     }
 
@@ -253,8 +265,8 @@
      * side takes for a repeat, or stands as {@code accepted} and only meets what comes again.
      */
     public ClientTransaction takeOver(Request request, Hop hop, boolean accepted, Asker asker) throws BadValue {
-        ClientTransaction begun = new ClientTransaction(this, request, request.bytes(), request.via().branch(), hop,
-                false, asker);
+        ClientTransaction begun = new ClientTransaction(
+                this, request, request.bytes(), request.via().branch(), hop, false, asker);
         clients.put(begun.key(), begun);
         if (accepted) {
             begun.accepted();
--- a/src/main/java/martenslip/sip/transport/Bounds.java
+++ b/src/main/java/martenslip/sip/transport/Bounds.java
@@ -9,8 +9,8 @@
  */
 public record Bounds(int connections, Span first, Span idle, Span whole, int unsent, Span stuck, Span connect) {
     /** Starting values: a neighbour exchange needs one or two connections; ten minutes spare a keep-alive. */
-    public static final Bounds USUAL = new Bounds(512, Span.ofMillis(600_000), Span.ofMillis(5_000), 1 << 20,
-            Span.ofMillis(10_000), Span.ofMillis(500));
+    public static final Bounds USUAL = new Bounds(
+            512, Span.ofMillis(600_000), Span.ofMillis(5_000), 1 << 20, Span.ofMillis(10_000), Span.ofMillis(500));
 
     /** The first message may take as long as any other. */
     public Bounds(int connections, Span idle, Span whole, int unsent, Span stuck, Span connect) {
--- a/src/main/java/martenslip/sip/transport/Connection.java
+++ b/src/main/java/martenslip/sip/transport/Connection.java
@@ -23,8 +23,7 @@
         void ended(Connection connection, String why);
 
         /** One that was asked for has come up; with {@link Writers} only. */
-        default void up(Connection connection) {
-        }
+        default void up(Connection connection) {}
     }
 
     private static final int STACK = 256 * 1024;
@@ -53,8 +52,15 @@
     }
 
     /** With {@code writers} it has no writing thread of its own. */
-    public Connection(long number, Socket socket, InetSocketAddress peer, boolean up, Bounds bounds, Events events,
-                      Cutter cutter, Writers writers) {
+    public Connection(
+            long number,
+            Socket socket,
+            InetSocketAddress peer,
+            boolean up,
+            Bounds bounds,
+            Events events,
+            Cutter cutter,
+            Writers writers) {
         this.number = number;
         this.socket = socket;
         this.peer = peer;
@@ -213,7 +219,9 @@
         long until = System.nanoTime() + atMost.ns();
         try {
             synchronized (this) {
-                for (long left = atMost.ns(); left > 0 && !closed && unsentBytes > 0 && up; left = until - System.nanoTime()) {
+                for (long left = atMost.ns();
+                        left > 0 && !closed && unsentBytes > 0 && up;
+                        left = until - System.nanoTime()) {
                     wait(Math.max(1, left / 1_000_000));
                 }
             }
@@ -362,7 +370,9 @@
 
     private void allow(long begun) throws IOException {
         long now = System.nanoTime();
-        long left = cutter.amid() ? bounds.whole().ns() - (now - begun) : bounds.idle().ns();
+        long left = cutter.amid()
+                ? bounds.whole().ns() - (now - begun)
+                : bounds.idle().ns();
         if (!saidOne) {
             left = Math.min(left, bounds.first().ns() - (now - started));
         }
--- a/src/main/java/martenslip/sip/transport/Framer.java
+++ b/src/main/java/martenslip/sip/transport/Framer.java
@@ -123,13 +123,15 @@
         while (colon < end && held[colon] != ':') {
             colon++;
         }
-        String name = colon - start > 20 ? "" : new String(held, start, colon - start,
-                java.nio.charset.StandardCharsets.ISO_8859_1).trim();
+        String name = colon - start > 20
+                ? ""
+                : new String(held, start, colon - start, java.nio.charset.StandardCharsets.ISO_8859_1).trim();
         if (!name.equalsIgnoreCase("Content-Length") && !name.equalsIgnoreCase("l")) {
             return -1;
         }
-        String text = new String(held, colon + 1, Math.max(0, end - colon - 1),
-                java.nio.charset.StandardCharsets.ISO_8859_1).trim();
+        String text = new String(
+                        held, colon + 1, Math.max(0, end - colon - 1), java.nio.charset.StandardCharsets.ISO_8859_1)
+                .trim();
         if (text.isEmpty() || text.length() > 9 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new Lost("a Content-Length that is no number");
         }
--- a/src/main/java/martenslip/sip/transport/Hop.java
+++ b/src/main/java/martenslip/sip/transport/Hop.java
@@ -7,7 +7,10 @@
  * connection to the address will do.
  */
 public record Hop(Kind kind, InetSocketAddress address, long connection) {
-    public enum Kind { UDP, TCP }
+    public enum Kind {
+        UDP,
+        TCP
+    }
 
     public static Hop udp(InetSocketAddress address) {
         return new Hop(Kind.UDP, address, 0);
--- a/src/main/java/martenslip/sip/transport/Hops.java
+++ b/src/main/java/martenslip/sip/transport/Hops.java
@@ -11,8 +11,7 @@
 public final class Hops {
     private static final int DEFAULT_PORT = 5060;
 
-    private Hops() {
-    }
+    private Hops() {}
 
     public static Hop of(SipUri uri) throws BadValue {
         String transport = uri.params().get("transport");
--- a/src/main/java/martenslip/sip/transport/Outgoing.java
+++ b/src/main/java/martenslip/sip/transport/Outgoing.java
@@ -17,7 +17,7 @@
     }
 
     static Outgoing of(byte[] message) {
-        return of(message, () -> { });
+        return of(message, () -> {});
     }
 
     /** {@code done} is run by the writing thread, or by whoever ends the connection. */
--- a/src/main/java/martenslip/sip/transport/Revocable.java
+++ b/src/main/java/martenslip/sip/transport/Revocable.java
@@ -10,7 +10,11 @@
  * up. Whoever finds it revoked knows that not one byte of it is or will be on the wire.
  */
 public final class Revocable implements Outgoing {
-    private enum State { QUEUED, WRITTEN, REVOKED }
+    private enum State {
+        QUEUED,
+        WRITTEN,
+        REVOKED
+    }
 
     private final int size;
     private final Supplier<byte[]> says;
--- a/src/main/java/martenslip/sip/transport/Writers.java
+++ b/src/main/java/martenslip/sip/transport/Writers.java
@@ -29,8 +29,8 @@
     public Writers(String name, int most) {
         this.name = name;
         this.most = most;
-        readers = new ThreadPoolExecutor(0, MOST_READERS, LINGER_MS, TimeUnit.MILLISECONDS, new SynchronousQueue<>(),
-                what -> {
+        readers = new ThreadPoolExecutor(
+                0, MOST_READERS, LINGER_MS, TimeUnit.MILLISECONDS, new SynchronousQueue<>(), what -> {
                     Thread thread = new Thread(null, what, name + "-in", STACK);
                     thread.setDaemon(true);
                     return thread;
--- a/src/main/java/martenslip/standin/Callers.java
+++ b/src/main/java/martenslip/standin/Callers.java
@@ -39,8 +39,17 @@
  */
 public final class Callers implements AutoCloseable {
     /** How callers behave. {@code shares} are chances of the skills, {@code rate} first tries a second in all. */
-    public record Ways(double rate, List<Skill> skills, List<Double> shares, int redials, Span redialAfter,
-                       double tryPart, double comeAgain, Span driftEvery, double drift, String prefix) { }
+    public record Ways(
+            double rate,
+            List<Skill> skills,
+            List<Double> shares,
+            int redials,
+            Span redialAfter,
+            double tryPart,
+            double comeAgain,
+            Span driftEvery,
+            double drift,
+            String prefix) {}
 
     private static final int MOST_OPEN = 50_000;
     private static final double RISE_SECONDS = 5;
@@ -105,7 +114,7 @@
 
     public void open(InetAddress host) throws IOException {
         endpoint.open(new InetSocketAddress(host, 0), new InetSocketAddress(host, 0));
-        endpoint.start(user(), (message, from) -> false, () -> { }, Timers.RFC, chance.nextLong(), 1 << 19);
+        endpoint.start(user(), (message, from) -> false, () -> {}, Timers.RFC, chance.nextLong(), 1 << 19);
     }
 
     private Moment now() {
@@ -121,7 +130,9 @@
 
             @Override
             public void requested(ServerTransaction transaction) {
-                transaction.respond(transaction.request().answer(200, "OK", endpoint.calls().branches().tag()));
+                transaction.respond(transaction
+                        .request()
+                        .answer(200, "OK", endpoint.calls().branches().tag()));
             }
 
             @Override
@@ -297,10 +308,13 @@
             InetSocketAddress at = to.address();
             Headers headers = new Headers();
             headers.add("Max-Forwards", "70");
-            headers.add("From", "<sip:caller@" + endpoint.transport().host() + ">;tag="
-                    + endpoint.calls().branches().tag());
+            headers.add(
+                    "From",
+                    "<sip:caller@" + endpoint.transport().host() + ">;tag="
+                            + endpoint.calls().branches().tag());
             SipUri uri = SipUri.of(want.number, at.getAddress().getHostAddress(), at.getPort());
-            headers.add("To", "<" + uri + ">").add("Call-ID", endpoint.calls().branches().callId("c"));
+            headers.add("To", "<" + uri + ">")
+                    .add("Call-ID", endpoint.calls().branches().callId("c"));
             headers.add("CSeq", "1 INVITE").add("Session-ID", session);
             headers.add("Expires", Math.max(1, patience.ns() / 1_000_000_000));
             headers.add(Fields.PATIENCE, patience.ns() / 1_000_000);
--- a/src/main/java/martenslip/standin/Dialler.java
+++ b/src/main/java/martenslip/standin/Dialler.java
@@ -20,8 +20,8 @@
  */
 public final class Dialler implements AutoCloseable {
     /** Every so many a contact is of the urgent skill; 0 for none. */
-    public record Plan(double rate, Span length, Span hold, String prefix, int exchanges, int urgentEvery,
-                       String urgent) { }
+    public record Plan(
+            double rate, Span length, Span hold, String prefix, int exchanges, int urgentEvery, String urgent) {}
 
     private final DatagramSocket socket;
     private final InetSocketAddress controller;
@@ -88,7 +88,8 @@
                 holding.add(next++);
                 idle = false;
             }
-            if (!holding.isEmpty() && now - sentAt.get(holding.peek()) >= plan.hold().ns()) {
+            if (!holding.isEmpty()
+                    && now - sentAt.get(holding.peek()) >= plan.hold().ns()) {
                 int done = holding.poll();
                 if (to.get(done) != null) {
                     send(within("BYE", done, 2, "by" + done));
@@ -131,8 +132,10 @@
     }
 
     private String common(int number, String branch, int sequence, String method, String toValue) {
-        return "Via: SIP/2.0/UDP " + host + ";branch=z9hG4bK" + mark + branch + ";rport\r\nMax-Forwards: 70\r\nFrom: <sip:c@"
-                + host + ">;tag=" + number + "\r\nTo: " + toValue + "\r\nCall-ID: " + mark + "-" + number + "@d\r\nCSeq: "
+        return "Via: SIP/2.0/UDP " + host + ";branch=z9hG4bK" + mark + branch
+                + ";rport\r\nMax-Forwards: 70\r\nFrom: <sip:c@"
+                + host + ">;tag=" + number + "\r\nTo: " + toValue + "\r\nCall-ID: " + mark + "-" + number
+                + "@d\r\nCSeq: "
                 + sequence + " " + method + "\r\n";
     }
 
--- a/src/main/java/martenslip/standin/Machine.java
+++ b/src/main/java/martenslip/standin/Machine.java
@@ -37,8 +37,16 @@
  */
 public final class Machine implements AutoCloseable {
     /** What a machine is made with. {@code skillOf} gives the width of a Resource-Priority value. */
-    public record Make(int number, int region, Processor.Make processor, Span reportEvery, double noise,
-                       Prefixes numbering, Map<String, Integer> widths, long seed, boolean rate) { }
+    public record Make(
+            int number,
+            int region,
+            Processor.Make processor,
+            Span reportEvery,
+            double noise,
+            Prefixes numbering,
+            Map<String, Integer> widths,
+            long seed,
+            boolean rate) {}
 
     private final Make make;
     private final Trunks trunks;
@@ -70,7 +78,7 @@
         endpoint.open(new InetSocketAddress(host, 0), new InetSocketAddress(host, 0));
         udpAt = new InetSocketAddress(host, endpoint.transport().port(Hop.Kind.UDP));
         tcpAt = new InetSocketAddress(host, endpoint.transport().port(Hop.Kind.TCP));
-        endpoint.start(user(), this::takes, () -> { }, Timers.RFC, make.seed() ^ 0x5bd1e995L, 1 << 18);
+        endpoint.start(user(), this::takes, () -> {}, Timers.RFC, make.seed() ^ 0x5bd1e995L, 1 << 18);
     }
 
     public InetSocketAddress at(Hop.Kind kind) {
@@ -133,7 +141,9 @@
 
             @Override
             public void requested(ServerTransaction transaction) {
-                Response ok = transaction.request().answer(200, "OK", endpoint.calls().branches().tag());
+                Response ok = transaction
+                        .request()
+                        .answer(200, "OK", endpoint.calls().branches().tag());
                 if (!work(Work.NOTE, () -> transaction.respond(loaded(ok, null)))) {
                     transaction.respond(transaction.request().answer(503, "Busy", null));
                 }
@@ -216,8 +226,9 @@
             said = measured();
         }
         Trunks.State state = group == null ? null : trunks.state(group);
-        Load load = state == null ? said : new Load(said.allowed(), said.cutBy(), said.depth(), said.meanMs(),
-                state.free(), state.total());
+        Load load = state == null
+                ? said
+                : new Load(said.allowed(), said.cutBy(), said.depth(), said.meanMs(), state.free(), state.total());
         try {
             load.put(response, 4 * make.reportEvery().ns() / 1_000_000, reports + ".0");
         } catch (BadValue e) {
@@ -232,8 +243,13 @@
         double room = Math.max(0, 1 - wait / (make.processor().mostWait().ns() / 1e6));
         double allowed = Processor.capacity(make.processor()) * processor.part(now()) * room * noise;
         double cut = Math.max(0, Math.min(1, (wait / 1000 - 0.2) * noise));
-        return new Load(make.rate() ? allowed : -1, make.rate() ? -1 : cut,
-                Math.rint(processor.depth(now()) * noise), wait * noise, -1, -1);
+        return new Load(
+                make.rate() ? allowed : -1,
+                make.rate() ? -1 : cut,
+                Math.rint(processor.depth(now()) * noise),
+                wait * noise,
+                -1,
+                -1);
     }
 
     /** The processor runs this many times slower. */
@@ -270,7 +286,8 @@
     /** Frees what went through a controller that has died. */
     public void controllerDied(InetAddress which, java.util.function.Consumer<List<String>> lost) {
         endpoint.run(() -> {
-            List<String> sessions = new ArrayList<>(passing.dropAll(hop -> hop.address().getAddress().equals(which)));
+            List<String> sessions = new ArrayList<>(
+                    passing.dropAll(hop -> hop.address().getAddress().equals(which)));
             sessions.addAll(dropEnding(hop -> hop.address().getAddress().equals(which)));
             lost.accept(sessions);
         });
--- a/src/main/java/martenslip/standin/Office.java
+++ b/src/main/java/martenslip/standin/Office.java
@@ -56,18 +56,29 @@
 
     public void open(InetAddress host) throws IOException {
         endpoint.open(new InetSocketAddress(host, 0), new InetSocketAddress(host, 0));
-        endpoint.start(user(), (message, from) -> false, () -> { }, Timers.RFC, 99, 1 << 16);
+        endpoint.start(user(), (message, from) -> false, () -> {}, Timers.RFC, 99, 1 << 16);
         endpoint.run(() -> {
-            list = new Notifier(endpoint.calls(), SwitchText.SWITCHES, SwitchText.TYPE, to -> {
-                to.told = version;
-                return text.write(new SwitchText.Lines(version, true, List.copyOf(lines.values())));
-            }, 256);
+            list = new Notifier(
+                    endpoint.calls(),
+                    SwitchText.SWITCHES,
+                    SwitchText.TYPE,
+                    to -> {
+                        to.told = version;
+                        return text.write(new SwitchText.Lines(version, true, List.copyOf(lines.values())));
+                    },
+                    256);
             for (int i = 0; i < exchanges; i++) {
                 int exchange = i;
                 seen.put(i, new HashMap<>());
                 versions.put(i, 1L);
-                circuits.put(i, new Notifier(endpoint.calls(), SwitchText.CIRCUITS, SwitchText.TYPE,
-                        to -> allCircuits(exchange), 16));
+                circuits.put(
+                        i,
+                        new Notifier(
+                                endpoint.calls(),
+                                SwitchText.CIRCUITS,
+                                SwitchText.TYPE,
+                                to -> allCircuits(exchange),
+                                16));
             }
             tellCircuits();
         });
@@ -79,7 +90,8 @@
 
     private byte[] allCircuits(int exchange) {
         List<SwitchText.GroupState> groups = trunks.changed(exchange, new HashMap<>()).stream()
-                .map(state -> new SwitchText.GroupState(state.name(), state.total(), state.free())).toList();
+                .map(state -> new SwitchText.GroupState(state.name(), state.total(), state.free()))
+                .toList();
         return text.write(new SwitchText.Groups(versions.get(exchange), true, groups));
     }
 
@@ -89,7 +101,8 @@
                 return;
             }
             List<SwitchText.GroupState> groups = trunks.changed(exchange, seen.get(exchange)).stream()
-                    .map(state -> new SwitchText.GroupState(state.name(), state.total(), state.free())).toList();
+                    .map(state -> new SwitchText.GroupState(state.name(), state.total(), state.free()))
+                    .toList();
             if (!groups.isEmpty()) {
                 long next = versions.merge(exchange, 1L, Long::sum);
                 byte[] body = text.write(new SwitchText.Groups(next, false, groups));
@@ -132,7 +145,9 @@
         boolean ofCircuits = user != null && user.matches("circuits-[0-9]{1,5}");
         Notifier which = ofCircuits ? circuits.get(Integer.parseInt(user.substring(9))) : list;
         // A refresh goes to the Contact, which names nobody: the subscription is found by its event and Call-ID.
-        if (which != null && !ofCircuits && SwitchText.CIRCUITS.equals(transaction.request().headers().first("Event"))) {
+        if (which != null
+                && !ofCircuits
+                && SwitchText.CIRCUITS.equals(transaction.request().headers().first("Event"))) {
             for (Notifier one : circuits.values()) {
                 if (one.knows(transaction.request())) {
                     which = one;
@@ -140,18 +155,28 @@
             }
         }
         if (which == null || !which.takes(transaction)) {
-            transaction.respond(transaction.request().answer(489, "No such event package",
-                    endpoint.calls().branches().tag()));
+            transaction.respond(transaction
+                    .request()
+                    .answer(
+                            489,
+                            "No such event package",
+                            endpoint.calls().branches().tag()));
         }
     }
 
     /** Switches change: subscribers hear of it after the lag. Any thread. */
-    public void change(int number, int region, InetSocketAddress at, Hop.Kind kind, SwitchLine.State state,
-                       Moment started, Span further) {
+    public void change(
+            int number,
+            int region,
+            InetSocketAddress at,
+            Hop.Kind kind,
+            SwitchLine.State state,
+            Moment started,
+            Span further) {
         endpoint.run(() -> {
             try {
-                martenslip.sip.message.SipUri uri = martenslip.sip.message.SipUri.of(null,
-                        at.getAddress().getHostAddress(), at.getPort());
+                martenslip.sip.message.SipUri uri =
+                        martenslip.sip.message.SipUri.of(null, at.getAddress().getHostAddress(), at.getPort());
                 uri = kind == Hop.Kind.TCP ? uri.with("transport", "tcp") : uri;
                 SwitchLine line = new SwitchLine(SwitchText.id(at), number, state, started, region);
                 Neighbour neighbour = new Neighbour(line, uri, new Hop(kind, at, 0));
--- a/src/main/java/martenslip/standin/Passing.java
+++ b/src/main/java/martenslip/standin/Passing.java
@@ -80,7 +80,7 @@
             return true;
         }
         if (belongs && all.containsKey(request.callId()) && !machine.endsHere(request.target())) {
-            forward(request, Work.NOTE, controller, bytes -> { });
+            forward(request, Work.NOTE, controller, bytes -> {});
             return true;
         }
         return false;
@@ -141,7 +141,8 @@
     }
 
     private void refuse(Request invite, Hop from, String reason, int cause, String group) throws BadValue {
-        Response response = invite.answer(503, reason, machine.endpoint().calls().branches().tag());
+        Response response =
+                invite.answer(503, reason, machine.endpoint().calls().branches().tag());
         response.headers().add("Reason", new Release(cause, Release.HERE));
         machine.loaded(response, group);
         machine.endpoint().transport().send(response.bytes(), backTo(invite.via(), from));
@@ -158,9 +159,10 @@
     private void within(Request request) throws BadValue {
         request.headers().pop("Route");
         String next = request.headers().first("Route");
-        Hop to = Hops.of(SipUri.parse(next == null ? request.uri() : NameAddr.parse(next).uri()));
+        Hop to = Hops.of(
+                SipUri.parse(next == null ? request.uri() : NameAddr.parse(next).uri()));
         boolean bye = request.is("BYE");
-        forward(request, bye ? Work.RELEASE : Work.NOTE, to, bytes -> { });
+        forward(request, bye ? Work.RELEASE : Work.NOTE, to, bytes -> {});
         if (bye) {
             drop(request.callId());
         }
@@ -175,7 +177,8 @@
         String mark = MARK + branch.substring(branch.startsWith(Via.COOKIE) ? Via.COOKIE.length() : 0);
         InetSocketAddress at = machine.at(to.kind());
         HostPort by = new HostPort(at.getAddress().getHostAddress(), at.getPort());
-        Via via = new Via(to.kind().name(), by, Params.NONE).with("branch", mark).with("rport", null);
+        Via via =
+                new Via(to.kind().name(), by, Params.NONE).with("branch", mark).with("rport", null);
         request.headers().push("Via", via);
         request.headers().set("Max-Forwards", hops == null ? 70 : Integer.parseInt(hops) - 1);
         if (request.is("INVITE")) {
@@ -254,7 +257,8 @@
         String received = via.params().get("received");
         String rport = via.params().get("rport");
         int port = rport != null ? Integer.parseInt(rport) : via.sentBy().port();
-        InetSocketAddress at = Hops.address(new HostPort(received == null ? via.sentBy().host() : received, port));
+        InetSocketAddress at =
+                Hops.address(new HostPort(received == null ? via.sentBy().host() : received, port));
         return via.transport().equals("TCP") ? Hop.tcp(at) : Hop.udp(at);
     }
 
--- a/src/main/java/martenslip/standin/Processor.java
+++ b/src/main/java/martenslip/standin/Processor.java
@@ -12,7 +12,12 @@
 public final class Processor {
     /** What a message costs, in parts of a set-up; the front end's own replies and ACKs are next to nothing. */
     public enum Work {
-        LOOK(0.25), SET_UP(1), ANSWER(0.3), RELEASE(0.3), REJECT(0.1), NOTE(0.02);
+        LOOK(0.25),
+        SET_UP(1),
+        ANSWER(0.3),
+        RELEASE(0.3),
+        REJECT(0.1),
+        NOTE(0.02);
 
         private final double part;
 
@@ -27,7 +32,7 @@
     }
 
     /** {@code unit} is a warm set-up's work; a cold start at {@code coldFrom} is warm after {@code warm}. */
-    public record Make(Span unit, Span mostWait, double coldFrom, Span warm, double fallMultiple, Span fall) { }
+    public record Make(Span unit, Span mostWait, double coldFrom, Span warm, double fallMultiple, Span fall) {}
 
     /** Set-ups a second of a warm processor that does nothing else, with their releases. */
     static double capacity(Make make) {
@@ -36,6 +41,7 @@
 
     /** Work of a contact that ends here, and of one that is handed on to the controller, in set-ups. */
     public static final double ENDS_HERE = Work.SET_UP.part + Work.RELEASE.part;
+
     public static final double HANDED_ON = Work.LOOK.part + Work.ANSWER.part + Work.RELEASE.part;
 
     private final Make make;
@@ -91,7 +97,8 @@
         while (now.since(recent.peek()).longerThan(make.fall())) {
             recent.poll();
         }
-        double most = make.fallMultiple() * capacity(make) * part(now) * make.fall().ns() / 1e9;
+        double most =
+                make.fallMultiple() * capacity(make) * part(now) * make.fall().ns() / 1e9;
         // A few more than the budget are chance, not a push.
         fallen |= cold(now) && recent.size() > most + 3;
     }
--- a/src/main/java/martenslip/standin/Tally.java
+++ b/src/main/java/martenslip/standin/Tally.java
@@ -7,7 +7,15 @@
 /** What became of the callers' wants, by skill; redials belong to their first try. One thread owns it. */
 public final class Tally {
     /** How a want ended. */
-    public enum End { IN_TARGET, LATE, DEFERRED, ABANDONED, GAVE_UP, NO_ANSWER, CUT }
+    public enum End {
+        IN_TARGET,
+        LATE,
+        DEFERRED,
+        ABANDONED,
+        GAVE_UP,
+        NO_ANSWER,
+        CUT
+    }
 
     /** Counts of one skill. */
     public static final class Row {
--- a/src/main/java/martenslip/standin/Trunks.java
+++ b/src/main/java/martenslip/standin/Trunks.java
@@ -58,7 +58,7 @@
     }
 
     /** A group as one end is told of it. */
-    public record State(String name, int total, int free, long changes) { }
+    public record State(String name, int total, int free, long changes) {}
 
     private final Map<String, Group> groups = new LinkedHashMap<>();
 
@@ -124,12 +124,14 @@
 
     /** Names of the groups that pass the test of their two ends. */
     public synchronized List<String> between(java.util.function.BiPredicate<Integer, Integer> ends) {
-        return groups.values().stream().filter(group -> ends.test(group.a, group.b)).map(group -> group.name).toList();
+        return groups.values().stream()
+                .filter(group -> ends.test(group.a, group.b))
+                .map(group -> group.name)
+                .toList();
     }
 
     /** Circuits in use on all groups. */
     public synchronized int used() {
         return groups.values().stream().mapToInt(group -> group.used).sum();
     }
-
 }
--- a/src/main/java/martenslip/wheel/Wheel.java
+++ b/src/main/java/martenslip/wheel/Wheel.java
@@ -17,6 +17,7 @@
     public static final Span TICK = Span.ofMillis(1);
     /** By how much a loose timer may be late; RFC 3261 says of its lingering spans only how long they last at least. */
     public static final Span LOOSE = Span.ofMillis(128);
+
     private static final int SLOTS = 4096;
     private static final int LOOK = 50;
 
--- a/src/test/java/martenslip/BadInputTest.java
+++ b/src/test/java/martenslip/BadInputTest.java
@@ -49,11 +49,21 @@
 
     @DataProvider
     public Object[][] reports() {
-        return new Object[][] {{new float[] {20, 40, NAN, NAN}}, {new float[] {20, 40, MOST, MOST}},
-            {new float[] {20, 40, -MOST, -MOST}}, {new float[] {20, 40, 1e-45f, 3e38f}}, {new float[] {20, 40, 3e38f}},
-            {new float[] {}}, {new float[] {20}}, {new float[] {20, 40}}, {new float[] {NAN, NAN, NAN, NAN}},
-            {new float[] {-5, 40, -1, -1}}, {new float[] {20, -1, -1, -1}}, {new float[] {MOST, MOST, 1, 1}},
-            {new float[] {20, 40, 1, 1, 1, 1, 1, 1}}};
+        return new Object[][] {
+            {new float[] {20, 40, NAN, NAN}},
+            {new float[] {20, 40, MOST, MOST}},
+            {new float[] {20, 40, -MOST, -MOST}},
+            {new float[] {20, 40, 1e-45f, 3e38f}},
+            {new float[] {20, 40, 3e38f}},
+            {new float[] {}},
+            {new float[] {20}},
+            {new float[] {20, 40}},
+            {new float[] {NAN, NAN, NAN, NAN}},
+            {new float[] {-5, 40, -1, -1}},
+            {new float[] {20, -1, -1, -1}},
+            {new float[] {MOST, MOST, 1, 1}},
+            {new float[] {20, 40, 1, 1, 1, 1, 1, 1}}
+        };
     }
 
     @Test(dataProvider = "reports")
@@ -78,17 +88,27 @@
 
     @DataProvider
     public Object[][] contacts() {
-        return new Object[][] {{-1, 1, 1, 3000.0}, {99, 1, 1, 3000.0}, {0, -4, 1, 3000.0}, {0, 1 << 30, 1, 3000.0},
-            {0, Integer.MAX_VALUE, 1, 3000.0}, {0, 1, 0, 3000.0}, {1, 1, 0, 3000.0}, {0, 1, -7, 3000.0},
-            {0, 1, 77, 3000.0}, {0, 1, 1, -5.0}, {0, 1, 1, 0.0},
-            {0, 1, 1, 9e15}};
+        return new Object[][] {
+            {-1, 1, 1, 3000.0},
+            {99, 1, 1, 3000.0},
+            {0, -4, 1, 3000.0},
+            {0, 1 << 30, 1, 3000.0},
+            {0, Integer.MAX_VALUE, 1, 3000.0},
+            {0, 1, 0, 3000.0},
+            {1, 1, 0, 3000.0},
+            {0, 1, -7, 3000.0},
+            {0, 1, 77, 3000.0},
+            {0, 1, 1, -5.0},
+            {0, 1, 1, 0.0},
+            {0, 1, 1, 9e15}
+        };
     }
 
     @Test(dataProvider = "contacts")
     public void anOddContactGetsOneAnswerOrOneRing(int skill, int width, int destination, double patience) {
         Exchange exchange = exchange();
-        exchange.logic.offered(at(1), new Contact(1, skill, 7, destination, -1, width, Span.ofMillis(patience), false,
-                false, false));
+        exchange.logic.offered(
+                at(1), new Contact(1, skill, 7, destination, -1, width, Span.ofMillis(patience), false, false, false));
         exchange.logic.clockRung(at(1.6), 2);
         List<String> orders = exchange.orders();
         assertTrue(orders.equals(List.of("defer 1")) || orders.equals(List.of("ring 1 101")), "" + orders);
@@ -107,7 +127,9 @@
         for (int number = 0; number < 0xffff; number++) {
             exchange.logic.peerNote(at(1), 5, new byte[] {(byte) (number >> 8), (byte) number, 2});
         }
-        assertTrue(exchange.logic.at(101).weights.size() <= 4, "" + exchange.logic.at(101).weights.size());
+        assertTrue(
+                exchange.logic.at(101).weights.size() <= 4,
+                "" + exchange.logic.at(101).weights.size());
         offer(exchange, 1, CHEAP, 2);
         assertTrue(exchange.orders().contains("ring 1 101"));
     }
@@ -141,8 +163,8 @@
         Exchange exchange = exchange();
         for (int life = 1; life <= 500; life++) {
             SwitchLine old = new SwitchLine(life == 1 ? 101 : 1000 + life, 1, State.GONE, null, 0);
-            exchange.logic.listed(at(life), ListKind.CHANGES,
-                    List.of(old, new SwitchLine(1001 + life, 1, State.READY, null, 0)));
+            exchange.logic.listed(
+                    at(life), ListKind.CHANGES, List.of(old, new SwitchLine(1001 + life, 1, State.READY, null, 0)));
             exchange.logic.reported(at(life), 1001 + life, true, Span.ZERO, new float[] {20, 40, -1, -1});
         }
         assertEquals(exchange.logic.turn(), Span.ofMillis(1000));
--- a/src/test/java/martenslip/ColdFleet.java
+++ b/src/test/java/martenslip/ColdFleet.java
@@ -39,20 +39,20 @@
      * is replaced, {@code young} the part of processes that started a moment before or after. {@code sameId}: the
      * machine itself came back, rather than another in its place.
      */
-    record Plan(int processes, double calls, double rush, double young, boolean sameId) { }
+    record Plan(int processes, double calls, double rush, double young, boolean sameId) {}
 
     /** Worst window: sent less the allowance N, in units of 2 sqrt(N) + 2; over 1 the switch falls. */
-    record Found(double worst, int sent, double allowed, double sentCold) { }
+    record Found(double worst, int sent, double allowed, double sentCold) {}
 
     /** {@code told}: its sender knew of the start. A fall is the fleet's where over two thirds of a window did. */
-    private record Arrival(double at, boolean told) { }
+    private record Arrival(double at, boolean told) {}
 
-    private record Event(double at, long order, Runnable what) { }
+    private record Event(double at, long order, Runnable what) {}
 
     private final Plan plan;
     private final SplittableRandom chance;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final List<Process> processes = new ArrayList<>();
     private final ArrayDeque<Arrival> window = new ArrayDeque<>();
     private double now;
@@ -88,8 +88,10 @@
             logic = new Logic(settings(), chance.nextLong(), moment(), this);
             boolean after = now >= REPLACED_S + LAG_S;
             told = after;
-            logic.listed(moment(), ListKind.REMEMBERED, List.of(
-                    new SwitchLine(1000 + number, number, State.READY, null, 0), after ? cold() : warm()));
+            logic.listed(
+                    moment(),
+                    ListKind.REMEMBERED,
+                    List.of(new SwitchLine(1000 + number, number, State.READY, null, 0), after ? cold() : warm()));
             group();
         }
 
@@ -128,8 +130,19 @@
             long id = ++ids;
             tries.put(id, again);
             askedCold += again == 0 && now >= REPLACED_S ? 1 : 0;
-            logic.offered(moment(), new Contact(id, chance.nextDouble() < 0.07 ? 1 : 0, 0, 1, -1, 1,
-                    Span.ofMillis(6000), false, false, false));
+            logic.offered(
+                    moment(),
+                    new Contact(
+                            id,
+                            chance.nextDouble() < 0.07 ? 1 : 0,
+                            0,
+                            1,
+                            -1,
+                            1,
+                            Span.ofMillis(6000),
+                            false,
+                            false,
+                            false));
         }
 
         @Override
@@ -141,8 +154,19 @@
             }
             Logic to = logic;
             at(now + 0.02, () -> to.stands(moment(), contact, 0, target, Span.ofMillis(20)));
-            at(now + 0.02 - HOLD_S * Math.log(1 - chance.nextDouble()), () -> to.ringEnded(moment(), new RingEnd(contact, 0,
-                    target, Cause.CONCLUDED, Blame.NONE, Span.ofMillis(9000), true, new float[0])));
+            at(
+                    now + 0.02 - HOLD_S * Math.log(1 - chance.nextDouble()),
+                    () -> to.ringEnded(
+                            moment(),
+                            new RingEnd(
+                                    contact,
+                                    0,
+                                    target,
+                                    Cause.CONCLUDED,
+                                    Blame.NONE,
+                                    Span.ofMillis(9000),
+                                    true,
+                                    new float[0])));
         }
 
         @Override
--- a/src/test/java/martenslip/ColdFleetTest.java
+++ b/src/test/java/martenslip/ColdFleetTest.java
@@ -15,11 +15,20 @@
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
-            {new Plan(5, 19, 1, 0, false)}, {new Plan(5, 19, 4, 0, true)},
-            {new Plan(20, 19, 1, 0, false)}, {new Plan(20, 19, 2, 0.5, false)}, {new Plan(20, 19, 4, 0, true)},
-            {new Plan(30, 19, 1, 0, false)}, {new Plan(30, 19, 2, 0.5, false)}, {new Plan(30, 19, 2, 0.5, true)},
-            {new Plan(30, 19, 4, 0, true)}, {new Plan(30, 19, 3, 1, false)}, {new Plan(30, 6, 3, 0.5, false)},
-            {new Plan(30, 6, 3, 0.5, true)}, {new Plan(48, 19, 3, 0.5, true)}, {new Plan(48, 19, 4, 1, false)},
+            {new Plan(5, 19, 1, 0, false)},
+            {new Plan(5, 19, 4, 0, true)},
+            {new Plan(20, 19, 1, 0, false)},
+            {new Plan(20, 19, 2, 0.5, false)},
+            {new Plan(20, 19, 4, 0, true)},
+            {new Plan(30, 19, 1, 0, false)},
+            {new Plan(30, 19, 2, 0.5, false)},
+            {new Plan(30, 19, 2, 0.5, true)},
+            {new Plan(30, 19, 4, 0, true)},
+            {new Plan(30, 19, 3, 1, false)},
+            {new Plan(30, 6, 3, 0.5, false)},
+            {new Plan(30, 6, 3, 0.5, true)},
+            {new Plan(48, 19, 3, 0.5, true)},
+            {new Plan(48, 19, 4, 1, false)},
         };
     }
 
@@ -32,7 +41,8 @@
             worst = worst == null || found.worst() > worst.worst() ? found : worst;
             served += found.sentCold() / SEEDS;
         }
-        System.out.printf("cold fleet %s: worst window %d sent, %.1f allowed, %.2f of the slack; sent of asked %.2f%n",
+        System.out.printf(
+                "cold fleet %s: worst window %d sent, %.1f allowed, %.2f of the slack; sent of asked %.2f%n",
                 plan, worst.sent(), worst.allowed(), worst.worst(), served);
         assertTrue(worst.worst() <= 1, plan + ": " + worst);
     }
--- a/src/test/java/martenslip/DrillTest.java
+++ b/src/test/java/martenslip/DrillTest.java
@@ -23,7 +23,8 @@
         for (byte[] record : records) {
             length += record.length;
         }
-        ByteBuffer all = ByteBuffer.allocate(16 + length).putInt(1).putInt(length).putLong(1_000_000_000L);
+        ByteBuffer all =
+                ByteBuffer.allocate(16 + length).putInt(1).putInt(length).putLong(1_000_000_000L);
         for (byte[] record : records) {
             all.put(record);
         }
@@ -32,8 +33,13 @@
 
     private static byte[] started(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(18 + text.length).putShort((short) 1000).putInt(3).putLong(5)
-                .putInt(text.length).put(text).array();
+        return ByteBuffer.allocate(18 + text.length)
+                .putShort((short) 1000)
+                .putInt(3)
+                .putLong(5)
+                .putInt(text.length)
+                .put(text)
+                .array();
     }
 
     private static byte[] answer(byte[] input) throws Exception {
@@ -68,8 +74,8 @@
         byte[] lines = hex("044c 0000 00000001 3f800000 00 02 0a9011f2 2bec 0000 0000000000000000 0039");
         byte[] listed = hex("03f2 00000003 0000 00000029 02");
         byte[] group = hex("042e 00000003 00 0a9011f2 2bec 0000000000000000 02 41200000 41a00000");
-        byte[] reply = answer(batch(started("classes.count=1\npolicy-limits.send-cap=2\n"), lines, listed, group,
-                CONTACT));
+        byte[] reply =
+                answer(batch(started("classes.count=1\npolicy-limits.send-cap=2\n"), lines, listed, group, CONTACT));
         String text = HexFormat.of().formatHex(reply);
         assertTrue(text.contains("03e800000003000517755d3a91c40a9011f22bec"), text);
     }
--- a/src/test/java/martenslip/EveryOrder.java
+++ b/src/test/java/martenslip/EveryOrder.java
@@ -11,7 +11,7 @@
  */
 public final class EveryOrder {
     /** One thing that may come next. */
-    public record Event(String name, Runnable what) { }
+    public record Event(String name, Runnable what) {}
 
     /** What is explored; it judges itself by the rules as it goes. */
     public interface World {
@@ -25,7 +25,7 @@
     }
 
     /** How many sequences a world has, and the first fault met with the way there, or null. */
-    public record Found(long sequences, String fault) { }
+    public record Found(long sequences, String fault) {}
 
     private static final int MOST_TAIL = 400;
 
--- a/src/test/java/martenslip/EveryOrderTest.java
+++ b/src/test/java/martenslip/EveryOrderTest.java
@@ -79,13 +79,13 @@
     }
 
     private static Found withOrders(Plan plan, Change change) {
-        return EveryOrder.search(() -> new TinyWorld(plan, orders -> spoilt(Orders.class, orders, change),
-                module -> module), 6);
+        return EveryOrder.search(
+                () -> new TinyWorld(plan, orders -> spoilt(Orders.class, orders, change), module -> module), 6);
     }
 
     private static Found withModule(Plan plan, Change change) {
-        return EveryOrder.search(() -> new TinyWorld(plan, orders -> orders,
-                module -> spoilt(Controller.class, module, change)), 6);
+        return EveryOrder.search(
+                () -> new TinyWorld(plan, orders -> orders, module -> spoilt(Controller.class, module, change)), 6);
     }
 
     private static void caught(Found found, String rule) {
@@ -94,57 +94,82 @@
 
     @Test
     public void aDoubledAnswerIsCaught() {
-        caught(withOrders(plan(0, 0, 2, 0, false), (name, values, again) -> {
-            if (name.equals("defer")) {
-                again.call();
-            }
-            return values;
-        }), "1");
+        caught(
+                withOrders(plan(0, 0, 2, 0, false), (name, values, again) -> {
+                    if (name.equals("defer")) {
+                        again.call();
+                    }
+                    return values;
+                }),
+                "1");
     }
 
     @Test
     public void aLostAnswerIsCaught() {
-        caught(withOrders(plan(0, 0, 2, 0, false), (name, values, again) ->
-                name.equals("defer") || name.equals("abandon") ? null : values), "1");
+        caught(
+                withOrders(
+                        plan(0, 0, 2, 0, false),
+                        (name, values, again) -> name.equals("defer") || name.equals("abandon") ? null : values),
+                "1");
     }
 
     @Test
     public void aSecondRingIsCaught() {
-        caught(withOrders(plan(2, 0, 2, 0, false), (name, values, again) -> {
-            if (name.equals("ring")) {
-                again.call();
-            }
-            return values;
-        }), "2");
+        caught(
+                withOrders(plan(2, 0, 2, 0, false), (name, values, again) -> {
+                    if (name.equals("ring")) {
+                        again.call();
+                    }
+                    return values;
+                }),
+                "2");
     }
 
     @Test
     public void aDrainThatIsNotHeardIsCaught() {
-        caught(withModule(plan(2, 0, 2, 0, false, "drains"), (name, values, again) ->
-                name.equals("listed") && values[1] == ListKind.CHANGES ? null : values), "3");
+        caught(
+                withModule(
+                        plan(2, 0, 2, 0, false, "drains"),
+                        (name, values, again) ->
+                                name.equals("listed") && values[1] == ListKind.CHANGES ? null : values),
+                "3");
     }
 
     @Test
     public void aColdStartThatIsNotHeardIsCaught() {
-        caught(withModule(plan(8, 0, 6, 0, false, "cold"), (name, values, again) ->
-                name.equals("listed") && values[1] == ListKind.CHANGES ? null : values), "4");
+        caught(
+                withModule(
+                        plan(8, 0, 6, 0, false, "cold"),
+                        (name, values, again) ->
+                                name.equals("listed") && values[1] == ListKind.CHANGES ? null : values),
+                "4");
     }
 
     @Test
     public void aReleaseThatIsForgottenIsCaught() {
-        caught(withModule(plan(2, 0, 2, 2, false), (name, values, again) -> {
-            if (name.equals("ringEnded")) {
-                RingEnd end = (RingEnd) values[1];
-                values[1] = new RingEnd(end.contact(), end.ring(), end.target(), Cause.UNREACHABLE, end.blame(),
-                        end.took(), end.answered(), end.report());
-            }
-            return values;
-        }), "5");
+        caught(
+                withModule(plan(2, 0, 2, 2, false), (name, values, again) -> {
+                    if (name.equals("ringEnded")) {
+                        RingEnd end = (RingEnd) values[1];
+                        values[1] = new RingEnd(
+                                end.contact(),
+                                end.ring(),
+                                end.target(),
+                                Cause.UNREACHABLE,
+                                end.blame(),
+                                end.took(),
+                                end.answered(),
+                                end.report());
+                    }
+                    return values;
+                }),
+                "5");
     }
 
     @Test
     public void aCircuitThatIsNeverGivenBackIsCaught() {
-        caught(withModule(plan(2, 0, 2, 0, false), (name, values, again) ->
-                name.equals("ringEnded") ? null : values), "quiet");
+        caught(
+                withModule(plan(2, 0, 2, 0, false), (name, values, again) -> name.equals("ringEnded") ? null : values),
+                "quiet");
     }
 }
--- a/src/test/java/martenslip/Exchange.java
+++ b/src/test/java/martenslip/Exchange.java
@@ -16,14 +16,22 @@
 final class Exchange implements Orders {
     static final int CHEAP = 0;
     static final int URGENT = 1;
-    final Map<String, String> settings = new HashMap<>(Map.ofEntries(Map.entry("classes.count", "2"),
-            Map.entry("classes.0.worth", "1"), Map.entry("classes.1.worth", "8"),
-            Map.entry("classes.0.aim-ns", "1000000000"), Map.entry("classes.1.aim-ns", "1000000000"),
-            Map.entry("family-info.mean-hold-ns", "10000000000,5000000000"), Map.entry("family-info.widths", "1,1"),
-            Map.entry("family-info.home-no", "0"), Map.entry("family-info.release-ns", "500000000"),
-            Map.entry("guarantees.warm-within-ns", "10000000000"), Map.entry("guarantees.cold-share", "0.3"),
-            Map.entry("policy-limits.send-cap", "5"), Map.entry("policy-limits.cancel", "true"),
-            Map.entry("report.fields", "spare,total,cut_by"), Map.entry("round-ns", "5000000")));
+    final Map<String, String> settings = new HashMap<>(Map.ofEntries(
+            Map.entry("classes.count", "2"),
+            Map.entry("classes.0.worth", "1"),
+            Map.entry("classes.1.worth", "8"),
+            Map.entry("classes.0.aim-ns", "1000000000"),
+            Map.entry("classes.1.aim-ns", "1000000000"),
+            Map.entry("family-info.mean-hold-ns", "10000000000,5000000000"),
+            Map.entry("family-info.widths", "1,1"),
+            Map.entry("family-info.home-no", "0"),
+            Map.entry("family-info.release-ns", "500000000"),
+            Map.entry("guarantees.warm-within-ns", "10000000000"),
+            Map.entry("guarantees.cold-share", "0.3"),
+            Map.entry("policy-limits.send-cap", "5"),
+            Map.entry("policy-limits.cancel", "true"),
+            Map.entry("report.fields", "spare,total,cut_by"),
+            Map.entry("round-ns", "5000000")));
     final List<String> ordered = new ArrayList<>();
     Logic logic;
 
@@ -63,13 +71,13 @@
     }
 
     Logic.Ask ask(Contact contact) {
-        return new Logic.Ask(contact, logic.skills[contact.skill()], logic.at(101), true, at(9), 0, at(0),
-                Set.of());
+        return new Logic.Ask(contact, logic.skills[contact.skill()], logic.at(101), true, at(9), 0, at(0), Set.of());
     }
 
     /** What was ordered but for clocks, which is cleared. */
     List<String> orders() {
-        List<String> seen = ordered.stream().filter(line -> !line.startsWith("clock")).toList();
+        List<String> seen =
+                ordered.stream().filter(line -> !line.startsWith("clock")).toList();
         ordered.clear();
         return seen;
     }
--- a/src/test/java/martenslip/FiveRules.java
+++ b/src/test/java/martenslip/FiveRules.java
@@ -14,9 +14,9 @@
  * exchange and the wire. It knows nothing of the code under test. Contacts are named by their controller and id.
  */
 public final class FiveRules {
-    private record Cold(Moment since, double perSecond) { }
+    private record Cold(Moment since, double perSecond) {}
 
-    private record Sent(long target, Moment at) { }
+    private record Sent(long target, Moment at) {}
 
     private static final double COLD_SHARE = 0.3;
     private static final double MULTIPLE = 3;
@@ -89,8 +89,9 @@
         if (start != null) {
             double age = Math.min(1, now.since(start.since).over(warm));
             double budget = MULTIPLE * start.perSecond * (COLD_SHARE + (1 - COLD_SHARE) * age) * WINDOW.ns() / 1e9;
-            long recent = sent.stream().filter(one -> one.target == target
-                    && !now.since(one.at).longerThan(WINDOW)).count();
+            long recent = sent.stream()
+                    .filter(one -> one.target == target && !now.since(one.at).longerThan(WINDOW))
+                    .count();
             if (recent > budget) {
                 wrong(4, target + " got " + recent + " set-ups while cold, budget " + budget);
             }
--- a/src/test/java/martenslip/LogicTest.java
+++ b/src/test/java/martenslip/LogicTest.java
@@ -106,8 +106,8 @@
     public void oneCallerWhoRedialsIsOneWant() {
         Exchange exchange = new Exchange().ready(20, 40);
         for (long id = 1; id < 4; id++) {
-            exchange.logic.offered(at(1 + 2 * id),
-                    new Contact(id, URGENT, 77, 1, -1, 1, Span.ofMillis(1000), false, false, false));
+            exchange.logic.offered(
+                    at(1 + 2 * id), new Contact(id, URGENT, 77, 1, -1, 1, Span.ofMillis(1000), false, false, false));
             exchange.logic.callerGone(at(2 + 2 * id), id);
         }
         assertEquals(exchange.logic.at(101).urgent.bins[0], 1.0);
@@ -117,8 +117,8 @@
     public void aCheapRedialPastItsTargetGoesLast() {
         Exchange exchange = new Exchange().ready(2, 40);
         for (long id = 1; id < 3; id++) {
-            exchange.logic.offered(at(2 * id), new Contact(id, CHEAP, 77, 1, -1, 1, Span.ofMillis(1500), false, false,
-                    false));
+            exchange.logic.offered(
+                    at(2 * id), new Contact(id, CHEAP, 77, 1, -1, 1, Span.ofMillis(1500), false, false, false));
             exchange.logic.clockRung(at(2 * id + 1.5), 2 * id);
             exchange.group(1, 2, 40);
         }
@@ -165,8 +165,10 @@
         exchange.logic.listed(at(1), ListKind.CHANGES, List.of(line(1, State.DRAINING, null)));
         exchange.logic.offered(at(1), contact(1, URGENT, 3));
         assertEquals(exchange.orders(), List.of("defer 1"));
-        exchange.logic.listed(at(1), ListKind.WHOLE, List.of(line(0, State.READY, null), line(1, State.READY, null),
-                line(2, State.READY, null)));
+        exchange.logic.listed(
+                at(1),
+                ListKind.WHOLE,
+                List.of(line(0, State.READY, null), line(1, State.READY, null), line(2, State.READY, null)));
         exchange.group(1, 0, 40);
         exchange.logic.offered(at(2), contact(2, URGENT, 3));
         assertEquals(exchange.orders(), List.of("ring 2 102"));
@@ -183,8 +185,10 @@
     @Test
     public void theSuccessorOfAReplacedMachineIsFound() {
         Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.listed(at(1), ListKind.CHANGES, List.of(line(1, State.GONE, null),
-                new martenslip.control.SwitchLine(900, 1, State.READY, null, 0)));
+        exchange.logic.listed(
+                at(1),
+                ListKind.CHANGES,
+                List.of(line(1, State.GONE, null), new martenslip.control.SwitchLine(900, 1, State.READY, null, 0)));
         assertEquals(exchange.logic.byNumber(1).id, 900);
     }
 
@@ -195,7 +199,10 @@
         for (int id = 1; id <= 40; id++) {
             exchange.logic.offered(at(20 + id * 0.05), contact(id, CHEAP, 3));
         }
-        assertTrue(exchange.orders().stream().filter(order -> order.startsWith("ring")).count() <= 2);
+        assertTrue(exchange.orders().stream()
+                        .filter(order -> order.startsWith("ring"))
+                        .count()
+                <= 2);
     }
 
     @Test
@@ -204,8 +211,8 @@
         for (int seed = 0; seed < 40; seed++) {
             Exchange exchange = new Exchange().ready(40, 40);
             exchange.logic = new Logic(exchange.settings, seed, at(0), exchange);
-            exchange.logic.listed(at(20), ListKind.WHOLE, List.of(line(0, State.READY, null),
-                    line(1, State.READY, at(20))));
+            exchange.logic.listed(
+                    at(20), ListKind.WHOLE, List.of(line(0, State.READY, null), line(1, State.READY, at(20))));
             exchange.group(1, 40, 40);
             exchange.logic.offered(at(21), contact(1, CHEAP, 3));
             rings += exchange.orders().contains("ring 1 101") ? 1 : 0;
@@ -217,8 +224,8 @@
     public void aReplacedMachineKeepsWhatWasLearnedOfItsNumber() {
         Exchange exchange = new Exchange().ready(20, 40);
         exchange.logic.at(101).linked(2, false);
-        exchange.logic.listed(at(1), ListKind.CHANGES, List.of(
-                new martenslip.control.SwitchLine(900, 1, State.READY, at(1), 0)));
+        exchange.logic.listed(
+                at(1), ListKind.CHANGES, List.of(new martenslip.control.SwitchLine(900, 1, State.READY, at(1), 0)));
         assertEquals(exchange.logic.at(900).weight(exchange.logic.at(102)), 0.0);
     }
 
@@ -263,7 +270,8 @@
     public void keptBackByTheOwnProcessorAContactLooksAgainWhileItMayBeInTime() {
         Exchange exchange = new Exchange().ready(20, 40);
         exchange.logic.offered(at(1), contact(1, CHEAP, 3));
-        Logic.Open one = new Logic.Open(contact(2, CHEAP, 3), ask(exchange, CHEAP, 1).skill(), at(4), at(1), at(1));
+        Logic.Open one =
+                new Logic.Open(contact(2, CHEAP, 3), ask(exchange, CHEAP, 1).skill(), at(4), at(1), at(1));
         exchange.logic.front.open.put(2L, one);
         exchange.orders();
         exchange.logic.front.denied(one, true);
@@ -342,7 +350,8 @@
     public void aPeersGroupsAreBelieved() {
         Exchange exchange = new Exchange().ready(20, 40).group(1, 0, 0);
         exchange.logic.peerNote(at(1), 2, new byte[] {0, 2, 1 | 1 << 3});
-        assertEquals(exchange.logic.at(101).draw(exchange.ask(contact(1, CHEAP, 3))).size(), 1);
+        assertEquals(
+                exchange.logic.at(101).draw(exchange.ask(contact(1, CHEAP, 3))).size(), 1);
         exchange.logic.peerNote(at(3), 2, new byte[0]);
     }
 
@@ -350,9 +359,11 @@
     public void aWideContactDrawsAllTandemsAndAgainWhileItWaits() {
         Exchange exchange = new Exchange().ready(20, 40).group(1, 3, 40);
         assertEquals(exchange.logic.at(101).draw(ask(exchange, CHEAP, 4)).size(), 2);
-        assertEquals(exchange.logic.at(101).draw(ask(exchange, CHEAP, 4).again()).size(), 2);
+        assertEquals(
+                exchange.logic.at(101).draw(ask(exchange, CHEAP, 4).again()).size(), 2);
         assertEquals(exchange.logic.at(101).draw(ask(exchange, CHEAP, 1)).size(), 1);
-        assertEquals(exchange.logic.at(101).draw(ask(exchange, CHEAP, 1).again()).size(), 0);
+        assertEquals(
+                exchange.logic.at(101).draw(ask(exchange, CHEAP, 1).again()).size(), 0);
     }
 
     @Test
@@ -407,8 +418,9 @@
         Contact again = new Contact(3, Exchange.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), true, false, false);
         exchange.logic.offered(Exchange.at(8), again);
         assertEquals(List.copyOf(exchange.logic.front.firstTries.keySet()), List.of(77L, 78L));
-        exchange.logic.offered(Exchange.at(9.5), new Contact(4, Exchange.CHEAP, 79, 1, -1, 1, Span.ofMillis(500),
-                false, false, false));
+        exchange.logic.offered(
+                Exchange.at(9.5),
+                new Contact(4, Exchange.CHEAP, 79, 1, -1, 1, Span.ofMillis(500), false, false, false));
         assertEquals(List.copyOf(exchange.logic.front.firstTries.keySet()), List.of(78L, 79L));
     }
 }
--- a/src/test/java/martenslip/SideBySideTest.java
+++ b/src/test/java/martenslip/SideBySideTest.java
@@ -48,20 +48,50 @@
         int number = 1 + chance.nextInt(3);
         int skill = chance.nextInt(2);
         switch (chance.nextInt(8)) {
-            case 0 -> exchange.logic.reported(at(now), 100 + number, true, Span.ZERO,
-                    new float[] {chance.nextInt(12), 24, chance.nextInt(100) / 100f});
-            case 1 -> exchange.logic.listed(at(now), ListKind.CHANGES, List.of(Exchange.line(number,
-                    chance.nextInt(4) == 0 ? State.DRAINING : State.READY, chance.nextInt(3) == 0 ? at(now) : null)));
-            case 2 -> exchange.logic.ringEnded(at(now), new RingEnd(step - 3, 0, 100 + number, Cause.CUT, Blame.NONE,
-                    Span.ofMillis(30), false, new float[0]));
+            case 0 ->
+                exchange.logic.reported(at(now), 100 + number, true, Span.ZERO, new float[] {
+                    chance.nextInt(12), 24, chance.nextInt(100) / 100f
+                });
+            case 1 ->
+                exchange.logic.listed(
+                        at(now),
+                        ListKind.CHANGES,
+                        List.of(Exchange.line(
+                                number,
+                                chance.nextInt(4) == 0 ? State.DRAINING : State.READY,
+                                chance.nextInt(3) == 0 ? at(now) : null)));
+            case 2 ->
+                exchange.logic.ringEnded(
+                        at(now),
+                        new RingEnd(
+                                step - 3,
+                                0,
+                                100 + number,
+                                Cause.CUT,
+                                Blame.NONE,
+                                Span.ofMillis(30),
+                                false,
+                                new float[0]));
             case 3 -> exchange.logic.callerGone(at(now), step - 2);
             case 4 -> {
                 for (int target = 101; target <= 103; target++) {
                     exchange.logic.stands(at(now), step - 1, 0, target, Span.ofMillis(20));
                 }
             }
-            default -> exchange.logic.offered(at(now), new Contact(step, skill, 0, number, -1, 1 + skill,
-                    Span.ofMillis(2000), false, chance.nextInt(5) == 0, false));
+            default ->
+                exchange.logic.offered(
+                        at(now),
+                        new Contact(
+                                step,
+                                skill,
+                                0,
+                                number,
+                                -1,
+                                1 + skill,
+                                Span.ofMillis(2000),
+                                false,
+                                chance.nextInt(5) == 0,
+                                false));
         }
     }
 
--- a/src/test/java/martenslip/TinyWorld.java
+++ b/src/test/java/martenslip/TinyWorld.java
@@ -33,10 +33,9 @@
     private static final Blame[] TURNED = {Blame.NO_CIRCUIT, Blame.PROCESSOR};
 
     /** What a world is made of; {@code late} has every clock heard a round late. */
-    record Plan(int direct, int around, int offers, int troubles, boolean late, int patience,
-                List<String> faults) { }
+    record Plan(int direct, int around, int offers, int troubles, boolean late, int patience, List<String> faults) {}
 
-    private record Due(Moment at, long order, Runnable what) { }
+    private record Due(Moment at, long order, Runnable what) {}
 
     /** A contact at a controller; {@code from} is the ring that brought it here, or null. */
     private final class Offer {
@@ -90,8 +89,8 @@
     private final Map<Integer, SwitchLine> lines = new LinkedHashMap<>();
     private final Map<Integer, Control> controls = new LinkedHashMap<>();
     private final List<Flight> flights = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>(
-            Comparator.comparing(Due::at).thenComparing(Due::order));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(Comparator.comparing(Due::at).thenComparing(Due::order));
     private final List<String> faults;
     private Moment now = new Moment(1_000_000_000_000L);
     private long count;
@@ -100,8 +99,8 @@
     private int troubles;
     private boolean left;
 
-    TinyWorld(Plan plan, UnaryOperator<Orders> spoilsOrders,
-              java.util.function.Function<Controller, Controller> spoils) {
+    TinyWorld(
+            Plan plan, UnaryOperator<Orders> spoilsOrders, java.util.function.Function<Controller, Controller> spoils) {
         this.plan = plan;
         this.spoilsOrders = spoilsOrders;
         this.spoils = spoils;
@@ -189,8 +188,10 @@
     private void flightEvents(Flight flight, List<Event> all) {
         String name = flight.offer.key() + "#" + flight.ring;
         if (flight.back != null) {
-            all.add(new Event(name + " " + flight.back, () -> end(flight, flight.back,
-                    flight.back == Cause.TURNED_BACK ? Blame.TANDEM : Blame.NO_CIRCUIT)));
+            all.add(new Event(
+                    name + " " + flight.back,
+                    () -> end(
+                            flight, flight.back, flight.back == Cause.TURNED_BACK ? Blame.TANDEM : Blame.NO_CIRCUIT)));
             return;
         }
         if (!flight.stood && (flight.last() || flight.sure)) {
@@ -226,16 +227,34 @@
 
     private void offer(int skill) {
         Control control = controls.get(0);
-        Contact contact = new Contact(++ids, skill, 70 + skill, 1, -1, 1, Span.ofMillis(skill == 0 ? plan.patience : plan.patience / 1.5),
-                false, false, false);
+        Contact contact = new Contact(
+                ++ids,
+                skill,
+                70 + skill,
+                1,
+                -1,
+                1,
+                Span.ofMillis(skill == 0 ? plan.patience : plan.patience / 1.5),
+                false,
+                false,
+                false);
         control.take(new Offer(control, contact, null));
     }
 
     private void arrives(Flight flight) {
         Control control = controls.get(flight.to);
         Contact was = flight.offer.contact;
-        Contact contact = new Contact(++ids, was.skill(), was.dialled(), was.destination(),
-                flight.offer.at.number, 1, Span.ofMillis(plan.patience / 2.0), false, true, false);
+        Contact contact = new Contact(
+                ++ids,
+                was.skill(),
+                was.dialled(),
+                was.destination(),
+                flight.offer.at.number,
+                1,
+                Span.ofMillis(plan.patience / 2.0),
+                false,
+                true,
+                false);
         flight.beyond = new Offer(control, contact, flight);
         control.take(flight.beyond);
     }
@@ -264,8 +283,17 @@
         }
         rules.ended(now, offer.key(), cause == Cause.TIMED_OUT || cause == Cause.CUT || cause == Cause.CALLED_OFF);
         boolean stood = flight.stood;
-        offer.at.module.ringEnded(now, new RingEnd(offer.contact.id(), flight.ring, flight.target, cause, blame,
-                Span.ofMillis(10), offer.answered, new float[0]));
+        offer.at.module.ringEnded(
+                now,
+                new RingEnd(
+                        offer.contact.id(),
+                        flight.ring,
+                        flight.target,
+                        cause,
+                        blame,
+                        Span.ofMillis(10),
+                        offer.answered,
+                        new float[0]));
         if (flight.beyond != null) {
             leaves(flight.beyond);
         }
@@ -282,7 +310,8 @@
             rules.gone(offer.key());
             offer.at.module.callerGone(now, offer.contact.id());
         }
-        List.copyOf(flights).stream().filter(one -> one.offer == offer && one.stood)
+        List.copyOf(flights).stream()
+                .filter(one -> one.offer == offer && one.stood)
                 .forEach(one -> end(one, Cause.CALLED_OFF, Blame.NONE));
         told();
     }
@@ -316,8 +345,10 @@
     }
 
     private void report(float[] said) {
-        controls.values().forEach(one -> one.module.reported(now, 101, true, Span.ZERO, new float[] {
-            free.get(group(one.number, 1)), size.get(group(one.number, 1)), said[2], said[3]}));
+        controls.values()
+                .forEach(one -> one.module.reported(now, 101, true, Span.ZERO, new float[] {
+                    free.get(group(one.number, 1)), size.get(group(one.number, 1)), said[2], said[3]
+                }));
     }
 
     private void listed(int number, State state, Moment started) {
@@ -351,8 +382,9 @@
             for (int far = 0; far < 3; far++) {
                 Integer spare = far == control.number ? null : free.get(group(control.number, far));
                 if (spare != null) {
-                    control.module.reported(now, lines.get(far).id(), true, Span.ZERO,
-                            new float[] {Math.max(0, spare), size.get(group(control.number, far)), -1, -1});
+                    control.module.reported(now, lines.get(far).id(), true, Span.ZERO, new float[] {
+                        Math.max(0, spare), size.get(group(control.number, far)), -1, -1
+                    });
                 }
             }
         }
@@ -373,9 +405,12 @@
                 Logic.Switch one = control.logic.at(id);
                 int held = java.util.Arrays.stream(one.held).sum();
                 if (held != 0 || !one.rings.isEmpty() || !one.standing.isEmpty() || !one.waiting.isEmpty()) {
-                    rules.wrong("quiet", control.number + " holds " + held + " circuits toward " + id
-                            + ", rings " + one.rings.keySet() + ", standing " + one.standing.keySet() + ", waiting "
-                            + one.waiting.size());
+                    rules.wrong(
+                            "quiet",
+                            control.number + " holds " + held + " circuits toward " + id
+                                    + ", rings " + one.rings.keySet() + ", standing " + one.standing.keySet()
+                                    + ", waiting "
+                                    + one.waiting.size());
                 }
             }
         }
@@ -393,11 +428,27 @@
             this.number = number;
             this.life = life;
             Map<String, String> settings = new HashMap<>(new martenslip.Exchange().settings);
-            settings.putAll(Map.of("classes.0.aim-ns", "100000000", "classes.1.aim-ns", "100000000",
-                    "family-info.mean-hold-ns", "1000000000,500000000", "family-info.home-no", "" + number,
-                    "family-info.release-ns", "" + RELEASE.ns(), "round-ns", "" + ROUND.ns(),
-                    "guarantees.warm-within-ns", "" + WARM.ns(), "guarantees.fall-multiple", "3",
-                    "report.fields", "spare,total,allowed,depth", "policy-limits.send-cap", "3"));
+            settings.putAll(Map.of(
+                    "classes.0.aim-ns",
+                    "100000000",
+                    "classes.1.aim-ns",
+                    "100000000",
+                    "family-info.mean-hold-ns",
+                    "1000000000,500000000",
+                    "family-info.home-no",
+                    "" + number,
+                    "family-info.release-ns",
+                    "" + RELEASE.ns(),
+                    "round-ns",
+                    "" + ROUND.ns(),
+                    "guarantees.warm-within-ns",
+                    "" + WARM.ns(),
+                    "guarantees.fall-multiple",
+                    "3",
+                    "report.fields",
+                    "spare,total,allowed,depth",
+                    "policy-limits.send-cap",
+                    "3"));
             settings.put("classes.0.hard-limit-ns", "600000000");
             settings.put("classes.1.hard-limit-ns", "400000000");
             logic = new Logic(settings, 7, now, spoilsOrders.apply(this));
@@ -443,7 +494,8 @@
 
         @Override
         public void callOff(long contact, int ring) {
-            flights.stream().filter(one -> one.offer.contact.id() == contact && one.ring == ring)
+            flights.stream()
+                    .filter(one -> one.offer.contact.id() == contact && one.ring == ring)
                     .forEach(one -> one.calledOff = true);
         }
 
--- a/src/test/java/martenslip/cli/ExpectCommandTest.java
+++ b/src/test/java/martenslip/cli/ExpectCommandTest.java
@@ -41,12 +41,16 @@
     @Test
     public void exitCodesTellBrokenContradictoryAndMalformedApart() throws Exception {
         String site = SITE.toString();
-        assertTrue(run("expect", lines("anything to a goes direct"), "--site", site).startsWith("0 "));
-        assertTrue(run("expect", lines("anything to a goes via b"), "--site", site).startsWith("1 "));
+        assertTrue(run("expect", lines("anything to a goes direct"), "--site", site)
+                .startsWith("0 "));
+        assertTrue(
+                run("expect", lines("anything to a goes via b"), "--site", site).startsWith("1 "));
         assertTrue(run("expect", lines("anything to a goes via b\nanything to a goes direct"), "--site", site)
                 .startsWith("3 "));
-        assertTrue(run("expect", lines("anything to a goes astray"), "--site", site).startsWith("4 "));
-        assertTrue(run("expect", folder.resolve("none").toString(), "--site", site).startsWith("2 "));
+        assertTrue(run("expect", lines("anything to a goes astray"), "--site", site)
+                .startsWith("4 "));
+        assertTrue(
+                run("expect", folder.resolve("none").toString(), "--site", site).startsWith("2 "));
     }
 
     @Test
@@ -56,8 +60,15 @@
         assertTrue(xml.contains(line));
         Path changed = Files.writeString(folder.resolve("new.xml"), xml.replace(line, line.replace("60", "1")));
         Path junit = folder.resolve("junit.xml");
-        String said = run("expect", lines("pickup-slot to a goes direct\npickup-slot to b goes direct"), "--site",
-                changed.toString(), "--against", SITE.toString(), "--junit", junit.toString());
+        String said = run(
+                "expect",
+                lines("pickup-slot to a goes direct\npickup-slot to b goes direct"),
+                "--site",
+                changed.toString(),
+                "--against",
+                SITE.toString(),
+                "--junit",
+                junit.toString());
         assertTrue(said.startsWith("1 "), said);
         assertTrue(said.contains(":3 now breaks: pickup-slot to a goes direct"), said);
         assertEquals(said.split("now breaks", -1).length, 2, said);
--- a/src/test/java/martenslip/exchange/BadWireTest.java
+++ b/src/test/java/martenslip/exchange/BadWireTest.java
@@ -24,10 +24,34 @@
 
 /** Messages and notices that are cut short, out of range or no numbers: nothing throws, and each INVITE is answered. */
 public class BadWireTest {
-    private static final String[] ODD = {"", " ", "x", "-1", "0", "1.5", "99999999999999999999", "<", "\"", ";", ";;=;",
-        "sip:", "<sip:>", "<sip:a@>", "<sip:%zz@127.0.0.1>", "1 2 3", "*", "%", "\u0000", "\u00e9", "a,b,,c",
-        "tel:+1555", "<sip:+1555;tgrp=;trunk-context=@127.0.0.1:1>", "<sip:+1555@127.0.0.1:99999>;tag=a;tag=b",
-        "<sip:x@no.such.host.invalid>;tag=a", "a".repeat(9000)};
+    private static final String[] ODD = {
+        "",
+        " ",
+        "x",
+        "-1",
+        "0",
+        "1.5",
+        "99999999999999999999",
+        "<",
+        "\"",
+        ";",
+        ";;=;",
+        "sip:",
+        "<sip:>",
+        "<sip:a@>",
+        "<sip:%zz@127.0.0.1>",
+        "1 2 3",
+        "*",
+        "%",
+        "\u0000",
+        "\u00e9",
+        "a,b,,c",
+        "tel:+1555",
+        "<sip:+1555;tgrp=;trunk-context=@127.0.0.1:1>",
+        "<sip:+1555@127.0.0.1:99999>;tag=a;tag=b",
+        "<sip:x@no.such.host.invalid>;tag=a",
+        "a".repeat(9000)
+    };
     static final String INVITE = """
             INVITE sip:+1555@127.0.0.1:2000 SIP/2.0
             Via: SIP/2.0/UDP 127.0.0.1:1000;branch=z9hG4bKa;rport
@@ -61,8 +85,8 @@
     }
 
     private static WireWorld world() {
-        return new WireWorld(new WireWorld.Plan(false, 4, 0, 0, false, false, false), Span.ofMillis(100),
-                (message, to) -> false);
+        return new WireWorld(
+                new WireWorld.Plan(false, 4, 0, 0, false, false, false), Span.ofMillis(100), (message, to) -> false);
     }
 
     /** Cut short at each byte. */
@@ -93,8 +117,11 @@
     }
 
     private static long finals(WireWorld world) {
-        return world.sentTo(-1).stream().filter(one -> one instanceof Response response && response.status() >= 200)
-                .map(one -> ((Response) one).status()).distinct().count();
+        return world.sentTo(-1).stream()
+                .filter(one -> one instanceof Response response && response.status() >= 200)
+                .map(one -> ((Response) one).status())
+                .distinct()
+                .count();
     }
 
     @Test
@@ -180,9 +207,25 @@
         List<String> all = cut(good);
         for (int from = good.indexOf("=\""); from > 0; from = good.indexOf("=\"", from + 1)) {
             int to = good.indexOf('"', from + 2);
-            for (String odd : new String[] {"", "-1", "1.5", "NaN", "65535", "65536", "99999999999999999999", "sip:",
-                "sip:[::1]:5", "sip:127.0.0.1:0", "sip:127.0.0.1:99999", "sips:127.0.0.1", "none",
-                "-9999-01-01T00:00:00Z", "999999999-12-31T24:00:00Z", "2026-12-01T10:00:00", "2026-12-01T24:00:00Z"}) {
+            for (String odd : new String[] {
+                "",
+                "-1",
+                "1.5",
+                "NaN",
+                "65535",
+                "65536",
+                "99999999999999999999",
+                "sip:",
+                "sip:[::1]:5",
+                "sip:127.0.0.1:0",
+                "sip:127.0.0.1:99999",
+                "sips:127.0.0.1",
+                "none",
+                "-9999-01-01T00:00:00Z",
+                "999999999-12-31T24:00:00Z",
+                "2026-12-01T10:00:00",
+                "2026-12-01T24:00:00Z"
+            }) {
                 all.add(good.substring(0, from + 2) + odd + good.substring(to));
             }
         }
--- a/src/test/java/martenslip/exchange/EveryWireTest.java
+++ b/src/test/java/martenslip/exchange/EveryWireTest.java
@@ -66,8 +66,8 @@
     /** A ring given up unheard may be cancelled only once a response has come (RFC 3261 9.1), here 45 ms later. */
     @Test
     public void aCancelThatLeavesLateStartsTheReleaseAnew() {
-        WireWorld world = new WireWorld(WireWorld.site(200), new Plan(false, 4, 0, 0, false, false, false), RELEASE,
-                (message, to) -> false);
+        WireWorld world = new WireWorld(
+                WireWorld.site(200), new Plan(false, 4, 0, 0, false, false, false), RELEASE, (message, to) -> false);
         world.arrive(BadWireTest.INVITE.getBytes(StandardCharsets.UTF_8), 1000);
         Request first = (Request) world.sentTo(3001).get(0);
         world.passes(245);
@@ -79,7 +79,9 @@
     }
 
     private static long sent(WireWorld world) {
-        return world.sentTo(-1).stream().filter(one -> one instanceof Request request && request.is("INVITE")).count();
+        return world.sentTo(-1).stream()
+                .filter(one -> one instanceof Request request && request.is("INVITE"))
+                .count();
     }
 
     private static void caught(Found found, String rule) {
@@ -88,19 +90,31 @@
 
     @Test
     public void aSecondAnswerIsCaught() {
-        caught(search(new Plan(false, 4, 0, 0, false, false, false), 6, RELEASE, (message, to) -> to == 1000
-                && message instanceof Response response && response.status() == 200), "1");
+        caught(
+                search(
+                        new Plan(false, 4, 0, 0, false, false, false),
+                        6,
+                        RELEASE,
+                        (message, to) ->
+                                to == 1000 && message instanceof Response response && response.status() == 200),
+                "1");
     }
 
     @Test
     public void aSecondRingIsCaught() {
-        caught(search(new Plan(false, 4, 0, 0, false, false, false), 6, RELEASE, (message, to) -> to >= 3000
-                && message instanceof Request request && request.is("INVITE")), "2");
+        caught(
+                search(
+                        new Plan(false, 4, 0, 0, false, false, false),
+                        6,
+                        RELEASE,
+                        (message, to) -> to >= 3000 && message instanceof Request request && request.is("INVITE")),
+                "2");
     }
 
     @Test
     public void aReleaseThatIsTooShortIsCaught() {
-        caught(search(new Plan(false, 4, 0, 1, false, false, false), 6, Span.ofMillis(900),
-                (message, to) -> false), "5");
+        caught(
+                search(new Plan(false, 4, 0, 1, false, false, false), 6, Span.ofMillis(900), (message, to) -> false),
+                "5");
     }
 }
--- a/src/test/java/martenslip/exchange/WireWorld.java
+++ b/src/test/java/martenslip/exchange/WireWorld.java
@@ -61,12 +61,13 @@
     private static final Span SILENCE = Span.ofMillis(300);
     /** No message is longer under way. */
     private static final Span LIFE = Span.ofMillis(4000);
+
     private static final int LONGEST = 80_000;
 
-    record Plan(boolean tcp, int circuits, int losses, int refusals, boolean callerLeaves, boolean byes,
-                boolean breaks) { }
+    record Plan(
+            boolean tcp, int circuits, int losses, int refusals, boolean callerLeaves, boolean byes, boolean breaks) {}
 
-    private record Flying(int from, int to, Message message, byte[] bytes, Moment since) { }
+    private record Flying(int from, int to, Message message, byte[] bytes, Moment since) {}
 
     private final class End implements CallUser {
         final int port;
@@ -182,8 +183,7 @@
         for (int port : new int[] {CALLER, EXCHANGE, 3001, 3002}) {
             ends.put(port, new End(port));
         }
-        contacts = new Contacts(site, ends.get(EXCHANGE).calls, 0, estate, reports, () -> false, log,
-                new Figures());
+        contacts = new Contacts(site, ends.get(EXCHANGE).calls, 0, estate, reports, () -> false, log, new Figures());
         world();
     }
 
@@ -192,15 +192,17 @@
         for (int number = 0; number < 3; number++) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", 3000 + number);
             try {
-                lines.add(new Neighbour(new SwitchLine(SwitchText.id(at), number, SwitchLine.State.READY, null, 0),
-                        SipUri.of(null, "127.0.0.1", 3000 + number), hop(3000 + number)));
+                lines.add(new Neighbour(
+                        new SwitchLine(SwitchText.id(at), number, SwitchLine.State.READY, null, 0),
+                        SipUri.of(null, "127.0.0.1", 3000 + number),
+                        hop(3000 + number)));
             } catch (BadValue e) {
                 throw new IllegalStateException(e);
             }
         }
         decider.listed(ListKind.WHOLE, lines);
-        decider.circuits(List.of(new SwitchText.GroupState("g1", 4, plan.circuits),
-                new SwitchText.GroupState("g2", 4, 4)));
+        decider.circuits(
+                List.of(new SwitchText.GroupState("g1", 4, plan.circuits), new SwitchText.GroupState("g2", 4, 4)));
         decider.begin();
         decider.tellAll();
     }
@@ -240,7 +242,8 @@
             @Override
             public boolean send(byte[] bytes, Hop to) {
                 Message message = Parser.datagram(bytes, bytes.length).message();
-                int times = port == EXCHANGE && doubles.test(message, to.address().getPort()) ? 2 : 1;
+                int times =
+                        port == EXCHANGE && doubles.test(message, to.address().getPort()) ? 2 : 1;
                 for (int i = 0; i < times; i++) {
                     Message one = i == 0 ? message : other(message);
                     if (port == EXCHANGE) {
@@ -273,7 +276,9 @@
 
     private void leaves(Message message, int to) {
         try {
-            if (message instanceof Response response && to == CALLER && response.status() >= 200
+            if (message instanceof Response response
+                    && to == CALLER
+                    && response.status() >= 200
                     && response.cseq().method().equals("INVITE")) {
                 String is = response.status() + " " + response.to().tag();
                 String before = answers.putIfAbsent(response.callId(), is);
@@ -323,18 +328,24 @@
 
     private void reaches(Message message) {
         try {
-            if (message instanceof Request request && request.is("INVITE") && request.to().tag().isEmpty()
+            if (message instanceof Request request
+                    && request.is("INVITE")
+                    && request.to().tag().isEmpty()
                     && offered.add(request.callId())) {
                 contactOf.put(request.headers().first("Session-ID"), request.callId());
                 rules.taken(request.callId(), at().plus(Span.ofMillis(1000)).plus(SLACK));
-            } else if (message instanceof Response response && rings.containsKey(response.callId())
+            } else if (message instanceof Response response
+                    && rings.containsKey(response.callId())
                     && response.cseq().method().equals("INVITE")) {
                 rings.get(response.callId()).heard = true;
                 Release release = Release.of(response);
                 boolean beyond = release != null && release.from(Release.TRANSIT);
                 if (response.status() >= 300) {
-                    over(response.callId(), response.status() == 408 || response.status() == 487
-                            || response.status() == 504 && !beyond);
+                    over(
+                            response.callId(),
+                            response.status() == 408
+                                    || response.status() == 487
+                                    || response.status() == 504 && !beyond);
                 }
             }
         } catch (BadValue e) {
@@ -421,9 +432,12 @@
     private void call() {
         Headers headers = new Headers();
         headers.add("Max-Forwards", "70").add("From", "<sip:a@127.0.0.1>;tag=f").add("To", "<sip:+1555@127.0.0.1>");
-        headers.add("Call-ID", "contact").add("CSeq", "1 INVITE").add("Session-ID", "session").add("Expires", "1");
-        Request invite = new Request("INVITE", "sip:+1555@127.0.0.1:2000" + (plan.tcp ? ";transport=tcp" : ""),
-                headers);
+        headers.add("Call-ID", "contact")
+                .add("CSeq", "1 INVITE")
+                .add("Session-ID", "session")
+                .add("Expires", "1");
+        Request invite =
+                new Request("INVITE", "sip:+1555@127.0.0.1:2000" + (plan.tcp ? ";transport=tcp" : ""), headers);
         call = ends.get(CALLER).calls.call(invite, hop(EXCHANGE), new CallOut.Listener() {
             @Override
             public void progress(Response response) {
@@ -483,9 +497,13 @@
         if (read.status() == 0) {
             reaches(read.message());
         }
-        ends.get(EXCHANGE).calls.transactions().arrived(read.status() == 0
-                ? new Arrival.Received(read.message(), hop(from))
-                : new Arrival.Wrong((Request) read.message(), read.status(), read.fault(), hop(from)));
+        ends.get(EXCHANGE)
+                .calls
+                .transactions()
+                .arrived(
+                        read.status() == 0
+                                ? new Arrival.Received(read.message(), hop(from))
+                                : new Arrival.Wrong((Request) read.message(), read.status(), read.fault(), hop(from)));
         decider.tellAll();
         return read.message() instanceof Request;
     }
@@ -500,13 +518,18 @@
 
     /** What the exchange has sent to an end, or with -1 anywhere, and nobody has taken yet. */
     List<Message> sentTo(int port) {
-        return flying.stream().filter(one -> one.from == EXCHANGE && (port < 0 || one.to == port))
-                .map(Flying::message).toList();
+        return flying.stream()
+                .filter(one -> one.from == EXCHANGE && (port < 0 || one.to == port))
+                .map(Flying::message)
+                .toList();
     }
 
     private boolean busy() {
-        return ends.values().stream().anyMatch(end -> end.calls.open() + end.calls.transactions().open() > 0)
-                || decider.size() > 0 || contacts.open() > 0;
+        return ends.values().stream()
+                        .anyMatch(end ->
+                                end.calls.open() + end.calls.transactions().open() > 0)
+                || decider.size() > 0
+                || contacts.open() > 0;
     }
 
     private boolean old() {
@@ -542,11 +565,16 @@
         if (busy() || !estate.wills().isEmpty()) {
             StringBuilder left = new StringBuilder("at the end: roll " + decider.size() + ", contacts "
                     + contacts.open() + ", wills " + estate.wills().size());
-            ends.forEach((port, end) -> left.append(", ").append(port).append(" dialogs ").append(end.calls.open())
-                    .append(" transactions ").append(end.calls.transactions().open()));
+            ends.forEach((port, end) -> left.append(", ")
+                    .append(port)
+                    .append(" dialogs ")
+                    .append(end.calls.open())
+                    .append(" transactions ")
+                    .append(end.calls.transactions().open()));
             rules.wrong("quiet", left.toString());
         }
-        if (decider.switchboard().toward(1).free != plan.circuits || decider.switchboard().toward(2).free != 4) {
+        if (decider.switchboard().toward(1).free != plan.circuits
+                || decider.switchboard().toward(2).free != 4) {
             rules.wrong("quiet", "circuits are still held");
         }
     }
--- a/src/test/java/martenslip/expect/ExampleTest.java
+++ b/src/test/java/martenslip/expect/ExampleTest.java
@@ -73,16 +73,25 @@
             String line = "<group name=\"" + group + "\" far=\"" + tandem + "\" circuits=\"60\"/>";
             String prefix = String.format("<prefix digits=\"+91484%02d\" exchange=\"%d\"/>", tandem, tandem);
             all.add(new Object[] {line, line.replace("60", "1"), desk, "pickup-slot to " + desk + " goes direct"});
-            all.add(new Object[] {prefix, prefix + String.format("<prefix digits=\"+91484%02d00\" exchange=\"1\"/>", tandem),
-                desk, "label-status to " + desk + " goes direct"});
+            all.add(new Object[] {
+                prefix,
+                prefix + String.format("<prefix digits=\"+91484%02d00\" exchange=\"1\"/>", tandem),
+                desk,
+                "label-status to " + desk + " goes direct"
+            });
         }
-        all.add(new Object[] {"name=\"pickup-slot\" value=\"8\" width=\"2\"", "name=\"pickup-slot\" value=\"8\" width=\"61\"",
-            "", "pickup-slot to desk3.example.org goes direct"});
+        all.add(new Object[] {
+            "name=\"pickup-slot\" value=\"8\" width=\"2\"",
+            "name=\"pickup-slot\" value=\"8\" width=\"61\"",
+            "",
+            "pickup-slot to desk3.example.org goes direct"
+        });
         return all.toArray(new Object[0][]);
     }
 
     @Test(dataProvider = "breaks")
-    public void aPlantedBreakIsNamedAndNoneBeside(String was, String becomes, String touched, String named) throws Exception {
+    public void aPlantedBreakIsNamedAndNoneBeside(String was, String becomes, String touched, String named)
+            throws Exception {
         String xml = Files.readString(FOLDER.resolve("desk07.xml"));
         assertTrue(xml.contains(was), was);
         Site site = site(xml.replace(was, becomes));
@@ -93,11 +102,15 @@
         List<String> broken = new ArrayList<>();
         for (Expectation one : read.expectations()) {
             // A tandem with a single circuit is still drawn, and what it was drawn for is deferred near full.
-            boolean mentions = one.text().contains(touched) || becomes.contains("\"1\"") && one.text().contains("tandems");
+            boolean mentions = one.text().contains(touched)
+                    || becomes.contains("\"1\"") && one.text().contains("tandems");
             // Of those that may not mind, every tenth.
-            if ((one.text().contains(touched) || one.line() % 10 == 0) && !check.of(one).holds()) {
+            if ((one.text().contains(touched) || one.line() % 10 == 0)
+                    && !check.of(one).holds()) {
                 broken.add(one.text());
-                assertTrue(mentions, "broken beside: " + one.text() + ": " + check.of(one).why());
+                assertTrue(
+                        mentions,
+                        "broken beside: " + one.text() + ": " + check.of(one).why());
             }
         }
         assertTrue(broken.stream().anyMatch(one -> one.startsWith(named)), named + " not in " + broken);
--- a/src/test/java/martenslip/expect/ExpectTest.java
+++ b/src/test/java/martenslip/expect/ExpectTest.java
@@ -33,21 +33,37 @@
         StringBuilder prefixes = new StringBuilder();
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < 5; i++) {
-            prefixes.append("<prefix digits='+770").append(i).append("' exchange='").append(i).append("'/>");
+            prefixes.append("<prefix digits='+770")
+                    .append(i)
+                    .append("' exchange='")
+                    .append(i)
+                    .append("'/>");
         }
-        groups.forEach((far, circuits) -> lines.append("<group name='g-").append(Math.min(far, number)).append('-')
-                .append(Math.max(far, number)).append("' far='").append(far).append("' circuits='").append(circuits)
+        groups.forEach((far, circuits) -> lines.append("<group name='g-")
+                .append(Math.min(far, number))
+                .append('-')
+                .append(Math.max(far, number))
+                .append("' far='")
+                .append(far)
+                .append("' circuits='")
+                .append(circuits)
                 .append("'/>"));
-        return SiteFile.read("test", ("<exchange xmlns='urn:martenslip:exchange:1' number='" + number
-                + "' region='north' seed='1'><listen host='127.0.0.1' udp='0'/><circuits uri='sip:c@127.0.0.1:9'/>"
-                + "<switch-list uri='sip:s@127.0.0.1:9' kept='k.xml'/><regions><region name='north'/><region name='south'/>"
-                + "</regions><skills usual='status'><skill name='status' value='1' width='1' answer-target-ms='1200' "
-                + "patience-ms='4000' mean-hold-ms='3000'/><skill name='slot' value='8' width='4' answer-target-ms='1200' "
-                + "patience-ms='4000' mean-hold-ms='3000' resource-priority='q735.1'/></skills><numbering>" + prefixes
-                + "</numbering><groups trunk-context='t.example'>" + lines + "</groups><limits most-rings='5' "
-                + "most-open='1000' come-back-ms='1000' silence-ms='600'/><rules release-ms='500' "
-                + "cold-share='0.3' warm-within-ms='10000' fall-multiple='3'/>"
-                + "<reports fields='allowed depth'/><peers/></exchange>").getBytes(StandardCharsets.UTF_8), Path.of("."));
+        return SiteFile.read(
+                "test",
+                ("<exchange xmlns='urn:martenslip:exchange:1' number='" + number
+                                + "' region='north' seed='1'><listen host='127.0.0.1' udp='0'/><circuits uri='sip:c@127.0.0.1:9'/>"
+                                + "<switch-list uri='sip:s@127.0.0.1:9' kept='k.xml'/><regions><region name='north'/><region name='south'/>"
+                                + "</regions><skills usual='status'><skill name='status' value='1' width='1' answer-target-ms='1200' "
+                                + "patience-ms='4000' mean-hold-ms='3000'/><skill name='slot' value='8' width='4' answer-target-ms='1200' "
+                                + "patience-ms='4000' mean-hold-ms='3000' resource-priority='q735.1'/></skills><numbering>"
+                                + prefixes
+                                + "</numbering><groups trunk-context='t.example'>" + lines
+                                + "</groups><limits most-rings='5' "
+                                + "most-open='1000' come-back-ms='1000' silence-ms='600'/><rules release-ms='500' "
+                                + "cold-share='0.3' warm-within-ms='10000' fall-multiple='3'/>"
+                                + "<reports fields='allowed depth'/><peers/></exchange>")
+                        .getBytes(StandardCharsets.UTF_8),
+                Path.of("."));
     }
 
     private static Map<Integer, Site> world(Map<Integer, Integer> own) throws Exception {
@@ -69,17 +85,22 @@
 
     @DataProvider
     public Object[][] holding() {
-        return new Object[][] {{"status to d1 goes direct"}, {"anything to d1 stands"},
-            {"status from d0 to d4 goes via d1 or d2 or d3, else via d1 or d2"}, {"nothing to d4 goes direct"},
+        return new Object[][] {
+            {"status to d1 goes direct"},
+            {"anything to d1 stands"},
+            {"status from d0 to d4 goes via d1 or d2 or d3, else via d1 or d2"},
+            {"nothing to d4 goes direct"},
             {"status to d1 goes via d2 or d3 while group g-0-1 is full"},
             {"status to d1 may go via d2 while group g-0-1 is full"},
             {"status to d1 at least 20% goes via d2 while group g-0-1 is full"},
-            {"nothing goes via d2 while it is draining"}, {"anything to d1 never is deferred"},
+            {"nothing goes via d2 while it is draining"},
+            {"anything to d1 never is deferred"},
             {"status to d1 is deferred while group g-0-1 is full and group g-0-2 is full and group g-0-3 is full"},
             {"slot to d1 goes via d2 or d3 while group g-0-1 has 3 free"},
             {"status to d1 goes direct while group g-0-1 has 20 free"},
             {"status to d1 never stands while d1 is silent and d2 is cold"},
-            {"anything to d1 goes direct while region south is cut off and d2 is cold"}};
+            {"anything to d1 goes direct while region south is cut off and d2 is cold"}
+        };
     }
 
     @Test(dataProvider = "holding")
@@ -90,12 +111,18 @@
 
     @DataProvider
     public Object[][] broken() {
-        return new Object[][] {{"status to d1 goes via d2", "direct (stood)"}, {"anything to d4 is deferred", "stood"},
-            {"status to d1 never goes direct", "direct (stood)"}, {"nothing goes via d2", "via d2"},
+        return new Object[][] {
+            {"status to d1 goes via d2", "direct (stood)"},
+            {"anything to d4 is deferred", "stood"},
+            {"status to d1 never goes direct", "direct (stood)"},
+            {"nothing goes via d2", "via d2"},
             {"status to d1 at least 90% goes via d2 while group g-0-1 is full", "% of 300 trials"},
             {"status to d1 may go via d3", "never did in 60 trials"},
-            {"status to d1 stands while group g-0-1 is full and group g-0-2 is full and group g-0-3 is full",
-                "was deferred"}};
+            {
+                "status to d1 stands while group g-0-1 is full and group g-0-2 is full and group g-0-3 is full",
+                "was deferred"
+            }
+        };
     }
 
     @Test(dataProvider = "broken")
@@ -112,10 +139,18 @@
                 + "nothing goes via d3 while it is draining\nanything to d4 stands";
         assertTrue(check(world(OWN), lines).stream().allMatch(Check.Verdict::holds));
         List<Check.Verdict> noRoute = check(world(Map.of(2, 30, 3, 30)), lines);
-        assertEquals(noRoute.stream().filter(one -> !one.holds()).map(one -> one.expectation().text()).toList(),
+        assertEquals(
+                noRoute.stream()
+                        .filter(one -> !one.holds())
+                        .map(one -> one.expectation().text())
+                        .toList(),
                 List.of("status to d1 goes direct"));
         List<Check.Verdict> shrunk = check(world(Map.of(1, 30, 2, 2, 3, 30)), lines);
-        assertEquals(shrunk.stream().filter(one -> !one.holds()).map(one -> one.expectation().text()).toList(),
+        assertEquals(
+                shrunk.stream()
+                        .filter(one -> !one.holds())
+                        .map(one -> one.expectation().text())
+                        .toList(),
                 List.of("slot to d2 goes direct"));
     }
 
@@ -133,14 +168,18 @@
 
     @DataProvider
     public Object[][] malformed() {
-        return new Object[][] {{"status to d9x goes direct", "line 6, column 11: no desk or set is called d9x"},
+        return new Object[][] {
+            {"status to d9x goes direct", "line 6, column 11: no desk or set is called d9x"},
             {"statu to d1 stands", "no skill is called statu; did you mean status?"},
-            {"status to d1 goes sideways", "column 19"}, {"status to d1 at least 200% stands", "over 100%"},
+            {"status to d1 goes sideways", "column 19"},
+            {"status to d1 at least 200% stands", "over 100%"},
             {"status to d1 stands while group g-0-9 is full", "no group is called g-0-9; did you mean g-0-1?"},
             {"status to d1 stands while group g-0-1 has 31 free", "has 30 circuits in all"},
             {"status from d1 to d2 stands", "is not the exchange of this file"},
             {"status to d1 stands while it is cold", "it names no desk here"},
-            {"desk d1 is exchange 1", "defined already"}, {"desk q is exchange 77", "no number leads to exchange 77"}};
+            {"desk d1 is exchange 1", "defined already"},
+            {"desk q is exchange 77", "no number leads to exchange 77"}
+        };
     }
 
     @Test(dataProvider = "malformed")
@@ -155,32 +194,44 @@
     }
 
     private static List<Contradictions.Pair> contradictions(String lines) throws Exception {
-        return Contradictions.among(ExpectFile.read("test.expect", DESKS + "set all = d1, d2, d3\n" + lines,
-                world(OWN).get(0)).expectations());
+        return Contradictions.among(ExpectFile.read(
+                        "test.expect",
+                        DESKS + "set all = d1, d2, d3\n" + lines,
+                        world(OWN).get(0))
+                .expectations());
     }
 
     @DataProvider
     public Object[][] contradictory() {
-        return new Object[][] {{"status to d1 goes direct\nstatus to d1 goes via d2", true},
+        return new Object[][] {
+            {"status to d1 goes direct\nstatus to d1 goes via d2", true},
             {"status to all goes direct\nstatus to d1 never goes direct", true},
             {"status to d1 stands\nanything to d1 is deferred", true},
             {"status to d1 at least 60% goes via d2\nstatus to d1 at least 50% goes via d3", true},
             {"status to d1 at least 50% goes via d2\nstatus to d1 at least 50% goes via d3", false},
-            {"status to d4 at least 40% goes via d1\nstatus to d4 at least 40% goes via d2\n"
-                + "status to d4 at least 40% goes via d3", true},
-            {"status to d4 at least 40% goes via d1\nstatus to d4 at least 40% goes via d2\n"
-                + "status to d4 at least 40% goes via d2 or d3", false},
+            {
+                "status to d4 at least 40% goes via d1\nstatus to d4 at least 40% goes via d2\n"
+                        + "status to d4 at least 40% goes via d3",
+                true
+            },
+            {
+                "status to d4 at least 40% goes via d1\nstatus to d4 at least 40% goes via d2\n"
+                        + "status to d4 at least 40% goes via d2 or d3",
+                false
+            },
             {"status to d4 goes via d1 or d2\nnothing goes via d1", false},
             {"status to d4 goes via d1\nnothing goes via d1", true},
             {"status to d1 goes direct\nstatus to d1 goes via d2 while group g-0-1 is full", false},
             {"status to d1 goes via d2 while d3 is cold\nstatus to d1 goes via d3 while d3 is draining", false},
             {"status to d1 goes via d2 while d3 is cold\nstatus to d1 goes direct while d2 is cold", true},
-            {"status to d1 goes direct\nslot to d1 goes via d2", false}};
+            {"status to d1 goes direct\nslot to d1 goes via d2", false}
+        };
     }
 
     @Test(dataProvider = "contradictory")
     public void contradictionsAreFoundBeforeAnythingRuns(String lines, boolean found) throws Exception {
-        assertEquals(!contradictions(lines).isEmpty(), found, contradictions(lines).toString());
+        assertEquals(
+                !contradictions(lines).isEmpty(), found, contradictions(lines).toString());
     }
 
     /** Against brute force: all first ways and ends of all contacts in a state, with every expectation held to them. */
@@ -213,8 +264,8 @@
         Often often = chance.nextInt(3) == 0 ? Often.NEVER : Often.ALWAYS;
         List<Condition> conditions = new ArrayList<>();
         if (chance.nextInt(2) == 0) {
-            conditions.add(new Condition.Desk(1 + chance.nextInt(2),
-                    chance.nextBoolean() ? Condition.State.COLD : Condition.State.DRAINING));
+            conditions.add(new Condition.Desk(
+                    1 + chance.nextInt(2), chance.nextBoolean() ? Condition.State.COLD : Condition.State.DRAINING));
         }
         Set<Integer> to = chance.nextBoolean() ? Set.of() : Set.of(4 + chance.nextInt(2));
         return new Expectation(line, "drawn", chance.nextInt(3) - 1, Set.of(), to, often, 100, outcome, conditions);
@@ -234,7 +285,8 @@
     }
 
     private static boolean speaks(Expectation one, int skill, int to) {
-        return (one.skill() < 0 || one.skill() == skill) && (one.to().isEmpty() || one.to().contains(to));
+        return (one.skill() < 0 || one.skill() == skill)
+                && (one.to().isEmpty() || one.to().contains(to));
     }
 
     private static boolean sharedState(Expectation one, Expectation other) {
@@ -269,9 +321,9 @@
 
     /** A first ring, 0 direct and -1 none, and an end: 0 standing, 1 deferred, 2 abandoned. */
     private static boolean suits(Expectation one, int first, int end) {
-        boolean is = one.outcome() instanceof Outcome.Stands ? end == 0
-                : one.outcome() instanceof Outcome.Deferred ? end == 1
-                : goes((Outcome.Goes) one.outcome(), first);
+        boolean is = one.outcome() instanceof Outcome.Stands
+                ? end == 0
+                : one.outcome() instanceof Outcome.Deferred ? end == 1 : goes((Outcome.Goes) one.outcome(), first);
         return is == (one.often() != Often.NEVER);
     }
 
--- a/src/test/java/martenslip/measured/Structures.java
+++ b/src/test/java/martenslip/measured/Structures.java
@@ -49,7 +49,7 @@
         @Setup(Level.Trial)
         public void fill() {
             for (int i = 0; i < STANDING; i++) {
-                set.add(wheel.after(Span.ofMillis(500 + chance.nextInt(30_000)), () -> { }));
+                set.add(wheel.after(Span.ofMillis(500 + chance.nextInt(30_000)), () -> {}));
                 long[] one = {500 + chance.nextInt(30_000), 1};
                 heap.add(one);
                 due.add(one);
@@ -60,7 +60,7 @@
     /** Sets one, takes the oldest back, and turns a millisecond each 16 times. */
     @Benchmark
     public void timersWheel(Timers on) {
-        on.set.add(on.wheel.after(Span.ofMillis(500 + on.chance.nextInt(30_000)), () -> { }));
+        on.set.add(on.wheel.after(Span.ofMillis(500 + on.chance.nextInt(30_000)), () -> {}));
         on.set.poll().cancel();
         if ((++on.now & 15) == 0) {
             on.wheel.turn(new Moment((on.now >> 4) * 1_000_000));
@@ -125,6 +125,7 @@
     public static class Inbox {
         @Param({"ArrayBlockingQueue", "LinkedBlockingQueue"})
         String kind;
+
         Queue<Object> queue;
 
         @Setup(Level.Iteration)
--- a/src/test/java/martenslip/platform/ConfigurationTest.java
+++ b/src/test/java/martenslip/platform/ConfigurationTest.java
@@ -29,22 +29,40 @@
     @DataProvider
     public Object[][] wrong() {
         List<Object[]> all = new ArrayList<>();
-        for (Map.Entry<String, String> one : Map.of("family-info.mean-hold-ns", "\"mean-hold-ns\":[10000000000,5000000000]",
-                "family-info.widths", "\"widths\":[1,1]", "family-info.home-no", "\"home-no\":0", "family-info.release-ns",
-                "\"release-ns\":200000000", "guarantees.warm-within-ns", "\"warm-within-ns\":1000000000",
-                "guarantees.cold-share", "\"cold-share\":0.3", "policy-limits.send-cap", "\"send-cap\":5",
-                "policy-limits.max-open", "\"max-open\":50", "round-ns", "\"round-ns\":5000000",
-                "me", "\"me\":0").entrySet()) {
+        for (Map.Entry<String, String> one : Map.of(
+                        "family-info.mean-hold-ns",
+                        "\"mean-hold-ns\":[10000000000,5000000000]",
+                        "family-info.widths",
+                        "\"widths\":[1,1]",
+                        "family-info.home-no",
+                        "\"home-no\":0",
+                        "family-info.release-ns",
+                        "\"release-ns\":200000000",
+                        "guarantees.warm-within-ns",
+                        "\"warm-within-ns\":1000000000",
+                        "guarantees.cold-share",
+                        "\"cold-share\":0.3",
+                        "policy-limits.send-cap",
+                        "\"send-cap\":5",
+                        "policy-limits.max-open",
+                        "\"max-open\":50",
+                        "round-ns",
+                        "\"round-ns\":5000000",
+                        "me",
+                        "\"me\":0")
+                .entrySet()) {
             String name = one.getValue().substring(0, one.getValue().indexOf(':') + 1);
-            for (String bad : new String[] {"\"many\"", "-2", "\"NaN\"", "1e300", "{\"a\":1}", "\"Infinity\"", "true"}) {
+            for (String bad :
+                    new String[] {"\"many\"", "-2", "\"NaN\"", "1e300", "{\"a\":1}", "\"Infinity\"", "true"}) {
                 all.add(new Object[] {one.getKey(), one.getValue(), name + bad});
             }
         }
         all.add(new Object[] {"policy-limits.cancel", "\"cancel\":true", "\"cancel\":\"yes\""});
         all.add(new Object[] {"policy-limits.peers", "\"peers\":false", "\"peers\":0"});
         all.add(new Object[] {"classes.0.worth", "\"worth\":1}", "\"worth\":\"dear\"}"});
-        all.add(new Object[] {"classes.1.hard-limit-ns", "\"hard-limit-ns\":9000000000,\"worth\":8",
-            "\"hard-limit-ns\":-1,\"worth\":8"});
+        all.add(new Object[] {
+            "classes.1.hard-limit-ns", "\"hard-limit-ns\":9000000000,\"worth\":8", "\"hard-limit-ns\":-1,\"worth\":8"
+        });
         return all.toArray(Object[][]::new);
     }
 
--- a/src/test/java/martenslip/platform/CrossingTest.java
+++ b/src/test/java/martenslip/platform/CrossingTest.java
@@ -35,11 +35,17 @@
         world = new StandIn();
         machines = world.machines(2);
         feed = world.new Feed();
-        String list = event(1, true, line("s-0", machines.get(0).port(), 0, "up"),
+        String list = event(
+                1,
+                true,
+                line("s-0", machines.get(0).port(), 0, "up"),
                 line("s-1", machines.get(1).port(), 1, "up"));
         feed.tell(list);
-        serve = new Serve(StandIn.written(StandIn.configuration(feed.port(), list)), Logic::new,
-                new PrintStream(OutputStream.nullOutputStream()), sockets);
+        serve = new Serve(
+                StandIn.written(StandIn.configuration(feed.port(), list)),
+                Logic::new,
+                new PrintStream(OutputStream.nullOutputStream()),
+                sockets);
         serve.open();
     }
 
@@ -51,7 +57,12 @@
     }
 
     /** What ends a set-up for its caller. */
-    enum Leaves { CANCEL, BYE, END, RESET }
+    enum Leaves {
+        CANCEL,
+        BYE,
+        END,
+        RESET
+    }
 
     @DataProvider
     public Object[][] leaves() {
@@ -196,7 +207,11 @@
         assertEquals(machine.next("FINISH").tag(), TAG);
         Said second = machine.next("START");
         assertEquals(second.tag(), TAG);
-        machine.links.stream().filter(link -> link != second.by()).findFirst().orElseThrow().close();
+        machine.links.stream()
+                .filter(link -> link != second.by())
+                .findFirst()
+                .orElseThrow()
+                .close();
         linked(machine, 3);
         // Asked on the new connection, it answers behind all that it said there by itself.
         new Said(machine.links.get(2), "", OTHER, "").finish(16, "");
@@ -222,8 +237,9 @@
         Said swallowed = machine.next("START");
         for (java.net.Socket other : machine.links) {
             if (other != swallowed.by()) {
-                other.getOutputStream().write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:9;x1:9\"}}\n"
-                        .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+                other.getOutputStream()
+                        .write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:9;x1:9\"}}\n"
+                                .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             }
         }
         assertTrue(silent.next().startsWith("SIP/2.0 50"), "answered in its time");
--- a/src/test/java/martenslip/platform/FlatTest.java
+++ b/src/test/java/martenslip/platform/FlatTest.java
@@ -19,12 +19,22 @@
                 {"classes":[{"name":"a b,c","aim-ns":1200000000,"stream":true,"worth":8.0}],"round-ns":5000000,
                  "family-info":{"widths":[1,2],"class-cells":[]},"zones":["x","y z"],"empty":null,
                  "nested":[[1,2],[3]]}""");
-        assertEquals(flat, Map.ofEntries(Map.entry("classes.count", "1"), Map.entry("classes.0.name", "a_b_c"),
-                Map.entry("classes.0.aim-ns", "1200000000"), Map.entry("classes.0.stream", "true"),
-                Map.entry("classes.0.worth", "8.0"), Map.entry("round-ns", "5000000"),
-                Map.entry("family-info.widths", "1,2"), Map.entry("family-info.class-cells", ""),
-                Map.entry("zones", "x,y_z"), Map.entry("empty", ""), Map.entry("nested.count", "2"),
-                Map.entry("nested.0", "1,2"), Map.entry("nested.1", "3")));
+        assertEquals(
+                flat,
+                Map.ofEntries(
+                        Map.entry("classes.count", "1"),
+                        Map.entry("classes.0.name", "a_b_c"),
+                        Map.entry("classes.0.aim-ns", "1200000000"),
+                        Map.entry("classes.0.stream", "true"),
+                        Map.entry("classes.0.worth", "8.0"),
+                        Map.entry("round-ns", "5000000"),
+                        Map.entry("family-info.widths", "1,2"),
+                        Map.entry("family-info.class-cells", ""),
+                        Map.entry("zones", "x,y_z"),
+                        Map.entry("empty", ""),
+                        Map.entry("nested.count", "2"),
+                        Map.entry("nested.0", "1,2"),
+                        Map.entry("nested.1", "3")));
     }
 
     @Test(expectedExceptions = IOException.class)
--- a/src/test/java/martenslip/platform/RehearsalTest.java
+++ b/src/test/java/martenslip/platform/RehearsalTest.java
@@ -14,8 +14,10 @@
 
     @Test
     public void aControllerThatCantBeMadeFailsTheBuild() {
-        assertThrows(IllegalStateException.class, () -> Rehearsal.run((settings, seed, now, orders) -> {
-            throw new IllegalStateException("planted");
-        }));
+        assertThrows(
+                IllegalStateException.class,
+                () -> Rehearsal.run((settings, seed, now, orders) -> {
+                    throw new IllegalStateException("planted");
+                }));
     }
 }
--- a/src/test/java/martenslip/platform/ServeTest.java
+++ b/src/test/java/martenslip/platform/ServeTest.java
@@ -47,7 +47,11 @@
     }
 
     private String list(String state) {
-        return event(1, true, line("s-0", machines.get(0).port(), 0, "up"), line("s-1", machines.get(1).port(), 1, state),
+        return event(
+                1,
+                true,
+                line("s-0", machines.get(0).port(), 0, "up"),
+                line("s-1", machines.get(1).port(), 1, state),
                 line("s-2", machines.get(2).port(), 2, "up"));
     }
 
@@ -111,7 +115,11 @@
         again.started("whole");
         assertTrue(line.next().endsWith("whole"));
         standing.by().close();
-        machines.get(1).links.stream().filter(link -> !link.isClosed()).findFirst().orElseThrow().getOutputStream()
+        machines.get(1).links.stream()
+                .filter(link -> !link.isClosed())
+                .findFirst()
+                .orElseThrow()
+                .getOutputStream()
                 .write(("{\"verb\":\"FINISH\",\"tag\":\"" + TAG + "\",\"opts\":{},\"rc\":16}\n").getBytes());
         assertTrue(line.next().contains("Call-ID: " + TAG));
     }
@@ -123,13 +131,16 @@
         Said standing = stood(line);
         Machine machine = machines.get(1);
         java.net.Socket first = standing.by();
-        java.net.Socket second = machine.links.stream().filter(link -> link != first).findFirst().orElseThrow();
-        first.getOutputStream().write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:0;x1:9\"}}\n".getBytes());
+        java.net.Socket second =
+                machine.links.stream().filter(link -> link != first).findFirst().orElseThrow();
+        first.getOutputStream()
+                .write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:0;x1:9\"}}\n".getBytes());
         // Heard by the order of one connection: the switch's release of an unknown id is answered after the state.
         new Said(first, "", OTHER, "").finish(16, "");
         machine.next("FINISHED");
-        second.getOutputStream().write(("{\"verb\":\"FINISH\",\"tag\":\"" + TAG
-                + "\",\"opts\":{\"load\":\"x0:1;x1:9\"},\"rc\":16}\n").getBytes());
+        second.getOutputStream()
+                .write(("{\"verb\":\"FINISH\",\"tag\":\"" + TAG + "\",\"opts\":{\"load\":\"x0:1;x1:9\"},\"rc\":16}\n")
+                        .getBytes());
         assertTrue(line.next().startsWith("BYE "));
         line.invite(OTHER, "cheap", 400, BODY);
         assertTrue(line.next().startsWith("SIP/2.0 5"), "it is refused, or goes over the tandem, which says nothing");
@@ -181,8 +192,12 @@
 
     @DataProvider
     public Object[][] broken() {
-        return new Object[][] {{"id: 2\ndata: {\"pos\":2,\"hosts\":{\"inst"}, {"id: 2\ndata: nonsense\n\n"},
-            {"id: 2\ndata: {\"pos\":2}\n\n"}, {""}};
+        return new Object[][] {
+            {"id: 2\ndata: {\"pos\":2,\"hosts\":{\"inst"},
+            {"id: 2\ndata: nonsense\n\n"},
+            {"id: 2\ndata: {\"pos\":2}\n\n"},
+            {""}
+        };
     }
 
     /** The feed breaks off amid an event; it is asked for again from the last whole one, and doubles are skipped. */
@@ -192,9 +207,13 @@
         assertEquals(feed.asked(), 1);
         feed.broken = spoilt;
         assertEquals(feed.asked(), 1);
-        feed.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "removed"),
+        feed.tell(event(
+                2,
+                false,
+                line("s-1", machines.get(1).port(), 1, "removed"),
                 line("s-7", machines.get(2).port(), 1, "up")));
-        // Two connections to each switch: four once the new one at the same address is known. That it has told its state
+        // Two connections to each switch: four once the new one at the same address is known. That it has told its
+        // state
         // is one thing more, and a busy machine may take it up later.
         StandIn.awaits(serve, () -> machines.get(2).links.size() >= 4 && serve.groupsTold());
         line.invite(TAG, "dear", 3000, BODY);
@@ -302,7 +321,9 @@
     public Object[][] configurations() {
         String good = StandIn.configuration(1, event(1, true));
         return new Object[][] {
-            {"{", "end-of-input"}, {"[]", "no object"}, {good.replace("\"seed\"", "\"sead\""), "seed is missing"},
+            {"{", "end-of-input"},
+            {"[]", "no object"},
+            {good.replace("\"seed\"", "\"sead\""), "seed is missing"},
             {good.replace("00000000000000aa", "x"), "seed is no number"},
             {good.replace("127.0.0.1:1\"", "somewhere:1\""), "journal: somewhere:1 is no address"},
             {good.replace("\"sockets\":64", "\"sockets\":\"many\""), "limits.sockets is missing or no number"},
@@ -343,11 +364,17 @@
         String fit = "Call-Kind: dear\r\nAnswer-Within: 900\r\nRouting-Data: dest:1;width:1;via:-1\r\n";
         String head = "INVITE sip:00000000000000bb@net SIP/2.0\r\nCall-ID: " + TAG + "\r\nCSeq: 1 INVITE\r\n" + fit;
         return new Object[][] {
-            {""}, {"\u0000\u0001\u0002\u0003\r\n\r\n"}, {"GET / HTTP/1.1\r\n\r\n"},
-            {head + "Content-Length: 60000000\r\n\r\n"}, {head + "Content-Length: -1\r\n\r\n"},
-            {head + "Content-Length: 99999999999999999999\r\n\r\n"}, {head + "Content-Length: many\r\n\r\n"},
-            {head + "Content-Length: 10\r\n\r\nhalf"}, {head + "X: " + "y".repeat(40_000)},
-            {head + "\r\nno length"}, {head + "Content-Length: 4\r\nContent-Length: 9\r\n\r\nbody"},
+            {""},
+            {"\u0000\u0001\u0002\u0003\r\n\r\n"},
+            {"GET / HTTP/1.1\r\n\r\n"},
+            {head + "Content-Length: 60000000\r\n\r\n"},
+            {head + "Content-Length: -1\r\n\r\n"},
+            {head + "Content-Length: 99999999999999999999\r\n\r\n"},
+            {head + "Content-Length: many\r\n\r\n"},
+            {head + "Content-Length: 10\r\n\r\nhalf"},
+            {head + "X: " + "y".repeat(40_000)},
+            {head + "\r\nno length"},
+            {head + "Content-Length: 4\r\nContent-Length: 9\r\n\r\nbody"},
             {head + "Content-Length: 4\r\n\r\nbody which is longer\r\n"},
             {head.replace(TAG, "short") + "Content-Length: 0\r\n\r\n"},
             {head.replace("dear", "unknown") + "Content-Length: 0\r\n\r\n"},
@@ -355,7 +382,8 @@
             {head.replace("Call-ID: " + TAG + "\r\n", "") + "Content-Length: 0\r\n\r\n"},
             {head.replace("INVITE ", "JUMP ") + "Content-Length: 0\r\n\r\n"},
             {(head + "Content-Length: 0\r\n\r\n").repeat(2)},
-            {Line.message("BYE", TAG, "", "")}, {Line.message("CANCEL", TAG, "", "")},
+            {Line.message("BYE", TAG, "", "")},
+            {Line.message("CANCEL", TAG, "", "")},
         };
     }
 
--- a/src/test/java/martenslip/platform/SignalsTest.java
+++ b/src/test/java/martenslip/platform/SignalsTest.java
@@ -47,7 +47,11 @@
     }
 
     private String list() {
-        return event(1, true, line("s-0", machines.get(0).port(), 0, "up"), line("s-1", machines.get(1).port(), 1, "up"));
+        return event(
+                1,
+                true,
+                line("s-0", machines.get(0).port(), 0, "up"),
+                line("s-1", machines.get(1).port(), 1, "up"));
     }
 
     private String configuration(StandIn.Feed from) {
@@ -55,8 +59,13 @@
     }
 
     private void start() throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "martenslip.cli.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "martenslip.cli.Main",
+                "serve");
         builder.environment().put("ROUTER_CONFIG", file.toString());
         process = builder.redirectErrorStream(true).start();
         said = new BufferedReader(new InputStreamReader(process.getInputStream()));
@@ -79,7 +88,11 @@
     }
 
     private void signal(String name) throws Exception {
-        assertEquals(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor(), 0);
+        assertEquals(
+                new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                        .start()
+                        .waitFor(),
+                0);
     }
 
     private Line caller() throws IOException {
--- a/src/test/java/martenslip/platform/StandIn.java
+++ b/src/test/java/martenslip/platform/StandIn.java
@@ -78,22 +78,27 @@
         Machine(int port) throws IOException {
             listener = serve(port, socket -> {
                 links.add(socket);
-                socket.getOutputStream().write(
-                        "{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:9;x1:9\"}}\n".getBytes(
-                                StandardCharsets.UTF_8));
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                        StandardCharsets.UTF_8));
+                socket.getOutputStream()
+                        .write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:9;x1:9\"}}\n"
+                                .getBytes(StandardCharsets.UTF_8));
+                BufferedReader in =
+                        new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     java.util.Map<?, ?> map = (java.util.Map<?, ?>) Json.read(line.getBytes(StandardCharsets.UTF_8));
-                    said.add(new Said(socket, (String) map.get("verb"), (String) map.get("tag"),
-                            (String) map.get("blob"), left(map)));
+                    said.add(new Said(
+                            socket,
+                            (String) map.get("verb"),
+                            (String) map.get("tag"),
+                            (String) map.get("blob"),
+                            left(map)));
                 }
             });
         }
 
         private static long left(java.util.Map<?, ?> line) {
             return line.get("opts") instanceof java.util.Map<?, ?> opts && opts.get("left") instanceof String left
-                    ? Long.parseLong(left) : -1;
+                    ? Long.parseLong(left)
+                    : -1;
         }
 
         int port() {
@@ -196,14 +201,16 @@
     }
 
     static String line(String id, int port, int number, String state) {
-        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:" + port + "\",\"zone\":\"east\",\"machineType\":"
-                + "\"std\",\"cell\":" + number + ",\"lifecycle\":\"" + state + "\",\"weight\":1,\"startedAtMs\":0}";
+        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:" + port
+                + "\",\"zone\":\"east\",\"machineType\":" + "\"std\",\"cell\":" + number + ",\"lifecycle\":\"" + state
+                + "\",\"weight\":1,\"startedAtMs\":0}";
     }
 
     static String configuration(int journal, String... events) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"seed\":\"00000000000000aa\",\"limits\":{\"cores\":1.0,"
                 + "\"memory_mb\":192,\"sockets\":64},\"journal\":\"127.0.0.1:" + journal + "\",\"known\":{\"pos\":"
-                + events.length + ",\"entries\":[" + String.join(",", events) + "]},\"settings\":{\"classes\":[{\"name\":"
+                + events.length + ",\"entries\":[" + String.join(",", events)
+                + "]},\"settings\":{\"classes\":[{\"name\":"
                 + "\"cheap\",\"aim-ns\":1000000000,\"hard-limit-ns\":9000000000,\"worth\":1},{\"name\":\"dear\","
                 + "\"aim-ns\":1000000000,\"hard-limit-ns\":9000000000,\"worth\":8}],\"zones\":[\"east\"],\"me\":0,"
                 + "\"family-info\":{\"mean-hold-ns\":[10000000000,5000000000],\"widths\":[1,1],\"home-no\":0,"
@@ -239,8 +246,12 @@
         }
 
         Line invite(String tag, String kind, int withinMs, String body) throws IOException {
-            return say(message("INVITE", tag, "Call-Kind: " + kind + "\r\nAnswer-Within: " + withinMs
-                    + "\r\nRouting-Data: dest:1;width:1;via:-1\r\n", body));
+            return say(message(
+                    "INVITE",
+                    tag,
+                    "Call-Kind: " + kind + "\r\nAnswer-Within: " + withinMs
+                            + "\r\nRouting-Data: dest:1;width:1;via:-1\r\n",
+                    body));
         }
 
         static String message(String method, String tag, String more, String body) {
