--- a/src/test/java/martenslip/platform/caller/CallersTest.java
+++ b/src/test/java/martenslip/platform/caller/CallersTest.java
@@ -27,8 +27,14 @@
 import org.testng.annotations.Test;
 
 public class CallersTest {
-    private static final Bounds TWO = new Bounds(2, Span.ofMillis(5000), Span.ofMillis(20_000), Span.ofMillis(1500),
-            100_000, Span.ofMillis(3000), Span.ofMillis(500));
+    private static final Bounds TWO = new Bounds(
+            2,
+            Span.ofMillis(5000),
+            Span.ofMillis(20_000),
+            Span.ofMillis(1500),
+            100_000,
+            Span.ofMillis(3000),
+            Span.ofMillis(500));
     private final LinkedBlockingQueue<SetUp> heard = new LinkedBlockingQueue<>();
     private CountDownLatch go;
     private volatile boolean full;
@@ -53,8 +59,12 @@
                 return super.accept();
             }
         };
-        callers = new Callers(new Terms(List.of("dear"), 10, Span.ofMillis(9000), Span.ofMillis(20)), TWO,
-                new Writers("test", 4), new Drops(), new Callers.Heard() {
+        callers = new Callers(
+                new Terms(List.of("dear"), 10, Span.ofMillis(9000), Span.ofMillis(20)),
+                TWO,
+                new Writers("test", 4),
+                new Drops(),
+                new Callers.Heard() {
                     @Override
                     public boolean setUp(SetUp asked) {
                         return !full && heard.add(asked);
@@ -80,8 +90,10 @@
                     public boolean ready() {
                         return true;
                     }
-                }, listener);
-        at = new InetSocketAddress(InetAddress.getLoopbackAddress(),
+                },
+                listener);
+        at = new InetSocketAddress(
+                InetAddress.getLoopbackAddress(),
                 callers.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
     }
 
@@ -102,9 +114,11 @@
     }
 
     private static void invite(Socket socket, int number) throws IOException {
-        say(socket, "INVITE sip:00000000000000aa@net SIP/2.0\r\nCall-ID: " + String.format("%016x", number)
-                + "\r\nCSeq: 1 INVITE\r\nCall-Kind: dear\r\nAnswer-Within: 900\r\nRouting-Data: dest:1\r\n"
-                + "Content-Length: 0\r\n\r\n");
+        say(
+                socket,
+                "INVITE sip:00000000000000aa@net SIP/2.0\r\nCall-ID: " + String.format("%016x", number)
+                        + "\r\nCSeq: 1 INVITE\r\nCall-Kind: dear\r\nAnswer-Within: 900\r\nRouting-Data: dest:1\r\n"
+                        + "Content-Length: 0\r\n\r\n");
     }
 
     private SetUp next() throws InterruptedException {
@@ -123,7 +137,8 @@
 
     @Test
     public void aQuietLineMakesRoomAndOneThatIsOwedAnAnswerDoesNot() throws Exception {
-        try (Socket quiet = line(); Socket owed = line()) {
+        try (Socket quiet = line();
+                Socket owed = line()) {
             invite(owed, 1);
             long waiting = next().line();
             try (Socket third = line()) {
@@ -141,7 +156,8 @@
         try (Socket unread = line()) {
             say(unread, "SIP/2.0 200 OK\r\nCall-ID: 0000000000000009\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n");
             invite(unread, 1);
-            try (Socket quiet = line(); Socket third = line()) {
+            try (Socket quiet = line();
+                    Socket third = line()) {
                 assertTrue(ended(quiet));
                 invite(third, 2);
                 assertEquals(next().tag(), String.format("%016x", 2));
@@ -153,7 +169,8 @@
 
     @Test
     public void whereAllAreOwedAnAnswerOnlyTheNewOneIsEnded() throws Exception {
-        try (Socket one = line(); Socket two = line()) {
+        try (Socket one = line();
+                Socket two = line()) {
             invite(one, 1);
             invite(two, 2);
             next();
@@ -168,7 +185,8 @@
     /** What comes while the connections are ended has an owner: it is read, handed up and answered before its own is. */
     @Test
     public void hangingUpWaitsForWhatItsReaderIsAmidOf() throws Exception {
-        try (Socket unread = line(); Socket quiet = line()) {
+        try (Socket unread = line();
+                Socket quiet = line()) {
             say(unread, "SIP/2.0 200 OK\r\nCall-ID: 0000000000000009\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n");
             invite(unread, 1);
             say(quiet, "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
@@ -215,8 +233,10 @@
             SetUp cancelled = next();
             SetUp left = next();
             assertTrue(!cancelled.caller().made());
-            say(socket, "CANCEL sip:00000000000000aa@net SIP/2.0\r\nCall-ID: " + cancelled.tag()
-                    + "\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n");
+            say(
+                    socket,
+                    "CANCEL sip:00000000000000aa@net SIP/2.0\r\nCall-ID: " + cancelled.tag()
+                            + "\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n");
             waits(cancelled);
             assertTrue(!left.caller().made());
             socket.close();
@@ -233,7 +253,8 @@
     /** A list that grows needs descriptors: quiet callers give theirs, one that is owed an answer keeps its own. */
     @Test
     public void fewerAllowedEndsQuietOnesAtOnce() throws Exception {
-        try (Socket owed = line(); Socket quiet = line()) {
+        try (Socket owed = line();
+                Socket quiet = line()) {
             invite(owed, 1);
             SetUp asked = next();
             while (callers.count() < 2) {
--- a/src/test/java/martenslip/platform/caller/FitTest.java
+++ b/src/test/java/martenslip/platform/caller/FitTest.java
@@ -45,8 +45,24 @@
     @Test
     public void figuresAreReadForWhatTheyAre() throws Fit.Unfit {
         SetUp asked = read(invite(TAG, URI, "text", "1500", "dest:2;width:1;via:-1;transit:1;again:1"));
-        assertEquals(asked, new SetUp(4, asked.invite(), TAG, "ff3a9c21e0b4d655", 1, new Moment(5),
-                Span.ofMillis(1500), 2, -1, 1, true, true, null, "c=\r\n", CALLER));
+        assertEquals(
+                asked,
+                new SetUp(
+                        4,
+                        asked.invite(),
+                        TAG,
+                        "ff3a9c21e0b4d655",
+                        1,
+                        new Moment(5),
+                        Span.ofMillis(1500),
+                        2,
+                        -1,
+                        1,
+                        true,
+                        true,
+                        null,
+                        "c=\r\n",
+                        CALLER));
     }
 
     @Test
--- a/src/test/java/martenslip/platform/desk/DeskTest.java
+++ b/src/test/java/martenslip/platform/desk/DeskTest.java
@@ -408,8 +408,22 @@
 
     @Test
     public void anInheritedContactIsReleasedLikeOthersAndNoNewsOfTheModule() {
-        SetUp asked = new SetUp(3, request("INVITE", 4), tag(4), "00000000000000aa", 0, new Moment(0), Span.ZERO, 0,
-                -1, 1, false, false, "s-1", "", new Withdrawal());
+        SetUp asked = new SetUp(
+                3,
+                request("INVITE", 4),
+                tag(4),
+                "00000000000000aa",
+                0,
+                new Moment(0),
+                Span.ZERO,
+                0,
+                -1,
+                1,
+                false,
+                false,
+                "s-1",
+                "",
+                new Withdrawal());
         desk.stoodBefore(asked, SWITCH);
         desk.stoodBefore(asked, SWITCH);
         assertEquals(desk.standing(), 1);
--- a/src/test/java/martenslip/platform/desk/DeskWorld.java
+++ b/src/test/java/martenslip/platform/desk/DeskWorld.java
@@ -30,13 +30,14 @@
     private static final Span STEP = Span.ofMillis(60);
     private static final long LINK = 9;
 
-    record Plan(int offers, int circuits, int refusals, boolean cancels, boolean breaks, boolean dies) { }
+    record Plan(int offers, int circuits, int refusals, boolean cancels, boolean breaks, boolean dies) {}
 
     private final Plan plan;
     private final Wheel wheel = new Wheel(new Moment(0));
     private final Desk desk;
     /** By tag: the switch where the ring is out, or where the contact stands. */
     private final Map<String, Long> ringing = new LinkedHashMap<>();
+
     private final Map<String, Long> standing = new LinkedHashMap<>();
     private final Map<String, Boolean> callers = new LinkedHashMap<>();
     private int offered;
@@ -64,10 +65,11 @@
     static Map<String, String> settings() {
         Map<String, String> all = new LinkedHashMap<>();
         for (String one : ("classes.count=2 classes.0.worth=1 classes.1.worth=8 classes.0.aim-ns=1000000000 "
-                + "classes.1.aim-ns=1000000000 family-info.mean-hold-ns=10000000000,5000000000 family-info.widths=1,1 "
-                + "family-info.home-no=0 family-info.release-ns=300000000 guarantees.warm-within-ns=10000000000 "
-                + "guarantees.cold-share=0.3 policy-limits.send-cap=5 policy-limits.cancel=true "
-                + "report.fields=spare,total,cut_by round-ns=5000000").split(" ")) {
+                        + "classes.1.aim-ns=1000000000 family-info.mean-hold-ns=10000000000,5000000000 family-info.widths=1,1 "
+                        + "family-info.home-no=0 family-info.release-ns=300000000 guarantees.warm-within-ns=10000000000 "
+                        + "guarantees.cold-share=0.3 policy-limits.send-cap=5 policy-limits.cancel=true "
+                        + "report.fields=spare,total,cut_by round-ns=5000000")
+                .split(" ")) {
             all.put(one.substring(0, one.indexOf('=')), one.substring(one.indexOf('=') + 1));
         }
         return all;
@@ -125,8 +127,22 @@
         String tag = TinyDesk.tag(number);
         callers.put(tag, true);
         rules.taken(tag, wheel.now().plus(PATIENCE).plus(SLACK));
-        desk.setUp(new SetUp(1, TinyDesk.request("INVITE", number), tag, "00000000000000aa", number % 2, wheel.now(),
-                PATIENCE, 1, -1, 1, false, false, null, "v=0", new Withdrawal()));
+        desk.setUp(new SetUp(
+                1,
+                TinyDesk.request("INVITE", number),
+                tag,
+                "00000000000000aa",
+                number % 2,
+                wheel.now(),
+                PATIENCE,
+                1,
+                -1,
+                1,
+                false,
+                false,
+                null,
+                "v=0",
+                new Withdrawal()));
     }
 
     private void stands(String tag, long target) {
--- a/src/test/java/martenslip/platform/desk/EveryDeskTest.java
+++ b/src/test/java/martenslip/platform/desk/EveryDeskTest.java
@@ -40,6 +40,8 @@
     /** The check itself: held to a longer release than the module knows, the same world must be found wanting. */
     @Test
     public void aReleaseThatIsTooShortIsFound() {
-        assertTrue(search(new Plan(1, 2, 2, true, false, false), 6, Span.ofMillis(400)).fault() != null);
+        assertTrue(search(new Plan(1, 2, 2, true, false, false), 6, Span.ofMillis(400))
+                        .fault()
+                != null);
     }
 }
--- a/src/test/java/martenslip/platform/desk/EveryQueueTest.java
+++ b/src/test/java/martenslip/platform/desk/EveryQueueTest.java
@@ -34,8 +34,9 @@
     public void rulesHoldInEveryOrder(String name, Plan plan, int depth) {
         long begun = System.nanoTime();
         Found found = search(plan, Plant.NONE, depth);
-        System.out.printf("every order: %s, depth %d: %d orders in %d ms%n", name, depth, found.sequences(),
-                (System.nanoTime() - begun) / 1_000_000);
+        System.out.printf(
+                "every order: %s, depth %d: %d orders in %d ms%n",
+                name, depth, found.sequences(), (System.nanoTime() - begun) / 1_000_000);
         assertEquals(found.fault(), null, name);
         assertTrue(found.sequences() > 1000, name + ": only " + found.sequences());
     }
--- a/src/test/java/martenslip/platform/desk/QueueWorld.java
+++ b/src/test/java/martenslip/platform/desk/QueueWorld.java
@@ -30,17 +30,24 @@
  */
 final class QueueWorld extends JudgedOutward implements EveryOrder.World {
     /** A fault planted to see that the check finds it. */
-    enum Plant { NONE, DEPARTED, DRAINED, END_NOT_WRITTEN, NOT_REVOKED }
+    enum Plant {
+        NONE,
+        DEPARTED,
+        DRAINED,
+        END_NOT_WRITTEN,
+        NOT_REVOKED
+    }
 
     private static final Span PATIENCE = Span.ofMillis(1500);
     private static final Span SLACK = Span.ofMillis(50);
     /** Over the release of 300 ms and a round. */
     private static final Span STEP = Span.ofMillis(350);
+
     private static final Span PROCESS_ENDS = Span.ofMillis(1000);
     private static final Span TURN = Span.ofMillis(25);
     private static final long TARGET = 101;
 
-    record Plan(int offers, int circuits, boolean up) { }
+    record Plan(int offers, int circuits, boolean up) {}
 
     private final Plan plan;
     private final Plant plant;
@@ -72,8 +79,12 @@
     }
 
     private void list(SwitchLine.State state) {
-        desk.tell(to -> to.listed(wheel.now(), ListKind.CHANGES, List.of(
-                new SwitchLine(100, 0, SwitchLine.State.READY, null, 0), new SwitchLine(TARGET, 1, state, null, 0))));
+        desk.tell(to -> to.listed(
+                wheel.now(),
+                ListKind.CHANGES,
+                List.of(
+                        new SwitchLine(100, 0, SwitchLine.State.READY, null, 0),
+                        new SwitchLine(TARGET, 1, state, null, 0))));
     }
 
     @Override
@@ -90,8 +101,12 @@
             once(all, "never up", () -> lost(false));
         }
         // A deciding thread that is held turns no wheel either: what is held there waits, it is not late.
-        if (!deciderHeld && (!callers.isEmpty() || !written.isEmpty() || !unsent.isEmpty() || desk.unheardReleases() > 0
-                || !desk.known().isEmpty() && standing.isEmpty())) {
+        if (!deciderHeld
+                && (!callers.isEmpty()
+                        || !written.isEmpty()
+                        || !unsent.isEmpty()
+                        || desk.unheardReleases() > 0
+                        || !desk.known().isEmpty() && standing.isEmpty())) {
             all.add(event("time", this::time));
         }
         if (offered < plan.offers) {
@@ -176,8 +191,22 @@
         callers.add(tag);
         marks.put(tag, caller);
         rules.taken(tag, wheel.now().plus(PATIENCE).plus(SLACK));
-        SetUp asked = new SetUp(number, TinyDesk.request("INVITE", number), tag, "00000000000000aa", number % 2,
-                wheel.now(), PATIENCE, 1, -1, 1, false, false, null, "v=0", caller);
+        SetUp asked = new SetUp(
+                number,
+                TinyDesk.request("INVITE", number),
+                tag,
+                "00000000000000aa",
+                number % 2,
+                wheel.now(),
+                PATIENCE,
+                1,
+                -1,
+                1,
+                false,
+                false,
+                null,
+                "v=0",
+                caller);
         inbox.add(() -> desk.setUp(asked));
     }
 
@@ -250,15 +279,20 @@
     public Queued start(long target, Start start, Runnable unsaid) {
         String tag = start.tag();
         boolean looks = plant != Plant.DEPARTED;
-        Revocable message = new Revocable(0, () -> {
-            boolean due = looks ? start.due(wheel.now()) : start.left(wheel.now()).longerThan(Span.ZERO);
-            if (!due || !takesNew && plant != Plant.DRAINED) {
-                return null;
-            }
-            rules.ring(wheel.now(), "0", tag, target);
-            written.add(tag);
-            return new byte[0];
-        }, () -> inbox.add(unsaid));
+        Revocable message = new Revocable(
+                0,
+                () -> {
+                    boolean due = looks
+                            ? start.due(wheel.now())
+                            : start.left(wheel.now()).longerThan(Span.ZERO);
+                    if (!due || !takesNew && plant != Plant.DRAINED) {
+                        return null;
+                    }
+                    rules.ring(wheel.now(), "0", tag, target);
+                    written.add(tag);
+                    return new byte[0];
+                },
+                () -> inbox.add(unsaid));
         if (plant == Plant.NOT_REVOKED) {
             // Written whatever became of it, as it was before: the sender's word comes too late.
             unsent.add(Outgoing.of(new byte[0], () -> {
--- a/src/test/java/martenslip/platform/desk/TinyDesk.java
+++ b/src/test/java/martenslip/platform/desk/TinyDesk.java
@@ -5,12 +5,12 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import martenslip.control.Contact;
 import martenslip.control.Controller;
 import martenslip.control.Moment;
 import martenslip.control.RingEnd;
 import martenslip.control.Span;
 import martenslip.control.SwitchLine;
-import martenslip.control.Contact;
 import martenslip.sip.message.Headers;
 import martenslip.sip.message.Parsed;
 import martenslip.sip.message.Parser;
@@ -33,6 +33,7 @@
     boolean unreachable;
     /** What is queued stays so until {@link #write}, ends until {@link #written}. */
     boolean held;
+
     boolean heldEnds;
     private final List<Revocable> waiting = new ArrayList<>();
     private final List<Runnable> ends = new ArrayList<>();
@@ -62,8 +63,22 @@
     }
 
     static SetUp ask(long line, int number, double ms) {
-        return new SetUp(line, request("INVITE", number), tag(number), "00000000000000aa", 1, new Moment(0),
-                Span.ofMillis(ms), 2, -1, 1, false, false, null, "v=0\r\n", new Withdrawal());
+        return new SetUp(
+                line,
+                request("INVITE", number),
+                tag(number),
+                "00000000000000aa",
+                1,
+                new Moment(0),
+                Span.ofMillis(ms),
+                2,
+                -1,
+                1,
+                false,
+                false,
+                null,
+                "v=0\r\n",
+                new Withdrawal());
     }
 
     TinyDesk at(double ms) {
@@ -125,14 +140,17 @@
     public Queued start(long target, Start start, Runnable unsent) {
         caller = start.caller();
         long left = start.until().since(wheel.now()).ns() / 1_000_000;
-        Revocable message = new Revocable(0, () -> {
-            if (start.caller().made()) {
-                return null;
-            }
-            sent.add("START " + target + " " + Long.parseLong(start.tag(), 16) + " " + start.skill() + " " + left
-                    + " " + start.description());
-            return new byte[0];
-        }, unsent);
+        Revocable message = new Revocable(
+                0,
+                () -> {
+                    if (start.caller().made()) {
+                        return null;
+                    }
+                    sent.add("START " + target + " " + Long.parseLong(start.tag(), 16) + " " + start.skill() + " "
+                            + left + " " + start.description());
+                    return new byte[0];
+                },
+                unsent);
         if (unreachable) {
             return null;
         }
--- a/src/test/java/martenslip/platform/peer/PeersTest.java
+++ b/src/test/java/martenslip/platform/peer/PeersTest.java
@@ -21,14 +21,21 @@
 
     @Test
     public void onlyListedSendersAreHeardAndNoLongNoteIsSent() throws Exception {
-        try (DatagramSocket peer = new DatagramSocket(local(0)); DatagramSocket stranger = new DatagramSocket(local(0));
-                DatagramSocket all = new DatagramSocket(local(0)); DatagramSocket free = new DatagramSocket(local(0))) {
+        try (DatagramSocket peer = new DatagramSocket(local(0));
+                DatagramSocket stranger = new DatagramSocket(local(0));
+                DatagramSocket all = new DatagramSocket(local(0));
+                DatagramSocket free = new DatagramSocket(local(0))) {
             InetSocketAddress own = local(free.getLocalPort());
             free.close();
             LinkedBlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
             Drops drops = new Drops();
             List<InetSocketAddress> listed = List.of(own, local(peer.getLocalPort()));
-            try (Peers peers = new Peers(own, listed, local(all.getLocalPort()), 0, drops,
+            try (Peers peers = new Peers(
+                    own,
+                    listed,
+                    local(all.getLocalPort()),
+                    0,
+                    drops,
                     (from, note) -> heard.add(from * 1000 + note.length))) {
                 stranger.send(new DatagramPacket(new byte[3], 3, own));
                 peer.send(new DatagramPacket(new byte[257], 257, own));
@@ -45,8 +52,8 @@
                 assertEquals(got.getLength(), 7);
                 peer.receive(got);
                 assertEquals(got.getLength(), 256);
-                assertEquals(drops.counts(), Map.of("note not sent", 2L,
-                        "note of a stranger, of oneself or too long", 2L));
+                assertEquals(
+                        drops.counts(), Map.of("note not sent", 2L, "note of a stranger, of oneself or too long", 2L));
             }
         }
     }
--- a/src/test/java/martenslip/platform/switchconnection/SwitchSaysTest.java
+++ b/src/test/java/martenslip/platform/switchconnection/SwitchSaysTest.java
@@ -20,14 +20,16 @@
         String odd = "a\r\n\"\\\u0000\u001f\u20ac\ud83d\ude00 /</script>";
         byte[] line = SwitchSays.start("00000000000000aa", "dear", 1500, "00000000000000bb", odd);
         assertEquals(line[line.length - 1], '\n');
-        assertEquals(SwitchSays.read(Arrays.copyOf(line, line.length - 1)),
+        assertEquals(
+                SwitchSays.read(Arrays.copyOf(line, line.length - 1)),
                 new SwitchSays("START", "00000000000000aa", null, null, 0, odd));
     }
 
     @Test
     public void allThatCountsIsRead() throws IOException {
-        assertEquals(SwitchSays.read(bytes("{\"verb\":\"FINISH\",\"tag\":\"t\",\"new\":{\"a\":[1]},\"opts\":{\"load\":"
-                + "\"x0:1\",\"note\":\"overload\",\"other\":[{}]},\"rc\":34}")),
+        assertEquals(
+                SwitchSays.read(bytes("{\"verb\":\"FINISH\",\"tag\":\"t\",\"new\":{\"a\":[1]},\"opts\":{\"load\":"
+                        + "\"x0:1\",\"note\":\"overload\",\"other\":[{}]},\"rc\":34}")),
                 new SwitchSays("FINISH", "t", "x0:1", "overload", 34, null));
     }
 
@@ -40,10 +42,20 @@
 
     @DataProvider
     public Object[][] spoilt() {
-        return new Object[][] {{""}, {"{"}, {"[]"}, {"{}"}, {"{\"verb\":\"LOAD\""}, {"{\"verb\":1}"},
-            {"{\"verb\":\"A\"} x"}, {"{\"verb\":\"A\",\"blob\":{}}"}, {"{\"verb\":\"A\",\"opts\":3}"},
-            {"\u0000\u0001"}, {"{\"verb\":\"A\",\"tag\":" + "[".repeat(100) + "}"},
-            {new String(new byte[] {(byte) 0xc3, '('}, StandardCharsets.ISO_8859_1)}};
+        return new Object[][] {
+            {""},
+            {"{"},
+            {"[]"},
+            {"{}"},
+            {"{\"verb\":\"LOAD\""},
+            {"{\"verb\":1}"},
+            {"{\"verb\":\"A\"} x"},
+            {"{\"verb\":\"A\",\"blob\":{}}"},
+            {"{\"verb\":\"A\",\"opts\":3}"},
+            {"\u0000\u0001"},
+            {"{\"verb\":\"A\",\"tag\":" + "[".repeat(100) + "}"},
+            {new String(new byte[] {(byte) 0xc3, '('}, StandardCharsets.ISO_8859_1)}
+        };
     }
 
     @Test(dataProvider = "spoilt")
--- a/src/test/java/martenslip/play/DiaryTest.java
+++ b/src/test/java/martenslip/play/DiaryTest.java
@@ -103,8 +103,8 @@
     }
 
     private static Orders written(List<String> lines, Orders on) {
-        return (Orders) java.lang.reflect.Proxy.newProxyInstance(Orders.class.getClassLoader(),
-                new Class<?>[] {Orders.class}, (proxy, method, values) -> {
+        return (Orders) java.lang.reflect.Proxy.newProxyInstance(
+                Orders.class.getClassLoader(), new Class<?>[] {Orders.class}, (proxy, method, values) -> {
                     StringBuilder line = new StringBuilder(method.getName());
                     for (Object value : values == null ? new Object[0] : values) {
                         line.append(' ').append(value instanceof byte[] bytes ? List.of(bytes.length) : value);
@@ -128,17 +128,25 @@
                 world.callers.dial(i % 3, (i + 1 + i / 30) % 3, 0);
                 if (i == 30) {
                     // A tandem that is slow already would be passed over.
-                    SmallWorld.await(() -> diaries.stream().flatMap(one -> one.offered.stream())
-                            .anyMatch(Contact::inTransit), "a contact in transit");
+                    SmallWorld.await(
+                            () -> diaries.stream()
+                                    .flatMap(one -> one.offered.stream())
+                                    .anyMatch(Contact::inTransit),
+                            "a contact in transit");
                     world.machines.get(2).slow(30);
                 }
             }
             SmallWorld.await(() -> world.ended() == 60, "all ended");
             // The first one of each exchange warmed its code and is thrown away.
-            List<Contact> own = diaries.get(1).offered.stream().filter(one -> !one.inTransit()).toList();
+            List<Contact> own = diaries.get(1).offered.stream()
+                    .filter(one -> !one.inTransit())
+                    .toList();
             assertEquals(own.size(), 20);
-            assertTrue(own.stream().allMatch(one -> one.patience().ns() == 2_000_000_000L && one.width() == 1
-                    && one.hint() == -1 && Long.toString(one.dialled()).startsWith("770" + one.destination())));
+            assertTrue(own.stream()
+                    .allMatch(one -> one.patience().ns() == 2_000_000_000L
+                            && one.width() == 1
+                            && one.hint() == -1
+                            && Long.toString(one.dialled()).startsWith("770" + one.destination())));
             for (Diary diary : diaries) {
                 synchronized (diary) {
                     assertEquals(diary.again(), diary.ordered);
--- a/src/test/java/martenslip/play/LanesTest.java
+++ b/src/test/java/martenslip/play/LanesTest.java
@@ -46,10 +46,17 @@
     @DataProvider
     public Object[][] stalls() {
         Span two = Span.ofMillis(2000);
-        return new Object[][] {{Hop.Kind.UDP, 1, 0, "INVITE ", two}, {Hop.Kind.UDP, 1, 0, null, FOR_GOOD},
-            {Hop.Kind.UDP, 3, 1, "SIP/2.0 200", two}, {Hop.Kind.UDP, 3, 1, "INVITE ", FOR_GOOD},
-            {Hop.Kind.TCP, 3, 1, "ACK ", two}, {Hop.Kind.TCP, 3, 0, "BYE ", FOR_GOOD}, {Hop.Kind.UDP, 3, 0, null, two},
-            {Hop.Kind.UDP, 3, 3, null, two}, {Hop.Kind.TCP, 3, 3, null, FOR_GOOD}};
+        return new Object[][] {
+            {Hop.Kind.UDP, 1, 0, "INVITE ", two},
+            {Hop.Kind.UDP, 1, 0, null, FOR_GOOD},
+            {Hop.Kind.UDP, 3, 1, "SIP/2.0 200", two},
+            {Hop.Kind.UDP, 3, 1, "INVITE ", FOR_GOOD},
+            {Hop.Kind.TCP, 3, 1, "ACK ", two},
+            {Hop.Kind.TCP, 3, 0, "BYE ", FOR_GOOD},
+            {Hop.Kind.UDP, 3, 0, null, two},
+            {Hop.Kind.UDP, 3, 3, null, two},
+            {Hop.Kind.TCP, 3, 3, null, FOR_GOOD}
+        };
     }
 
     /** Place 3 of 3 lanes is the decider. Contacts come before, while and after the thread hangs. */
--- a/src/test/java/martenslip/play/PlantedRing.java
+++ b/src/test/java/martenslip/play/PlantedRing.java
@@ -13,8 +13,7 @@
 
 /** A second INVITE for a contact, from its controller's address, as a broken controller would send it. */
 final class PlantedRing {
-    private PlantedRing() {
-    }
+    private PlantedRing() {}
 
     static void send(SmallWorld world, int exchange, Span patience) {
         Thread thread = new Thread(() -> {
@@ -22,13 +21,15 @@
                 String[] session = new String[1];
                 SmallWorld.await(() -> (session[0] = session(world)) != null, "the first ring captured");
                 InetSocketAddress to = world.machines.get(2).at(Hop.Kind.UDP);
-                try (DatagramSocket from = new DatagramSocket(
-                        new InetSocketAddress(SmallWorld.address(1, 100 + exchange), 0))) {
-                    byte[] bytes = ("INVITE sip:+77020001;tgrp=g-0-2;trunk-context=t.example@" + to.getHostString() + ":"
-                            + to.getPort() + " SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.1.100:" + from.getLocalPort()
-                            + ";branch=z9hG4bKplanted\r\nFrom: <sip:x@h>;tag=p\r\nTo: <sip:y@h>\r\nCall-ID: planted\r\n"
-                            + "CSeq: 1 INVITE\r\nMax-Forwards: 70\r\nContact: <sip:x@127.0.0.1:9>\r\nSession-ID: "
-                            + session[0] + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+                try (DatagramSocket from =
+                        new DatagramSocket(new InetSocketAddress(SmallWorld.address(1, 100 + exchange), 0))) {
+                    byte[] bytes = ("INVITE sip:+77020001;tgrp=g-0-2;trunk-context=t.example@" + to.getHostString()
+                                    + ":"
+                                    + to.getPort() + " SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.1.100:" + from.getLocalPort()
+                                    + ";branch=z9hG4bKplanted\r\nFrom: <sip:x@h>;tag=p\r\nTo: <sip:y@h>\r\nCall-ID: planted\r\n"
+                                    + "CSeq: 1 INVITE\r\nMax-Forwards: 70\r\nContact: <sip:x@127.0.0.1:9>\r\nSession-ID: "
+                                    + session[0] + "\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII);
                     from.send(new DatagramPacket(bytes, bytes.length, to));
                 }
             } catch (IOException e) {
--- a/src/test/java/martenslip/play/SmallWorld.java
+++ b/src/test/java/martenslip/play/SmallWorld.java
@@ -70,9 +70,13 @@
         office.open(address(3, 9));
         Skill skill = new Skill("status", 1, 1, Span.ofMillis(1200), Span.ofMillis(4000), Span.ofMillis(300), "");
         double[][] even = {{0, 1, 1}, {1, 0, 1}, {1, 1, 0}};
-        callers = new Callers(new Callers.Ways(50, List.of(skill), List.of(1.0), 0, Span.ofMillis(500), 0.5, 0,
-                Span.ofMillis(1e6), 0, "+77"), even, i -> Hop.udp(machines.get(i).at(Hop.Kind.UDP)),
-                martenslip.sip.transport.Gate.OPEN, 5);
+        callers = new Callers(
+                new Callers.Ways(
+                        50, List.of(skill), List.of(1.0), 0, Span.ofMillis(500), 0.5, 0, Span.ofMillis(1e6), 0, "+77"),
+                even,
+                i -> Hop.udp(machines.get(i).at(Hop.Kind.UDP)),
+                martenslip.sip.transport.Gate.OPEN,
+                5);
         callers.open(address(4, 9));
         capture.fact("rules", "release-ms=500 drain-grace-ms=300 fall-multiple=3 fall-ms=1500");
         Prefixes prefixes = new Prefixes();
@@ -81,21 +85,26 @@
         }
         for (int i = 0; i < COUNT; i++) {
             InetSocketAddress at = free(address(1, 100 + i));
-            Processor.Make processor = new Processor.Make(unit, Span.ofMillis(2000), 0.3, Span.ofMillis(10_000), 3,
-                    Span.ofMillis(1500));
+            Processor.Make processor =
+                    new Processor.Make(unit, Span.ofMillis(2000), 0.3, Span.ofMillis(10_000), 3, Span.ofMillis(1500));
             Network.Wire wire = network.wire("switch-" + i, 0);
-            Machine machine = new Machine(new Machine.Make(i, 0, processor, Span.ofMillis(200), 0, prefixes, Map.of(),
-                    i, true), trunks, wire, new Hop(kind, at, 0), false);
+            Machine machine = new Machine(
+                    new Machine.Make(i, 0, processor, Span.ofMillis(200), 0, prefixes, Map.of(), i, true),
+                    trunks,
+                    wire,
+                    new Hop(kind, at, 0),
+                    false);
             machine.open(address(2, 100 + i));
             machines.add(machine);
             wires.add(wire);
             capture.fact("machine", "local=switch-" + i + " number=" + i + " at=" + place(i));
             list(i, SwitchLine.State.READY, false);
-            Exchange exchange = new Exchange(SiteFile.read("test", site(i, at).getBytes(StandardCharsets.UTF_8),
-                    folder), maker);
+            Exchange exchange =
+                    new Exchange(SiteFile.read("test", site(i, at).getBytes(StandardCharsets.UTF_8), folder), maker);
             exchange.start();
             exchanges.add(exchange);
-            capture.fact("controller", "number=" + i + " host=" + at.getAddress().getHostAddress() + " state=up");
+            capture.fact(
+                    "controller", "number=" + i + " host=" + at.getAddress().getHostAddress() + " state=up");
         }
         // Until the lists are there a module knows no switch and defers all.
         await(() -> exchanges.stream().allMatch(one -> one.known() == COUNT), "switch lists");
@@ -107,7 +116,7 @@
 
     private static InetSocketAddress free(InetAddress host) throws IOException {
         try (ServerSocket tcp = new ServerSocket(0, 1, host);
-             DatagramSocket udp = new DatagramSocket(new InetSocketAddress(host, tcp.getLocalPort()))) {
+                DatagramSocket udp = new DatagramSocket(new InetSocketAddress(host, tcp.getLocalPort()))) {
             return new InetSocketAddress(host, udp.getLocalPort());
         }
     }
@@ -118,8 +127,14 @@
     }
 
     void list(int exchange, SwitchLine.State state, boolean started) {
-        office.change(exchange, 0, machines.get(exchange).at(kind), kind, state,
-                started ? new Moment(System.nanoTime()) : null, Span.ZERO);
+        office.change(
+                exchange,
+                0,
+                machines.get(exchange).at(kind),
+                kind,
+                state,
+                started ? new Moment(System.nanoTime()) : null,
+                Span.ZERO);
     }
 
     private String site(int number, InetSocketAddress at) throws IOException {
@@ -162,17 +177,20 @@
     }
 
     long tally(Tally.End end) {
-        return look(tally -> tally.rows().values().stream().mapToLong(row -> row.of(end)).sum());
+        return look(tally ->
+                tally.rows().values().stream().mapToLong(row -> row.of(end)).sum());
     }
 
     long ended() {
-        return look(tally -> tally.rows().values().stream().mapToLong(row -> {
-            long all = 0;
-            for (Tally.End end : Tally.End.values()) {
-                all += row.of(end);
-            }
-            return all;
-        }).sum());
+        return look(tally -> tally.rows().values().stream()
+                .mapToLong(row -> {
+                    long all = 0;
+                    for (Tally.End end : Tally.End.values()) {
+                        all += row.of(end);
+                    }
+                    return all;
+                })
+                .sum());
     }
 
     private long look(java.util.function.ToLongFunction<Tally> what) {
--- a/src/test/java/martenslip/play/WholePathTest.java
+++ b/src/test/java/martenslip/play/WholePathTest.java
@@ -79,45 +79,37 @@
         }
 
         @Override
-        public void listed(Moment now, ListKind kind, List<SwitchLine> lines) {
-        }
+        public void listed(Moment now, ListKind kind, List<SwitchLine> lines) {}
 
         @Override
-        public void offered(Moment now, Contact contact) {
-        }
+        public void offered(Moment now, Contact contact) {}
 
         @Override
-        public void stands(Moment now, long contact, int ring, long target, Span took) {
-        }
+        public void stands(Moment now, long contact, int ring, long target, Span took) {}
 
         @Override
-        public void ringEnded(Moment now, RingEnd end) {
-        }
+        public void ringEnded(Moment now, RingEnd end) {}
 
         @Override
-        public void callerGone(Moment now, long contact) {
-        }
+        public void callerGone(Moment now, long contact) {}
 
         @Override
-        public void clockRung(Moment now, long token) {
-        }
+        public void clockRung(Moment now, long token) {}
 
         @Override
-        public void reported(Moment now, long target, boolean reached, Span took, float[] report) {
-        }
+        public void reported(Moment now, long target, boolean reached, Span took, float[] report) {}
 
         @Override
-        public void peerNote(Moment now, int peer, byte[] note) {
-        }
+        public void peerNote(Moment now, int peer, byte[] note) {}
 
         @Override
-        public void stopped(Moment now) {
-        }
+        public void stopped(Moment now) {}
     }
 
     private static Maker faulty(java.util.function.Function<Orders, Controller> faulty) {
         return (Map<String, String> settings, long seed, Moment now, Orders orders) ->
-                "0".equals(settings.get("family-info.home-no")) ? faulty.apply(orders)
+                "0".equals(settings.get("family-info.home-no"))
+                        ? faulty.apply(orders)
                         : new Logic(settings, seed, now, orders);
     }
 
@@ -140,8 +132,7 @@
 
     @Test
     public void rule1CatchesAContactThatIsNeverAnswered() throws Exception {
-        SmallWorld world = new SmallWorld(Hop.Kind.UDP, UNIT, faulty(orders -> new Faulty(orders) {
-        }));
+        SmallWorld world = new SmallWorld(Hop.Kind.UDP, UNIT, faulty(orders -> new Faulty(orders) {}));
         // The caller's own CANCEL would be an answer; this one stays on the line, as its CANCEL is lost. A module that
         // is silent alone is not enough, as the lane has the last word: the whole controller ends amid the contact.
         world.callers.dial(0, 1, 0);
@@ -158,11 +149,12 @@
 
     @Test
     public void aModuleThatNeverAnswersLeavesTheLastWordToTheLane() throws Exception {
-        SmallWorld world = new SmallWorld(Hop.Kind.UDP, UNIT, faulty(orders -> new Faulty(orders) {
-        }));
+        SmallWorld world = new SmallWorld(Hop.Kind.UDP, UNIT, faulty(orders -> new Faulty(orders) {}));
         world.callers.dial(0, 1, 0);
         SmallWorld.await(() -> world.ended() == 1, "ended");
-        assertTrue(world.exchanges.get(0).figures().contains("abandoned=1 "), world.exchanges.get(0).figures());
+        assertTrue(
+                world.exchanges.get(0).figures().contains("abandoned=1 "),
+                world.exchanges.get(0).figures());
         Verdict verdict = world.verdict(1);
         assertTrue(verdict.kept(), verdict.toString());
     }
@@ -213,9 +205,10 @@
             }
         }));
         SmallWorld world = holder.world;
-        world.machines.get(1).restart(lost -> { });
-        world.capture.fact("cold", "at=" + world.place(1) + " capacity=" + world.machines.get(1).capacity()
-                + " from=0.3 warm-ms=10000");
+        world.machines.get(1).restart(lost -> {});
+        world.capture.fact(
+                "cold",
+                "at=" + world.place(1) + " capacity=" + world.machines.get(1).capacity() + " from=0.3 warm-ms=10000");
         // The own switch would else be the one that turns them away.
         world.machines.get(0).slow(0.01);
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/martenslip/proof/ProofTest.java
+++ b/src/test/java/martenslip/proof/ProofTest.java
@@ -25,8 +25,10 @@
         proof = new Proof();
         controller(0, "up");
         proof.fact(at(0), "machine", Map.of("local", "switch-1", "at", "127.0.2.1:5"));
-        proof.fact(at(0), "rules", Map.of("release-ms", "500", "drain-grace-ms", "2000", "fall-multiple", "3",
-                "fall-ms", "1500"));
+        proof.fact(
+                at(0),
+                "rules",
+                Map.of("release-ms", "500", "drain-grace-ms", "2000", "fall-multiple", "3", "fall-ms", "1500"));
     }
 
     private void controller(double ms, String state) {
@@ -34,7 +36,8 @@
     }
 
     private void pass(double ms, boolean in, String start, String branch, String call, String toTag, String cseq) {
-        String text = start + "\r\nVia: SIP/2.0/UDP 127.0.0.1:1;branch=z9hG4bK" + branch + "\r\nFrom: <sip:a@h>;tag=f\r\n"
+        String text = start + "\r\nVia: SIP/2.0/UDP 127.0.0.1:1;branch=z9hG4bK" + branch
+                + "\r\nFrom: <sip:a@h>;tag=f\r\n"
                 + "To: <sip:b@h>" + toTag + "\r\nCall-ID: " + call + "\r\nCSeq: 1 " + cseq + "\r\nSession-ID: s\r\n"
                 + "Martenslip-Patience: 1000\r\n\r\n";
         byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
--- a/src/test/java/martenslip/provision/SiteFileTest.java
+++ b/src/test/java/martenslip/provision/SiteFileTest.java
@@ -26,8 +26,7 @@
         assertEquals(site.groups().get(2).circuits(), 24);
         assertEquals(site.numbering().exchange("+91484550299999"), 2);
         assertEquals(site.numbering().exchange("+9148"), -1);
-        assertEquals(site.settings(Span.ofMillis(10)).get("report.fields"),
-                "spare,total,allowed,depth");
+        assertEquals(site.settings(Span.ofMillis(10)).get("report.fields"), "spare,total,allowed,depth");
     }
 
     @DataProvider
@@ -53,8 +52,11 @@
         String text = Files.readString(SAMPLE);
         assertTrue(text.contains(good), good);
         Rejected rejected = expectThrows(Rejected.class, () -> read(text.replace(good, bad)));
-        String line = rejected.getMessage().lines().filter(one -> one.contains(path) && one.contains(reason))
-                .findFirst().orElse("none of: " + rejected.getMessage());
+        String line = rejected.getMessage()
+                .lines()
+                .filter(one -> one.contains(path) && one.contains(reason))
+                .findFirst()
+                .orElse("none of: " + rejected.getMessage());
         int expected = text.substring(0, text.indexOf(good)).split("\n", -1).length;
         int told = Integer.parseInt(line.replaceFirst(".*line (\\d+),.*", "$1"));
         assertTrue(Math.abs(told - expected) <= 1, line + "; the fault stands in line " + expected);
@@ -62,8 +64,8 @@
 
     @Test
     public void documentTypesAndEntitiesAreNotRead() throws IOException {
-        String text = Files.readString(SAMPLE).replace("<exchange ",
-                "<!DOCTYPE exchange [<!ENTITY x SYSTEM \"file:///etc/hostname\">]><exchange ");
+        String text = Files.readString(SAMPLE)
+                .replace("<exchange ", "<!DOCTYPE exchange [<!ENTITY x SYSTEM \"file:///etc/hostname\">]><exchange ");
         assertThrows(Rejected.class, () -> read(text));
         assertThrows(Rejected.class, () -> read("<exchange"));
         assertThrows(Rejected.class, () -> read(""));
--- a/src/test/java/martenslip/roll/RollTest.java
+++ b/src/test/java/martenslip/roll/RollTest.java
@@ -24,16 +24,19 @@
     @BeforeMethod
     public void begin() {
         heard.clear();
-        Controller module = (Controller) Proxy.newProxyInstance(Controller.class.getClassLoader(),
-                new Class<?>[] {Controller.class}, (proxy, method, values) -> {
-                    heard.add(switch (method.getName()) {
-                        case "offered" -> "offered " + ((Contact) values[1]).id() + " left "
-                                + ((Contact) values[1]).patience().ns() / 1_000_000;
-                        case "ringEnded" -> "ended " + ((RingEnd) values[1]).contact() + " "
-                                + ((RingEnd) values[1]).ring() + " " + ((RingEnd) values[1]).cause();
-                        case "stands" -> "stands " + values[1] + " " + values[2];
-                        default -> method.getName() + " " + values[1];
-                    });
+        Controller module = (Controller) Proxy.newProxyInstance(
+                Controller.class.getClassLoader(), new Class<?>[] {Controller.class}, (proxy, method, values) -> {
+                    heard.add(
+                            switch (method.getName()) {
+                                case "offered" ->
+                                    "offered " + ((Contact) values[1]).id() + " left "
+                                            + ((Contact) values[1]).patience().ns() / 1_000_000;
+                                case "ringEnded" ->
+                                    "ended " + ((RingEnd) values[1]).contact() + " " + ((RingEnd) values[1]).ring()
+                                            + " " + ((RingEnd) values[1]).cause();
+                                case "stands" -> "stands " + values[1] + " " + values[2];
+                                default -> method.getName() + " " + values[1];
+                            });
                     return null;
                 });
         roll = new Roll(module, Span.ofMillis(500), (contact, ring) -> heard.add("call off " + contact + " " + ring));
@@ -74,7 +77,8 @@
         roll.stood(at(2), 4, 1, 9, Span.ZERO);
         roll.gone(at(3), 4);
         roll.ended(at(4), end(4, 1, Cause.CONCLUDED));
-        assertEquals(said(), List.of("offered 4 left 4000", "ended 4 0 TURNED_BACK", "stands 4 1", "ended 4 1 CONCLUDED"));
+        assertEquals(
+                said(), List.of("offered 4 left 4000", "ended 4 0 TURNED_BACK", "stands 4 1", "ended 4 1 CONCLUDED"));
         assertEquals(roll.size(), 0);
         assertEquals(roll.ordered(4, 9), -1);
     }
@@ -90,9 +94,16 @@
         }
         said();
         // 1 waits, 2 rings still, 3 stands and 4 timed out unheard, 5's order is in the inbox, 6 is gone altogether.
-        roll.inherited(at(100), 2, List.of(held(1, 0, -1, false, false, null), held(2, 1, 0, false, false, null),
-                held(3, 1, 0, true, true, null), held(4, 1, -1, false, false, at(90)),
-                held(5, 0, -1, false, false, null), held(7, 0, -1, false, false, null)));
+        roll.inherited(
+                at(100),
+                2,
+                List.of(
+                        held(1, 0, -1, false, false, null),
+                        held(2, 1, 0, false, false, null),
+                        held(3, 1, 0, true, true, null),
+                        held(4, 1, -1, false, false, at(90)),
+                        held(5, 0, -1, false, false, null),
+                        held(7, 0, -1, false, false, null)));
         assertEquals(said(), List.of("stands 3 0", "ended 4 0 TIMED_OUT", "callerGone 6", "ended 6 0 CUT"));
         roll.turn(at(100));
         assertEquals(said(), List.of("offered 7 left 3900"), "its offer had been lost");
@@ -101,9 +112,15 @@
 
     @Test
     public void aNewModuleWaitsForTheReleaseOfWhatAnotherSent() {
-        roll.inherited(at(1000), 0, List.of(held(1, 1, -1, false, false, at(900)), held(2, 2, 1, false, false, null),
-                held(3, 1, 0, true, true, null), held(4, 1, -1, false, true, null),
-                held(5, 0, -1, false, false, null)));
+        roll.inherited(
+                at(1000),
+                0,
+                List.of(
+                        held(1, 1, -1, false, false, at(900)),
+                        held(2, 2, 1, false, false, null),
+                        held(3, 1, 0, true, true, null),
+                        held(4, 1, -1, false, true, null),
+                        held(5, 0, -1, false, false, null)));
         assertEquals(roll.due(), at(1000));
         roll.turn(at(1000));
         assertEquals(said(), List.of("offered 5 left 3000"));
--- a/src/test/java/martenslip/sip/dialog/CallsTest.java
+++ b/src/test/java/martenslip/sip/dialog/CallsTest.java
@@ -86,7 +86,8 @@
         pair.pass(2000);
         pair.in.bye(null);
         pair.pass(LONG);
-        assertEquals(pair.heard.stream().filter(one -> !one.startsWith("progress")).toList(),
+        assertEquals(
+                pair.heard.stream().filter(one -> !one.startsWith("progress")).toList(),
                 List.of("incoming", "stood", "out ended BYE"));
         assertTrue(pair.empty());
     }
@@ -212,7 +213,9 @@
         pair.in.refuse(pair.in.response(503, "Full"));
         pair.pass(50);
         pair.loses = (message, toCalled) -> false;
-        pair.called.transactions().arrived(new Arrival.Broken(pair.in.transaction().from(), true, "reset"));
+        pair.called
+                .transactions()
+                .arrived(new Arrival.Broken(pair.in.transaction().from(), true, "reset"));
         pair.pass(100);
         assertEquals(pair.heard.get(pair.heard.size() - 1), "refused 503");
         assertEquals(pair.sent("503"), 2);
@@ -221,9 +224,15 @@
     private static String answered(Pair pair, Request request) {
         pair.wire.clear();
         byte[] bytes = request.bytes();
-        pair.called.transactions().arrived(new Arrival.Received(Parser.datagram(bytes, bytes.length).message(),
-                pair.call().out.hop()));
-        return pair.wire.stream().filter(line -> line.startsWith("<")).reduce((a, b) -> b).orElse("nothing");
+        pair.called
+                .transactions()
+                .arrived(new Arrival.Received(
+                        Parser.datagram(bytes, bytes.length).message(),
+                        pair.call().out.hop()));
+        return pair.wire.stream()
+                .filter(line -> line.startsWith("<"))
+                .reduce((a, b) -> b)
+                .orElse("nothing");
     }
 
     private static Request stray(String method, String branch, String toTag, String more) {
@@ -239,10 +248,17 @@
 
     @DataProvider
     public Object[][] strays() {
-        return new Object[][] {{"BYE", ";tag=no", "", "< 481"}, {"CANCEL", "", "", "< 481"},
-            {"INVITE", ";tag=no", "", "< 481"}, {"INVITE", "", "Require: 100rel", "< 420"},
-            {"INVITE", "", "Max-Forwards: 0", "< 483"}, {"INFO", ";tag=no", "", "< 405"},
-            {"NONSENSE", "", "", "< 501"}, {"OPTIONS", "", "", "< 200"}, {"ACK", ";tag=no", "", "nothing"}};
+        return new Object[][] {
+            {"BYE", ";tag=no", "", "< 481"},
+            {"CANCEL", "", "", "< 481"},
+            {"INVITE", ";tag=no", "", "< 481"},
+            {"INVITE", "", "Require: 100rel", "< 420"},
+            {"INVITE", "", "Max-Forwards: 0", "< 483"},
+            {"INFO", ";tag=no", "", "< 405"},
+            {"NONSENSE", "", "", "< 501"},
+            {"OPTIONS", "", "", "< 200"},
+            {"ACK", ";tag=no", "", "nothing"}
+        };
     }
 
     @Test(dataProvider = "strays")
@@ -265,11 +281,16 @@
         String to = pair.in.response(200, "OK").headers().first("To").replaceFirst(".*;tag=", ";tag=");
         for (String[] one : new String[][] {{"2 INVITE", "< 488"}, {"2 INFO", "< 500"}, {"3 INFO", "< 405"}}) {
             Request request = stray(one[0].substring(2), "o" + one[0].charAt(0) + one[1].charAt(2), to, "");
-            request.headers().set("From", "<sip:a@127.0.0.1>;tag=f").set("Call-ID", "call").set("CSeq", one[0]);
+            request.headers()
+                    .set("From", "<sip:a@127.0.0.1>;tag=f")
+                    .set("Call-ID", "call")
+                    .set("CSeq", one[0]);
             byte[] bytes = request.bytes();
             pair.wire.clear();
-            pair.called.transactions().arrived(new Arrival.Received(
-                    Parser.datagram(bytes, bytes.length).message(), pair.out.hop()));
+            pair.called
+                    .transactions()
+                    .arrived(new Arrival.Received(
+                            Parser.datagram(bytes, bytes.length).message(), pair.out.hop()));
             assertEquals(pair.wire.get(0), one[1], one[0]);
         }
     }
--- a/src/test/java/martenslip/sip/dialog/Pair.java
+++ b/src/test/java/martenslip/sip/dialog/Pair.java
@@ -33,9 +33,11 @@
     final boolean reliable;
     /** Says of a message, and whether it goes to the called end, that it is lost. */
     BiPredicate<Message, Boolean> loses = (message, toCalled) -> false;
+
     boolean copies;
     /** The called end's user has a fault. */
     boolean faulty;
+
     CallIn in;
     CallOut out;
     private double now;
@@ -62,8 +64,12 @@
                 boolean lost = loses.test(message, !isCalled);
                 wire.add((isCalled ? "< " : "> ") + word(message) + (lost ? " lost" : ""));
                 for (int i = 0; !lost && i < (copies ? 2 : 1); i++) {
-                    wheel.after(Span.ofMillis(10), () -> (isCalled ? caller : called).transactions().arrived(
-                            new Arrival.Received(Parser.datagram(bytes, bytes.length).message(), hop(isCalled))));
+                    wheel.after(
+                            Span.ofMillis(10),
+                            () -> (isCalled ? caller : called)
+                                    .transactions()
+                                    .arrived(new Arrival.Received(
+                                            Parser.datagram(bytes, bytes.length).message(), hop(isCalled))));
                 }
                 return true;
             }
@@ -158,7 +164,7 @@
 
     /** Lets time pass, millisecond by millisecond. */
     Pair pass(double ms) {
-        for (double end = now + ms; now < end;) {
+        for (double end = now + ms; now < end; ) {
             now++;
             wheel.turn(new Moment(Span.ofMillis(now).ns()));
         }
@@ -170,7 +176,9 @@
     }
 
     long sent(String word) {
-        return wire.stream().filter(line -> line.replace(" lost", "").endsWith(" " + word)).count();
+        return wire.stream()
+                .filter(line -> line.replace(" lost", "").endsWith(" " + word))
+                .count();
     }
 
     /** Nothing is left of any call: no transaction, no dialog. */
--- a/src/test/java/martenslip/sip/message/ParserTest.java
+++ b/src/test/java/martenslip/sip/message/ParserTest.java
@@ -13,8 +13,9 @@
 import org.testng.annotations.Test;
 
 public class ParserTest {
-    private static final String HEAD = "Via: SIP/2.0/UDP 127.0.0.1:5060;branch=z9hG4bKa\r\nFrom: <sip:a@127.0.0.1>;tag=f\r\n"
-            + "To: <sip:b@127.0.0.1>\r\nCall-ID: c@127.0.0.1\r\nCSeq: 1 INVITE\r\n";
+    private static final String HEAD =
+            "Via: SIP/2.0/UDP 127.0.0.1:5060;branch=z9hG4bKa\r\nFrom: <sip:a@127.0.0.1>;tag=f\r\n"
+                    + "To: <sip:b@127.0.0.1>\r\nCall-ID: c@127.0.0.1\r\nCSeq: 1 INVITE\r\n";
 
     private static Parsed parse(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
@@ -27,10 +28,11 @@
 
     @Test
     public void readsCompactFoldedAndJoinedFields() throws BadValue {
-        Parsed parsed = parse("INVITE sip:b%40x@[::1]:5070;lr;x=y?Subject=hi SIP/2.0\r\n"
-                + "v: SIP / 2.0 / UDP 10.0.0.1 ;branch=z9hG4bKa,SIP/2.0/TCP\r\n [::2]:99;branch=z9hG4bKb;rport\r\n"
-                + "f: \"A \\\"quoted, <name>\" <sip:a@h;p=1>;tag=f\r\nt: sip:b@h;tag=t\r\ni: c\r\nCSeq:  7\tINVITE\r\n"
-                + "m: <sip:a@h?X=1,2>;q=0.5, \"x, y\" <sip:z@h>\r\nX-Odd: kept, as it is\r\nk: a, b ,c\r\nl: 4\r\n\r\nbodyrest");
+        Parsed parsed = parse(
+                "INVITE sip:b%40x@[::1]:5070;lr;x=y?Subject=hi SIP/2.0\r\n"
+                        + "v: SIP / 2.0 / UDP 10.0.0.1 ;branch=z9hG4bKa,SIP/2.0/TCP\r\n [::2]:99;branch=z9hG4bKb;rport\r\n"
+                        + "f: \"A \\\"quoted, <name>\" <sip:a@h;p=1>;tag=f\r\nt: sip:b@h;tag=t\r\ni: c\r\nCSeq:  7\tINVITE\r\n"
+                        + "m: <sip:a@h?X=1,2>;q=0.5, \"x, y\" <sip:z@h>\r\nX-Odd: kept, as it is\r\nk: a, b ,c\r\nl: 4\r\n\r\nbodyrest");
         assertTrue(parsed.good(), parsed.fault());
         Request request = (Request) parsed.message();
         assertEquals(request.target().plainUser(), "b@x");
@@ -91,7 +93,8 @@
         assertNull(parse("INVITE sip:b@h HTTP/1.1\r\n" + HEAD + "\r\n").message());
         assertNull(parse("SIP/2.0 99 Low\r\n" + HEAD + "\r\n").message());
         assertNull(parse("SIP/2.0 abc\r\n" + HEAD + "\r\n").message());
-        assertFalse(parse("ACK tel:1 SIP/2.0\r\n" + HEAD.replace("INVITE", "ACK") + "\r\n").answerable());
+        assertFalse(parse("ACK tel:1 SIP/2.0\r\n" + HEAD.replace("INVITE", "ACK") + "\r\n")
+                .answerable());
     }
 
     @Test
@@ -103,7 +106,9 @@
 
     @Test
     public void writingAndReadingAgainChangesNothing() {
-        byte[] once = invite("Contact: <sip:a@h;transport=tcp>\r\nX-Odd: one\r\nX-Odd: two\r\n").message().bytes();
+        byte[] once = invite("Contact: <sip:a@h;transport=tcp>\r\nX-Odd: one\r\nX-Odd: two\r\n")
+                .message()
+                .bytes();
         byte[] twice = Parser.datagram(once, once.length).message().bytes();
         assertEquals(new String(twice, StandardCharsets.UTF_8), new String(once, StandardCharsets.UTF_8));
     }
@@ -112,14 +117,15 @@
     @Test
     public void nothingThatArrivesThrows() {
         SplittableRandom chance = new SplittableRandom(11);
-        byte[] good = invite("Contact: \"q\" <sip:a@[::1]:9;x=1>;q=1\r\nRoute: <sip:r@h;lr>\r\nl: 3\r\n\r\nxyz").message()
+        byte[] good = invite("Contact: \"q\" <sip:a@[::1]:9;x=1>;q=1\r\nRoute: <sip:r@h;lr>\r\nl: 3\r\n\r\nxyz")
+                .message()
                 .bytes();
         for (int i = 0; i < 30_000; i++) {
             byte[] bytes = good.clone();
             int length = chance.nextInt(10) == 0 ? chance.nextInt(good.length) : good.length;
             for (int hit = chance.nextInt(6); hit >= 0; hit--) {
-                bytes[chance.nextInt(bytes.length)] = (byte) (chance.nextInt(3) == 0 ? "\r\n\";<>,:[]@ ="
-                        .charAt(chance.nextInt(12)) : chance.nextInt(256));
+                bytes[chance.nextInt(bytes.length)] = (byte)
+                        (chance.nextInt(3) == 0 ? "\r\n\";<>,:[]@ =".charAt(chance.nextInt(12)) : chance.nextInt(256));
             }
             Parsed parsed = Parser.datagram(bytes, length);
             assertTrue(parsed.good() || parsed.status() != 0);
@@ -136,7 +142,8 @@
         assertEquals(response.to().tag(), "tag9");
         assertEquals(response.headers().all("Record-Route").size(), 1);
         assertEquals(response.via(), request.via());
-        assertEquals(request.answer(404, "No", "x").headers().all("Record-Route").size(), 0);
+        assertEquals(
+                request.answer(404, "No", "x").headers().all("Record-Route").size(), 0);
     }
 
     @Test
--- a/src/test/java/martenslip/sip/transport/FramerTest.java
+++ b/src/test/java/martenslip/sip/transport/FramerTest.java
@@ -22,8 +22,16 @@
     /** What follows a body that is longer than its length says shows itself at once, before all of it has come. */
     @DataProvider
     public Object[][] noStart() {
-        return new Object[][] {{"m=audio 31000"}, {"\r\nm=audio 31000 RTP/AVP"}, {"0 8 101\r\n"}, {"SAY SIP\r\n"},
-            {"\u0000\u0001"}, {"invite sip:x SIP/2.0\r\n"}, {"SIP/3.0 200 OK\r\n"}, {"A".repeat(40)}};
+        return new Object[][] {
+            {"m=audio 31000"},
+            {"\r\nm=audio 31000 RTP/AVP"},
+            {"0 8 101\r\n"},
+            {"SAY SIP\r\n"},
+            {"\u0000\u0001"},
+            {"invite sip:x SIP/2.0\r\n"},
+            {"SIP/3.0 200 OK\r\n"},
+            {"A".repeat(40)}
+        };
     }
 
     @Test(dataProvider = "noStart")
@@ -35,8 +43,16 @@
 
     @DataProvider
     public Object[][] starts() {
-        return new Object[][] {{"S"}, {"SIP/2"}, {"SIP/2.0 200 OK\r\nA: b"}, {"INV"}, {"INVITE sip:x"}, {"\r\n\r\n"},
-            {"BYE sip:x SIP/2.0\r\nCall-"}, {""}};
+        return new Object[][] {
+            {"S"},
+            {"SIP/2"},
+            {"SIP/2.0 200 OK\r\nA: b"},
+            {"INV"},
+            {"INVITE sip:x"},
+            {"\r\n\r\n"},
+            {"BYE sip:x SIP/2.0\r\nCall-"},
+            {""}
+        };
     }
 
     @Test(dataProvider = "starts")
--- a/src/test/java/martenslip/sip/transport/TransportTest.java
+++ b/src/test/java/martenslip/sip/transport/TransportTest.java
@@ -25,8 +25,8 @@
 import org.testng.annotations.Test;
 
 public class TransportTest {
-    private static final Bounds TIGHT = new Bounds(2, Span.ofMillis(700), Span.ofMillis(300), 200_000,
-            Span.ofMillis(500), Span.ofMillis(300));
+    private static final Bounds TIGHT =
+            new Bounds(2, Span.ofMillis(700), Span.ofMillis(300), 200_000, Span.ofMillis(500), Span.ofMillis(300));
     private LinkedBlockingQueue<Arrival> inbox;
     private Transport transport;
 
@@ -38,17 +38,21 @@
         // Of its own for each test: a connection of the one before may still tell its end.
         LinkedBlockingQueue<Arrival> own = new LinkedBlockingQueue<>();
         inbox = own;
-        transport = new Transport("test", bounds, new Sink() {
-            @Override
-            public boolean offer(Arrival arrival) {
-                return own.offer(arrival);
-            }
-
-            @Override
-            public void put(Arrival arrival) throws InterruptedException {
-                own.put(arrival);
-            }
-        }, Gate.OPEN);
+        transport = new Transport(
+                "test",
+                bounds,
+                new Sink() {
+                    @Override
+                    public boolean offer(Arrival arrival) {
+                        return own.offer(arrival);
+                    }
+
+                    @Override
+                    public void put(Arrival arrival) throws InterruptedException {
+                        own.put(arrival);
+                    }
+                },
+                Gate.OPEN);
         transport.openUdp(local(0));
         transport.openTcp(local(0));
         return transport;
@@ -72,8 +76,9 @@
 
     private static byte[] options(int number, String body) {
         return ("OPTIONS sip:x@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/TCP 10.9.8.7:99;branch=z9hG4bK" + number
-                + ";rport\r\nFrom: <sip:a@h>;tag=1\r\nTo: <sip:b@h>\r\nCall-ID: c\r\nCSeq: " + number
-                + " OPTIONS\r\nContent-Length: " + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII);
+                        + ";rport\r\nFrom: <sip:a@h>;tag=1\r\nTo: <sip:b@h>\r\nCall-ID: c\r\nCSeq: " + number
+                        + " OPTIONS\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                .getBytes(StandardCharsets.US_ASCII);
     }
 
     private Arrival next() throws InterruptedException {
@@ -136,7 +141,8 @@
 
     private static Map<String, Integer> readers() {
         Map<String, Integer> readers = new TreeMap<>();
-        Thread.getAllStackTraces().keySet().stream().map(Thread::getName)
+        Thread.getAllStackTraces().keySet().stream()
+                .map(Thread::getName)
                 .filter(name -> name.startsWith("test-") && name.contains("-in-"))
                 .forEach(name -> readers.merge(name.substring(name.lastIndexOf('-')), 1, Integer::sum));
         return readers;
@@ -159,7 +165,8 @@
     @Test
     public void aMessageThatArrivesTooSlowlyEndsItsConnectionOnly() throws Exception {
         open();
-        try (Socket slow = connect(); Socket other = connect()) {
+        try (Socket slow = connect();
+                Socket other = connect()) {
             slow.getOutputStream().write("OPTIONS sip:x".getBytes(StandardCharsets.US_ASCII));
             other.getOutputStream().write(options(7, ""));
             assertEquals(number(), 7);
@@ -173,7 +180,8 @@
     @Test
     public void idleConnectionsAndThoseOverTheBoundAreClosed() throws Exception {
         open();
-        try (Socket one = connect(); Socket two = connect()) {
+        try (Socket one = connect();
+                Socket two = connect()) {
             one.getOutputStream().write(options(1, ""));
             two.getOutputStream().write(options(2, ""));
             number();
--- a/src/test/java/martenslip/wheel/WheelTest.java
+++ b/src/test/java/martenslip/wheel/WheelTest.java
@@ -98,7 +98,7 @@
     @Test
     public void quietIsNeverLongerThanTheNextTimer() {
         Wheel wheel = new Wheel(at(0));
-        wheel.at(at(30), () -> { });
+        wheel.at(at(30), () -> {});
         assertTrue(wheel.quiet().compareTo(Span.ofMillis(31)) <= 0);
         assertTrue(wheel.quiet().longerThan(Span.ofMillis(10)));
     }
