--- a/src/main/java/martenslip/Logic.java
+++ b/src/main/java/martenslip/RoutingPolicy.java
@@ -9,7 +9,7 @@
  * happens through martenslip.control.Controller and carries out what it orders through its Orders. A call
  * becomes notes in inboxes, which one loop empties before the call returns. See docs/design.md.
  */
-public final class Logic implements Controller {
+public final class RoutingPolicy implements Controller {
     // Thresholds of urgent demand: the paper's but for the first, as 11.2% is never met at a few urgent
     // contacts in a hundred, and a full group then keeps nothing for them. Table 2's upper limits over their
     // stage's total: emergency, gold, silver, bronze.
@@ -42,7 +42,7 @@
     static final double WORTH_WAITING = 0.5, AGAIN = 0.25;
     static final Moment NEVER = new Moment(Long.MIN_VALUE / 4);
 
-    enum Reason {
+    enum DenialReason {
         SHARE,
         FULL,
         PRESSED,
@@ -51,54 +51,54 @@
     }
 
     /** A note in an inbox; it knows which part of its reader takes it. */
-    interface Note<A> {
+    interface Message<A> {
         void to(A it);
     }
 
-    record Offered(Contact contact) implements Note<Front> {
-        public void to(Front a) {
+    record ContactOffered(Contact contact) implements Message<ContactManager> {
+        public void to(ContactManager a) {
             a.offered(contact);
         }
     }
 
-    record Answered(long contact) implements Note<Front> {
-        public void to(Front a) {
+    record ContactAnswered(long contact) implements Message<ContactManager> {
+        public void to(ContactManager a) {
             a.answered(contact);
         }
     }
 
-    record Over(RingEnd end) implements Note<Front> {
-        public void to(Front a) {
+    record ContactRingEnded(RingEnd end) implements Message<ContactManager> {
+        public void to(ContactManager a) {
             a.over(end);
         }
     }
 
-    record CallerGone(long id) implements Note<Front> {
-        public void to(Front a) {
+    record CallerGone(long id) implements Message<ContactManager> {
+        public void to(ContactManager a) {
             a.letGo(a.open.get(id));
         }
     }
 
-    record Rung(long contact) implements Note<Front> {
-        public void to(Front a) {
+    record ContactTimerExpired(long contact) implements Message<ContactManager> {
+        public void to(ContactManager a) {
             a.rung(contact);
         }
     }
 
-    record Denied(long id, boolean own) implements Note<Front> {
-        public void to(Front a) {
+    record CircuitDenied(long id, boolean own) implements Message<ContactManager> {
+        public void to(ContactManager a) {
             a.denied(a.open.get(id), own);
         }
     }
 
-    record Granted(long contact, Switch target) implements Note<Front> {
-        public void to(Front a) {
+    record CircuitGranted(long contact, Switch target) implements Message<ContactManager> {
+        public void to(ContactManager a) {
             a.granted(contact, target);
         }
     }
 
     /** A contact looks for its next ring: first at the own exchange's switch, then at its destination's. */
-    record Ask(
+    record CircuitRequest(
             Contact contact,
             Skill skill,
             Switch destination,
@@ -107,7 +107,7 @@
             int out,
             Moment firstTry,
             Set<Long> tried)
-            implements Note<Switch> {
+            implements Message<Switch> {
         public void to(Switch a) {
             a.asked(this);
         }
@@ -125,73 +125,73 @@
             return !urgent() && !now.before(firstTry.plus(skill.target));
         }
 
-        Ask again() {
-            return new Ask(contact, skill, destination, false, waitUntil, out, firstTry, tried);
+        CircuitRequest again() {
+            return new CircuitRequest(contact, skill, destination, false, waitUntil, out, firstTry, tried);
         }
     }
 
-    record Through(Ask ask, List<Switch> others) implements Note<Switch> {
+    record TandemRequest(CircuitRequest ask, List<Switch> others) implements Message<Switch> {
         public void to(Switch a) {
             a.through(ask, others);
         }
     }
 
-    record Stood(long contact, Span took) implements Note<Switch> {
+    record ContactEstablished(long contact, Span took) implements Message<Switch> {
         public void to(Switch a) {
             a.stood(contact, took);
         }
     }
 
-    record Ended(RingEnd end) implements Note<Switch> {
+    record SwitchRingEnded(RingEnd end) implements Message<Switch> {
         public void to(Switch a) {
             a.ended(end);
         }
     }
 
-    record Return(long id) implements Note<Switch> {
+    record ReleaseCircuits(long id) implements Message<Switch> {
         public void to(Switch a) {
             a.giveBack(id);
         }
     }
 
-    record Serve() implements Note<Switch> {
+    record ServeWaitingRequests() implements Message<Switch> {
         public void to(Switch a) {
             a.ticking = false;
             a.serve();
         }
     }
 
-    record TryAgain() implements Note<Switch> {
+    record AllowTrial() implements Message<Switch> {
         public void to(Switch a) {
             a.nextTrial = NEVER;
         }
     }
 
-    record Told(SwitchLine line) implements Note<Switch> {
+    record SwitchListed(SwitchEntry line) implements Message<Switch> {
         public void to(Switch a) {
             a.listed(line);
         }
     }
 
-    record Reported(float[] says) implements Note<Switch> {
+    record SwitchReported(float[] says) implements Message<Switch> {
         public void to(Switch a) {
             a.reported(says);
         }
     }
 
-    record Linked(int tandem, boolean leads) implements Note<Switch> {
+    record TandemGroupReported(int tandem, boolean leads) implements Message<Switch> {
         public void to(Switch a) {
             a.linked(tandem, leads);
         }
     }
 
-    record PeerSays(byte[] note) implements Note<Front> {
-        public void to(Front a) {
+    record PeerNoteReceived(byte[] note) implements Message<ContactManager> {
+        public void to(ContactManager a) {
             a.heard(note);
         }
     }
 
-    record Judge(Switch tandem, boolean well) implements Note<Switch> {
+    record TandemOutcome(Switch tandem, boolean well) implements Message<Switch> {
         public void to(Switch a) {
             a.judge(tandem, well);
         }
@@ -206,13 +206,13 @@
     }
 
     /** A histogram over doubling bins below a scale, halved each third period; one bin makes it a count. */
-    static final class Seen {
+    static final class DecayingHistogram {
         final double[] bins;
         final Span scale, period;
         final Moment began;
         long halvings;
 
-        Seen(int bins, Span scale, Span period, Moment now) {
+        DecayingHistogram(int bins, Span scale, Span period, Moment now) {
             this.bins = new double[bins];
             this.scale = scale;
             this.period = period;
@@ -220,7 +220,7 @@
         }
 
         private double age(Moment now) {
-            double passed = now.since(began).over(period) / 3;
+            double passed = now.since(began).ratioTo(period) / 3;
             for (; halvings < (long) passed; halvings++) {
                 for (int i = 0; i < bins.length; i++) {
                     bins[i] = bins[i] < 0.01 ? 0 : bins[i] / 2;
@@ -258,14 +258,14 @@
         }
     }
 
-    private Seen count(Span period) {
-        return new Seen(1, period, period, now);
+    private DecayingHistogram count(Span period) {
+        return new DecayingHistogram(1, period, period, now);
     }
 
     class Actor<A extends Actor<A>> {
-        private final ArrayDeque<Note<A>> inbox = new ArrayDeque<>();
+        private final ArrayDeque<Message<A>> inbox = new ArrayDeque<>();
 
-        final void put(Note<A> note) {
+        final void put(Message<A> note) {
             if (inbox.isEmpty()) {
                 busy.add(this);
             }
@@ -290,26 +290,28 @@
     }
 
     /** A ring's circuits on the group; since is null once the contact stands. */
-    private record Held(Skill skill, int width, Moment since) {}
+    private record HeldCircuits(Skill skill, int width, Moment since) {}
 
     /** What time mends, but for 0: no group leads on there. */
-    private record Weight(double then, Moment at) {}
+    private record TandemWeight(double then, Moment at) {}
 
     final class Switch extends Actor<Switch> {
         final long id;
         int number = -1, zone = -1;
-        SwitchLine.State state = SwitchLine.State.GONE;
+        SwitchEntry.State state = SwitchEntry.State.GONE;
         Moment started;
         int free, size;
         // Apart, as what stands is many times what is out, and each contact asks for the first one out.
-        final Map<Long, Held> rings = new LinkedHashMap<>(), standing = new HashMap<>();
+        final Map<Long, HeldCircuits> rings = new LinkedHashMap<>(), standing = new HashMap<>();
         final int[] held = new int[skills.length];
-        final Seen urgent = count(urgentOne.hold);
-        Map<Integer, Weight> weights = new TreeMap<>();
-        final List<Ask> waiting = new ArrayList<>();
+        final DecayingHistogram urgent = count(urgentOne.hold);
+        Map<Integer, TandemWeight> weights = new TreeMap<>();
+        final List<CircuitRequest> waiting = new ArrayList<>();
         boolean ticking, mute;
-        final Seen setUps = new Seen(8, patienceMost, urgentOne.target.times(1 / 3.0), now);
-        final Seen sent = count(urgentOne.target), answers = count(urgentOne.target), asks = count(urgentOne.target);
+        final DecayingHistogram setUps = new DecayingHistogram(8, patienceMost, urgentOne.target.times(1 / 3.0), now);
+        final DecayingHistogram sent = count(urgentOne.target),
+                answers = count(urgentOne.target),
+                asks = count(urgentOne.target);
         double warmRate, budget, cutBy, usual, depth;
         Moment budgetAt = now, lastSign = now, nextTrial = NEVER, toldAt = NEVER;
         Span wait = Span.ZERO;
@@ -323,26 +325,26 @@
                 // It may have been cut off together with others, which else wait for their trials one by one.
                 switches.values().stream()
                         .filter(other -> other.zone == zone)
-                        .forEach(other -> other.put(new TryAgain()));
+                        .forEach(other -> other.put(new AllowTrial()));
             }
             setUps.add(1, took, now);
             answers.add(1, Span.ZERO, now);
             sign();
-            Held ring = rings.remove(contact);
+            HeldCircuits ring = rings.remove(contact);
             if (ring != null) {
-                standing.put(contact, new Held(ring.skill, ring.width, null));
+                standing.put(contact, new HeldCircuits(ring.skill, ring.width, null));
             }
         }
 
-        void listed(SwitchLine line) {
+        void listed(SwitchEntry line) {
             number = line.number();
             // A machine that takes another's place keeps its groups, and so what was learned of them.
             weights = weightsTo.computeIfAbsent(number, any -> new TreeMap<>());
             state = line.state();
             zone = line.zone();
-            if (line.started() != null && (started == null || started.before(line.started()))) {
+            if (line.startedAt() != null && (started == null || started.before(line.startedAt()))) {
                 // What was known of the processor that ran before says nothing of this one.
-                started = line.started();
+                started = line.startedAt();
                 // One share of many senders is a fraction of a contact: who may send one early is drawn.
                 budget = chance.nextDouble();
                 budgetAt = now;
@@ -381,18 +383,18 @@
         }
 
         void ended(RingEnd end) {
-            Held ring = giveBack(end.contact());
-            if (end.cause() == Cause.TURNED_BACK || end.cause() == Cause.BUSY) {
+            HeldCircuits ring = giveBack(end.contact());
+            if (end.cause() == RingEndCause.TURNED_BACK || end.cause() == RingEndCause.BUSY) {
                 sign();
-            } else if (end.cause() == Cause.TIMED_OUT && ring != null && ring.since != null) {
+            } else if (end.cause() == RingEndCause.TIMED_OUT && ring != null && ring.since != null) {
                 mute |= lastSign.before(ring.since);
             }
             reported(end.report());
         }
 
-        Held giveBack(long contact) {
+        HeldCircuits giveBack(long contact) {
             waiting.removeIf(ask -> ask.contact.id() == contact);
-            Held ring = rings.containsKey(contact) ? rings.remove(contact) : standing.remove(contact);
+            HeldCircuits ring = rings.containsKey(contact) ? rings.remove(contact) : standing.remove(contact);
             if (ring != null) {
                 held[ring.skill.id] -= ring.width;
             }
@@ -404,13 +406,13 @@
             mute = false;
         }
 
-        void take(Ask ask) {
-            rings.put(ask.contact.id(), new Held(ask.skill, ask.width(), now));
+        void take(CircuitRequest ask) {
+            rings.put(ask.contact.id(), new HeldCircuits(ask.skill, ask.width(), now));
             held[ask.skill.id] += ask.width();
             free -= ask.width();
             sent.add(1, Span.ZERO, now);
             warmRate += coldPart() < 1 ? 0 : (sent.mean(now) - warmRate) / 16;
-            front.put(new Granted(ask.contact.id(), this));
+            front.put(new CircuitGranted(ask.contact.id(), this));
         }
 
         int stage() {
@@ -427,9 +429,9 @@
         }
 
         /** Null where the group takes the contact, else why not. */
-        Reason admits(Ask ask, boolean tandem) {
+        DenialReason admits(CircuitRequest ask, boolean tandem) {
             if (free < ask.width()) {
-                return Reason.FULL;
+                return DenialReason.FULL;
             }
             boolean early = tandem || ask.late(now);
             double level = Math.max((early ? NEAR_FULL_EARLY : NEAR_FULL) * Math.sqrt(size), urgentOne.width);
@@ -439,12 +441,12 @@
             // With next to no urgent demand a class may fill the group.
             int stage = stage();
             double limit = stage == 0 ? size : share(ask.skill.id, stage) * size;
-            return !early && holds(ask.skill.id) + ask.width() <= limit ? null : Reason.SHARE;
+            return !early && holds(ask.skill.id) + ask.width() <= limit ? null : DenialReason.SHARE;
         }
 
         /** Rings out and no word for longer than set-ups here take: it may be hung, cut off, jammed, slow. */
         boolean silent() {
-            Span longest = setUps.quantile(0.9, now).times(2).least(urgentOne.target);
+            Span longest = setUps.quantile(0.9, now).times(2).atLeast(urgentOne.target);
             return mute
                     || rings.values().stream()
                             .limit(1)
@@ -453,22 +455,22 @@
         }
 
         double coldPart() {
-            double age = started == null ? 1 : Math.max(0, now.since(started).over(warmWithin));
+            double age = started == null ? 1 : Math.max(0, now.since(started).ratioTo(warmWithin));
             return age >= 1 ? 1 : 1 - (1 - number("guarantees.cold-share", 0.2)) * (1 - age);
         }
 
         /** Each exchange sends a cold processor its own usual part, cut as its capacity is. */
-        boolean spendCold(Ask ask) {
+        boolean spendCold(CircuitRequest ask) {
             double part = coldPart();
             if (part >= 1) {
                 return true;
             }
             // Asks count by half: after a refusal the same caller asks again. A rush says nothing of the processor, and
             // one that started a moment ago has seen nothing else: no more than the group is built to carry.
-            double built = size * sent.period.over(skills[cheapest].hold) / skills[cheapest].width;
+            double built = size * sent.period.ratioTo(skills[cheapest].hold) / skills[cheapest].width;
             double usualSent = Math.min(built, Math.max(warmRate, asks.mean(now) / 2));
             part *= Math.min(COLD_WORK, 0.6 * number("guarantees.fall-multiple", 1));
-            double periods = now.since(budgetAt).over(sent.period);
+            double periods = now.since(budgetAt).ratioTo(sent.period);
             budget = Math.min(2, budget + usualSent * part * periods);
             budgetAt = now;
             return budget >= 1 && budget-- > 0;
@@ -478,23 +480,24 @@
         double pressure(Skill skill, int out) {
             Span age = toldAt == NEVER ? patienceMost : now.since(toldAt);
             // An old report must not shut a switch for good: with nothing sent there, no better one comes.
-            double fresh = Math.pow(0.5, age.over(turn()));
+            double fresh = Math.pow(0.5, age.ratioTo(turn()));
             Span rings = this == home() ? setUps.quantile(0.25, now) : Span.ZERO;
             // Rings out over answers in a time is the wait to come, known before the first slow answer.
-            double queued = Math.max(0, out - 1) / Math.max(3, answers.mean(now)) * answers.period.over(skill.target);
-            double slow = Math.max(queued, wait.times(fresh).least(rings).over(skill.target));
+            double queued =
+                    Math.max(0, out - 1) / Math.max(3, answers.mean(now)) * answers.period.ratioTo(skill.target);
+            double slow = Math.max(queued, wait.times(fresh).atLeast(rings).ratioTo(skill.target));
             // One that takes next to nothing is jammed: what is sent there, however dear, only feeds it.
             return skill.rank == 0
                     ? Math.max(ramp(cutBy * fresh, 0.85, 0.95), ramp(slow, 1, 2))
                     : Math.max(cutBy * fresh, ramp(slow, 0.2, 0.7));
         }
 
-        Reason processor(Ask ask) {
+        DenialReason processor(CircuitRequest ask) {
             boolean trial = silent();
             // A draining own processor still sets up; what it is to send elsewhere is no new work to it.
-            boolean up = state == SwitchLine.State.READY || this == home() && state != SwitchLine.State.GONE;
+            boolean up = state == SwitchEntry.State.READY || this == home() && state != SwitchEntry.State.GONE;
             if (!up || trial && now.before(nextTrial)) {
-                return Reason.DOWN;
+                return DenialReason.DOWN;
             }
             if (trial) {
                 // The trials of all exchanges must not keep a slow processor jammed.
@@ -502,17 +505,17 @@
             }
             double back = trial ? 0 : pressure(ask.skill, this == ask.destination ? 0 : ask.out);
             back *= ask.late(now) ? LATE_BACK : 1;
-            return back >= 1 || ask.first && chance.nextDouble() < back ? Reason.PRESSED : null;
+            return back >= 1 || ask.first && chance.nextDouble() < back ? DenialReason.PRESSED : null;
         }
 
-        void asked(Ask ask) {
-            Reason reason = processor(ask);
+        void asked(CircuitRequest ask) {
+            DenialReason reason = processor(ask);
             boolean transit = ask.contact.inTransit();
             if (this != ask.destination) {
                 if (reason == null) {
                     ask.destination.put(ask);
                 } else {
-                    refuse(ask, Reason.PRESSED);
+                    refuse(ask, DenialReason.PRESSED);
                 }
                 return;
             }
@@ -522,22 +525,22 @@
                 urgent.add(ask.width(), Span.ZERO, now);
             }
             reason = reason == null ? admits(ask, transit) : reason;
-            reason = reason == null && !spendCold(ask) ? Reason.COLD : reason;
-            List<Switch> drawn = reason == Reason.FULL && !transit && coldPart() >= 1 ? draw(ask) : List.of();
+            reason = reason == null && !spendCold(ask) ? DenialReason.COLD : reason;
+            List<Switch> drawn = reason == DenialReason.FULL && !transit && coldPart() >= 1 ? draw(ask) : List.of();
             if (reason == null) {
                 take(ask);
             } else if (drawn.isEmpty()) {
                 // With no group that can ever take it and no tandem, nothing is worth waiting for.
-                refuse(ask, size < ask.width() ? Reason.DOWN : reason);
+                refuse(ask, size < ask.width() ? DenialReason.DOWN : reason);
             } else {
                 pass(ask, drawn);
             }
         }
 
         /** What may still pay within its answer target waits for a circuit. */
-        void refuse(Ask ask, Reason reason) {
-            if (ask.contact.inTransit() || reason != Reason.FULL || !now.before(ask.waitUntil)) {
-                front.put(new Denied(ask.contact.id(), this != ask.destination));
+        void refuse(CircuitRequest ask, DenialReason reason) {
+            if (ask.contact.inTransit() || reason != DenialReason.FULL || !now.before(ask.waitUntil)) {
+                front.put(new CircuitDenied(ask.contact.id(), this != ask.destination));
                 return;
             }
             int at = 0;
@@ -547,32 +550,32 @@
             waiting.add(at, ask);
             if (!ticking) {
                 ticking = true;
-                orders.clock(urgentOne.target.times(0.04).least(round), id * 2 + 1);
+                orders.startTimer(urgentOne.target.times(0.04).atLeast(round), id * 2 + 1);
             }
         }
 
         double weight(Switch tandem) {
-            Weight weight = weights.getOrDefault(tandem.number, new Weight(WEIGHT_NEW, now));
-            double mend = Math.pow(0.5, now.since(weight.at).over(urgentOne.hold.times(4)));
+            TandemWeight weight = weights.getOrDefault(tandem.number, new TandemWeight(WEIGHT_NEW, now));
+            double mend = Math.pow(0.5, now.since(weight.at).ratioTo(urgentOne.hold.times(4)));
             return weight.then == 0 ? 0 : 1 - (1 - weight.then) * mend;
         }
 
         void judge(Switch tandem, boolean well) {
             double weight = weight(tandem);
             weight = well ? weight + WEIGHT_UP * (1 - weight) : weight * WEIGHT_DOWN;
-            weights.put(tandem.number, new Weight(Math.max(WEIGHT_LEAST, weight), now));
+            weights.put(tandem.number, new TandemWeight(Math.max(WEIGHT_LEAST, weight), now));
         }
 
         /** What a tandem itself says of its group to here stands over what was learned of it. */
         void linked(int tandem, boolean leads) {
-            weights.put(tandem, new Weight(leads ? WEIGHT_NEW : 0, now));
+            weights.put(tandem, new TandemWeight(leads ? WEIGHT_NEW : 0, now));
         }
 
         /**
          * Tandems in an order drawn by weight, each once for a contact. With a group that can take it a
          * cheap contact draws once; without one a tandem is the planned route.
          */
-        List<Switch> draw(Ask ask) {
+        List<Switch> draw(CircuitRequest ask) {
             boolean once = size >= ask.width() && ask.width() <= urgentOne.width && !ask.urgent();
             if (once && (!ask.first || ask.late(now))) {
                 return List.of();
@@ -582,7 +585,7 @@
                 double weight = weight(leg);
                 if (leg != this && weight > 0 && !ask.tried.contains(leg.id)) {
                     double last = -Math.log(chance.nextDouble()) / weight;
-                    boolean advised = leg.number == ask.contact.hint() && chance.nextDouble() < weight;
+                    boolean advised = leg.number == ask.contact.routingHint() && chance.nextDouble() < weight;
                     order.put(advised ? -1 : last, leg);
                 }
             }
@@ -590,11 +593,11 @@
             return once && !drawn.isEmpty() ? drawn.subList(0, Math.min(ask.width(), drawn.size())) : drawn;
         }
 
-        void through(Ask ask, List<Switch> others) {
+        void through(CircuitRequest ask, List<Switch> others) {
             if (this == ask.destination) {
-                refuse(ask, Reason.FULL);
+                refuse(ask, DenialReason.FULL);
             } else if (coldPart() >= 1
-                    && state == SwitchLine.State.READY
+                    && state == SwitchEntry.State.READY
                     && ask.skill.goes(number)
                     && !silent()
                     && pressure(ask.skill, 0) == 0
@@ -606,15 +609,15 @@
         }
 
         /** The last in the row is the destination again, where the contact waits or is refused. */
-        void pass(Ask ask, List<Switch> row) {
+        void pass(CircuitRequest ask, List<Switch> row) {
             Switch next = row.isEmpty() ? ask.destination : row.get(0);
-            next.put(new Through(ask, row.subList(Math.min(1, row.size()), row.size())));
+            next.put(new TandemRequest(ask, row.subList(Math.min(1, row.size()), row.size())));
         }
 
         void serve() {
-            List<Ask> turns = new ArrayList<>(waiting);
+            List<CircuitRequest> turns = new ArrayList<>(waiting);
             waiting.clear();
-            for (Ask ask : turns) {
+            for (CircuitRequest ask : turns) {
                 if (now.before(ask.waitUntil)) {
                     asked(ask.again());
                 }
@@ -622,24 +625,24 @@
         }
     }
 
-    enum Doing {
+    enum ContactState {
         SEEKING,
         RINGING,
         RELEASING
     }
 
-    static final class Open {
+    static final class OpenContact {
         final Contact contact;
         final Skill skill;
         final Moment end, worthUntil, paysUntil, firstTry;
         final Set<Long> tried = new HashSet<>();
-        Doing doing = Doing.SEEKING;
+        ContactState doing = ContactState.SEEKING;
         int rings;
         boolean asked;
         Switch at, destination;
         Moment seekAt;
 
-        Open(Contact contact, Skill skill, Moment end, Moment from, Moment firstTry) {
+        OpenContact(Contact contact, Skill skill, Moment end, Moment from, Moment firstTry) {
             this.firstTry = firstTry;
             this.contact = contact;
             this.skill = skill;
@@ -649,24 +652,24 @@
         }
     }
 
-    final class Front extends Actor<Front> {
-        final Map<Long, Open> open = new LinkedHashMap<>();
+    final class ContactManager extends Actor<ContactManager> {
+        final Map<Long, OpenContact> open = new LinkedHashMap<>();
         final Map<Long, Moment> firstTries = new LinkedHashMap<>();
         Moment probedAt = NEVER, startedAt = now;
 
         void answered(long contact) {
-            Open one = open.remove(contact);
+            OpenContact one = open.remove(contact);
             if (one == null) {
                 return;
             }
-            firstTries.remove(one.contact.dialled());
+            firstTries.remove(one.contact.dialledNumber());
             if (one.at != one.destination) {
-                one.destination.put(new Judge(one.at, true));
+                one.destination.put(new TandemOutcome(one.at, true));
             }
         }
 
         /** Where the own processor has no room, a few more looks within the time that pays spare redials. */
-        void denied(Open one, boolean own) {
+        void denied(OpenContact one, boolean own) {
             Moment again = now.plus(urgentOne.target.times(AGAIN));
             if (one != null && own && !one.contact.inTransit() && again.before(one.worthUntil)) {
                 one.asked = false;
@@ -684,7 +687,7 @@
             ByteBuffer note = ByteBuffer.allocate(2 + bits.length)
                     .putShort((short) homeNumber)
                     .put(bits);
-            orders.note(Orders.ALL_PEERS, note.array());
+            orders.sendNote(Orders.ALL_PEERS, note.array());
         }
 
         void heard(byte[] note) {
@@ -694,12 +697,12 @@
             // One of no exchange that is listed would only be kept, and for good.
             if (numbers.containsKey(tandem)) {
                 BitSet groups = BitSet.valueOf(Arrays.copyOfRange(note, 2, note.length));
-                numbers.forEach((number, to) -> to.put(new Linked(tandem, groups.get(number))));
+                numbers.forEach((number, to) -> to.put(new TandemGroupReported(tandem, groups.get(number))));
             }
         }
 
-        void clock(Open one, Moment at) {
-            orders.clock(at.since(now).least(round), one.contact.id() * 2);
+        void clock(OpenContact one, Moment at) {
+            orders.startTimer(at.since(now).atLeast(round), one.contact.id() * 2);
         }
 
         void offered(Contact contact) {
@@ -712,10 +715,10 @@
                     first.hasNext() && now.since(first.next()).longerThan(patienceMost); ) {
                 first.remove();
             }
-            Moment first = contact.dialled() == 0 || contact.inTransit()
+            Moment first = contact.dialledNumber() == 0 || contact.inTransit()
                     ? now
-                    : firstTries.computeIfAbsent(contact.dialled(), any -> now);
-            Open one = new Open(contact, skill, end, skill.rank == 0 ? now : first, first);
+                    : firstTries.computeIfAbsent(contact.dialledNumber(), any -> now);
+            OpenContact one = new OpenContact(contact, skill, end, skill.rank == 0 ? now : first, first);
             open.put(contact.id(), one);
             // First of all, so that it ends whatever becomes of the rest.
             clock(one, end);
@@ -737,7 +740,7 @@
             seek(one);
         }
 
-        void seek(Open one) {
+        void seek(OpenContact one) {
             one.destination = byNumber(one.contact.destination());
             // A number of the own exchange is no matter of trunks: over a tandem it would come back here.
             if (one.destination == null
@@ -746,9 +749,9 @@
                 defer(one);
                 return;
             }
-            one.doing = Doing.SEEKING;
+            one.doing = ContactState.SEEKING;
             (one.asked || home() == null ? one.destination : home())
-                    .put(new Ask(
+                    .put(new CircuitRequest(
                             one.contact,
                             one.skill,
                             one.destination,
@@ -764,18 +767,18 @@
         int out() {
             Map<Switch, Integer> out = new HashMap<>();
             open.values().stream()
-                    .filter(one -> one.doing == Doing.RINGING)
+                    .filter(one -> one.doing == ContactState.RINGING)
                     .forEach(one -> out.merge(one.at, 1, (a, b) -> Math.min(MOST_OUT, a + b)));
             return out.values().stream().mapToInt(count -> count).sum();
         }
 
         void granted(long contact, Switch target) {
-            Open one = open.get(contact);
-            if (one == null || one.doing != Doing.SEEKING || !now.before(one.end)) {
-                target.put(new Return(contact));
+            OpenContact one = open.get(contact);
+            if (one == null || one.doing != ContactState.SEEKING || !now.before(one.end)) {
+                target.put(new ReleaseCircuits(contact));
                 return;
             }
-            one.doing = Doing.RINGING;
+            one.doing = ContactState.RINGING;
             one.at = target;
             one.tried.add(target.id);
             one.rings++;
@@ -783,17 +786,18 @@
         }
 
         void over(RingEnd end) {
-            Open one = end.answered() ? open.remove(end.contact()) : open.get(end.contact());
+            OpenContact one = end.answered() ? open.remove(end.contact()) : open.get(end.contact());
             if (one == null || end.answered() || end.ring() != one.rings - 1) {
                 return;
             }
-            if (one.at != one.destination && end.cause() != Cause.NOT_SENT) {
-                one.destination.put(new Judge(one.at, false));
+            if (one.at != one.destination && end.cause() != RingEndCause.NOT_SENT) {
+                one.destination.put(new TandemOutcome(one.at, false));
             }
-            boolean held =
-                    EnumSet.of(Cause.TIMED_OUT, Cause.CUT, Cause.CALLED_OFF).contains(end.cause());
-            boolean pressed = end.blame() == Blame.PROCESSOR || end.blame() == Blame.BEYOND_FULL;
-            boolean done = one.contact.inTransit() || end.cause() == Cause.BUSY || pressed;
+            boolean held = EnumSet.of(RingEndCause.TIMED_OUT, RingEndCause.CUT, RingEndCause.CALLED_OFF)
+                    .contains(end.cause());
+            boolean pressed = end.rejectionReason() == RejectionReason.PROCESSOR
+                    || end.rejectionReason() == RejectionReason.BEYOND_FULL;
+            boolean done = one.contact.inTransit() || end.cause() == RingEndCause.BUSY || pressed;
             Moment again = held ? now.plus(release).plus(round) : now;
             if (!done && again.before(one.paysUntil)) {
                 seekAt(one, again);
@@ -804,46 +808,46 @@
             }
         }
 
-        void seekAt(Open one, Moment at) {
-            one.doing = Doing.RELEASING;
+        void seekAt(OpenContact one, Moment at) {
+            one.doing = ContactState.RELEASING;
             one.seekAt = at;
             clock(one, at);
         }
 
         void rung(long contact) {
-            Open one = open.get(contact);
+            OpenContact one = open.get(contact);
             if (one == null || !now.before(one.end)) {
                 abandon(one);
-            } else if (one.doing == Doing.RELEASING && !now.before(one.seekAt)) {
+            } else if (one.doing == ContactState.RELEASING && !now.before(one.seekAt)) {
                 seek(one);
-            } else if (one.doing == Doing.SEEKING && !now.before(one.worthUntil)) {
+            } else if (one.doing == ContactState.SEEKING && !now.before(one.worthUntil)) {
                 defer(one);
             }
         }
 
         // The two places of a final answer; a contact is forgotten there, so nothing can follow.
-        void defer(Open one) {
+        void defer(OpenContact one) {
             if (letGo(one)) {
                 double away = may("retry-after") ? number("policy-limits.max-retry-after-ns", 0) : 0;
                 orders.defer(one.contact.id(), one.contact.inTransit() ? Span.ZERO : new Span((long) away));
             }
         }
 
-        void abandon(Open one) {
+        void abandon(OpenContact one) {
             if (letGo(one)) {
                 orders.abandon(one.contact.id());
             }
         }
 
-        boolean letGo(Open one) {
+        boolean letGo(OpenContact one) {
             if (one == null || open.remove(one.contact.id()) == null) {
                 return false;
             }
-            if (one.doing == Doing.SEEKING && one.destination != null) {
-                one.destination.put(new Return(one.contact.id()));
-                (home() == null ? one.destination : home()).put(new Return(one.contact.id()));
-            } else if (one.doing == Doing.RINGING && may("cancel")) {
-                orders.callOff(one.contact.id(), one.rings - 1);
+            if (one.doing == ContactState.SEEKING && one.destination != null) {
+                one.destination.put(new ReleaseCircuits(one.contact.id()));
+                (home() == null ? one.destination : home()).put(new ReleaseCircuits(one.contact.id()));
+            } else if (one.doing == ContactState.RINGING && may("cancel")) {
+                orders.cancel(one.contact.id(), one.rings - 1);
             }
             return true;
         }
@@ -857,7 +861,7 @@
     final Map<Long, Switch> switches = new TreeMap<>();
     private final Map<Long, Switch> legs = new TreeMap<>();
     private final Map<Integer, Switch> numbers = new HashMap<>();
-    private final Map<Integer, Map<Integer, Weight>> weightsTo = new HashMap<>();
+    private final Map<Integer, Map<Integer, TandemWeight>> weightsTo = new HashMap<>();
     final Skill[] skills;
     private Skill urgentOne;
     private int cheapest;
@@ -865,9 +869,9 @@
     private final List<String> fields;
     private final Span round, release, warmWithin;
     private final int homeNumber;
-    final Front front;
+    final ContactManager front;
 
-    public Logic(Map<String, String> settings, long seed, Moment now, Orders orders) {
+    public RoutingPolicy(Map<String, String> settings, long seed, Moment now, Orders orders) {
         this.settings = settings;
         this.orders = orders;
         this.now = now;
@@ -878,8 +882,8 @@
         homeNumber = (int) number("family-info.home-no", -1);
         fields = Arrays.asList(settings.getOrDefault("report.fields", "").split(","));
         skills = skills();
-        front = new Front();
-        listed(now, ListKind.FAILED, List.of());
+        front = new ContactManager();
+        switchListReceived(now, ListKind.FAILED, List.of());
     }
 
     private double number(String name, double otherwise) {
@@ -917,7 +921,7 @@
                     hold,
                     List.of(settings.getOrDefault("family-info.class-cells." + skill, "")
                             .split(",")));
-            patienceMost = patienceMost.least(new Span((long) number(at + "hard-limit-ns", 9e9)));
+            patienceMost = patienceMost.atLeast(new Span((long) number(at + "hard-limit-ns", 9e9)));
         }
         urgentOne = all[byValue[0]];
         cheapest = byValue[count - 1];
@@ -959,18 +963,20 @@
     }
 
     @Override
-    public void listed(Moment at, ListKind kind, List<SwitchLine> lines) {
+    public void switchListReceived(Moment at, ListKind kind, List<SwitchEntry> lines) {
         // Where the list must be asked for, a failed subscription is renewed, or drains would go unheard.
         if (kind == ListKind.FAILED && "subscribe".equals(settings.get("discovery"))) {
-            orders.watchList(true);
+            orders.watchSwitchList(true);
         }
-        lines.forEach(line -> tell(at, at(line.id()), new Told(line)));
-        boolean all = kind == ListKind.WHOLE || kind == ListKind.REMEMBERED;
-        Set<Long> named = new HashSet<>(lines.stream().map(SwitchLine::id).toList());
+        lines.forEach(line -> tell(at, at(line.id()), new SwitchListed(line)));
+        boolean all = kind == ListKind.FULL || kind == ListKind.CACHED;
+        Set<Long> named = new HashSet<>(lines.stream().map(SwitchEntry::id).toList());
         switches.values().stream()
                 .filter(one -> all && !named.contains(one.id))
-                .forEach(one ->
-                        tell(at, one, new Told(new SwitchLine(one.id, one.number, SwitchLine.State.GONE, null, 0))));
+                .forEach(one -> tell(
+                        at,
+                        one,
+                        new SwitchListed(new SwitchEntry(one.id, one.number, SwitchEntry.State.GONE, null, 0))));
         // While a machine replaces another, both bear the number: the one that takes what is new counts.
         // One that only a report has named, with no number yet, is nobody's destination.
         numbers.clear();
@@ -978,11 +984,11 @@
                 .forEach(one -> numbers.merge(
                         one.number,
                         one,
-                        (a, b) -> a.state == SwitchLine.State.READY || b.state != SwitchLine.State.READY ? a : b));
+                        (a, b) -> a.state == SwitchEntry.State.READY || b.state != SwitchEntry.State.READY ? a : b));
         numbers.keySet().removeIf(number -> number < 0);
         // A machine that was replaced, and holds nothing any more, would else be kept and counted for good.
         switches.values()
-                .removeIf(one -> one.state == SwitchLine.State.GONE
+                .removeIf(one -> one.state == SwitchEntry.State.GONE
                         && numbers.get(one.number) != one
                         && one.rings.isEmpty()
                         && one.standing.isEmpty()
@@ -990,7 +996,7 @@
         legs.keySet().retainAll(switches.keySet());
     }
 
-    private <A extends Actor<A>> void tell(Moment at, A actor, Note<A> note) {
+    private <A extends Actor<A>> void tell(Moment at, A actor, Message<A> note) {
         now = at;
         if (actor != null) {
             actor.put(note);
@@ -1001,21 +1007,21 @@
     }
 
     @Override
-    public void offered(Moment at, Contact contact) {
-        tell(at, front, new Offered(contact));
+    public void contactOffered(Moment at, Contact contact) {
+        tell(at, front, new ContactOffered(contact));
     }
 
     @Override
-    public void stands(Moment at, long contact, int ring, long target, Span took) {
-        tell(at, at(target), new Stood(contact, took));
-        tell(at, home(), new Stood(contact, took));
-        tell(at, front, new Answered(contact));
+    public void established(Moment at, long contact, int ring, long target, Span took) {
+        tell(at, at(target), new ContactEstablished(contact, took));
+        tell(at, home(), new ContactEstablished(contact, took));
+        tell(at, front, new ContactAnswered(contact));
     }
 
     @Override
     public void ringEnded(Moment at, RingEnd end) {
-        tell(at, at(end.target()), new Ended(end));
-        tell(at, front, new Over(end));
+        tell(at, at(end.target()), new SwitchRingEnded(end));
+        tell(at, front, new ContactRingEnded(end));
     }
 
     @Override
@@ -1024,22 +1030,22 @@
     }
 
     @Override
-    public void clockRung(Moment at, long token) {
+    public void timerExpired(Moment at, long token) {
         if ((token & 1) == 1) {
-            tell(at, at(token >> 1), new Serve());
+            tell(at, at(token >> 1), new ServeWaitingRequests());
         } else {
-            tell(at, front, new Rung(token >> 1));
+            tell(at, front, new ContactTimerExpired(token >> 1));
         }
     }
 
     @Override
-    public void reported(Moment at, long target, boolean reached, Span took, float[] report) {
-        tell(at, at(target), new Reported(report));
+    public void switchReported(Moment at, long target, boolean reached, Span took, float[] report) {
+        tell(at, at(target), new SwitchReported(report));
     }
 
     @Override
-    public void peerNote(Moment at, int peer, byte[] note) {
-        tell(at, front, new PeerSays(note));
+    public void peerNoteReceived(Moment at, int peer, byte[] note) {
+        tell(at, front, new PeerNoteReceived(note));
     }
 
     @Override
--- a/src/main/java/martenslip/cli/BenchCommand.java
+++ b/src/main/java/martenslip/cli/BenchCommand.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import martenslip.play.CoresBench;
+import martenslip.scenario.CoresBenchmark;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -51,13 +51,14 @@
             return 2;
         }
         try {
-            CoresBench bench = new CoresBench(into, List.of(options.trim().split(" +")), seconds, System.out);
+            CoresBenchmark bench =
+                    new CoresBenchmark(into, List.of(options.trim().split(" +")), seconds, System.out);
             if (what.equals("cores")) {
-                List<CoresBench.Row> rows = bench.rates(lanes, rates);
+                List<CoresBenchmark.RateResult> rows = bench.measureRates(lanes, rates);
                 write(rows);
-                CoresChart.write(rows, into.resolve("cores.svg"));
+                CoresBenchmarkChart.write(rows, into.resolve("cores.svg"));
             }
-            bench.full(lanes);
+            bench.measureFullGroups(lanes);
             System.out.flush();
             return 0;
         } catch (IOException e) {
@@ -66,7 +67,7 @@
         }
     }
 
-    private void write(List<CoresBench.Row> rows) throws IOException {
+    private void write(List<CoresBenchmark.RateResult> rows) throws IOException {
         try (PrintStream csv =
                 new PrintStream(Files.newOutputStream(into.resolve("cores.csv")), false, StandardCharsets.UTF_8)) {
             csv.println("lanes,rate,dialled,stood,p50_us,p99_us,p999_us,cpu_ms");
@@ -76,10 +77,10 @@
                     row.lanes(),
                     row.rate(),
                     row.dialled(),
-                    row.stood(),
-                    row.p50(),
-                    row.p99(),
-                    row.p999(),
+                    row.established(),
+                    row.p50Micros(),
+                    row.p99Micros(),
+                    row.p999Micros(),
                     row.cpuMs()));
         }
     }
--- a/src/main/java/martenslip/cli/CheckCommand.java
+++ b/src/main/java/martenslip/cli/CheckCommand.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import martenslip.provision.Rejected;
-import martenslip.provision.Site;
-import martenslip.provision.SiteFile;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.configuration.ExchangeFile;
+import martenslip.configuration.InvalidFileException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -21,12 +21,12 @@
     @Override
     public Integer call() {
         try {
-            Site site = SiteFile.read(file);
+            ExchangeConfiguration site = ExchangeFile.read(file);
             System.out.println(
                     "exchange " + site.number() + ": " + site.groups().size() + " groups, "
                             + site.skills().size() + " skills, " + site.peers().size() + " peers");
             return 0;
-        } catch (Rejected e) {
+        } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
             return 1;
         } catch (IOException e) {
--- a/src/main/java/martenslip/cli/CoresChart.java
+++ b/src/main/java/martenslip/cli/CoresBenchmarkChart.java
@@ -3,16 +3,16 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import martenslip.play.CoresBench;
+import martenslip.scenario.CoresBenchmark;
 import org.knowm.xchart.VectorGraphicsEncoder;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
 /** The added delay over the rate, a line for each count of lanes. */
-final class CoresChart {
-    private CoresChart() {}
+final class CoresBenchmarkChart {
+    private CoresBenchmarkChart() {}
 
-    static void write(List<CoresBench.Row> rows, Path file) throws IOException {
+    static void write(List<CoresBenchmark.RateResult> rows, Path file) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart = new XYChartBuilder()
                 .width(800)
@@ -22,13 +22,14 @@
                 .yAxisTitle("ms")
                 .build();
         chart.getStyler().setYAxisLogarithmic(true);
-        for (int lanes : rows.stream().map(CoresBench.Row::lanes).distinct().toList()) {
-            List<CoresBench.Row> line =
+        for (int lanes :
+                rows.stream().map(CoresBenchmark.RateResult::lanes).distinct().toList()) {
+            List<CoresBenchmark.RateResult> line =
                     rows.stream().filter(row -> row.lanes() == lanes).toList();
             chart.addSeries(
                     lanes + " lanes",
-                    line.stream().map(CoresBench.Row::rate).toList(),
-                    line.stream().map(row -> row.p99() / 1000.0).toList());
+                    line.stream().map(CoresBenchmark.RateResult::rate).toList(),
+                    line.stream().map(row -> row.p99Micros() / 1000.0).toList());
         }
         VectorGraphicsEncoder.saveVectorGraphic(chart, file.toString(), VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
     }
--- a/src/main/java/martenslip/cli/ExpectCommand.java
+++ b/src/main/java/martenslip/cli/ExpectCommand.java
@@ -9,14 +9,14 @@
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import martenslip.Logic;
-import martenslip.expect.Check;
+import martenslip.RoutingPolicy;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.configuration.ExchangeFile;
+import martenslip.configuration.InvalidFileException;
 import martenslip.expect.Contradictions;
-import martenslip.expect.ExpectFile;
 import martenslip.expect.Expectation;
-import martenslip.provision.Rejected;
-import martenslip.provision.Site;
-import martenslip.provision.SiteFile;
+import martenslip.expect.ExpectationChecker;
+import martenslip.expect.ExpectationFile;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -57,22 +57,22 @@
     @Override
     public Integer call() {
         try {
-            Site site = SiteFile.read(siteFile);
-            Map<Integer, Site> sites = new TreeMap<>();
+            ExchangeConfiguration site = ExchangeFile.read(siteFile);
+            Map<Integer, ExchangeConfiguration> sites = new TreeMap<>();
             for (Path one : folder()) {
-                Site other = SiteFile.read(one);
+                ExchangeConfiguration other = ExchangeFile.read(one);
                 sites.put(other.number(), other);
             }
             sites.put(site.number(), site);
-            ExpectFile.Read read = ExpectFile.read(file.toString(), Files.readString(file), site);
-            Check older = null;
+            ExpectationFile.Contents read = ExpectationFile.read(file.toString(), Files.readString(file), site);
+            ExpectationChecker older = null;
             if (against != null) {
-                Map<Integer, Site> before = new TreeMap<>(sites);
-                before.put(site.number(), SiteFile.read(against));
-                older = new Check(before, site.number(), read, Logic::new);
+                Map<Integer, ExchangeConfiguration> before = new TreeMap<>(sites);
+                before.put(site.number(), ExchangeFile.read(against));
+                older = new ExpectationChecker(before, site.number(), read, RoutingPolicy::new);
             }
-            return check(read, new Check(sites, site.number(), read, Logic::new), older);
-        } catch (Rejected e) {
+            return check(read, new ExpectationChecker(sites, site.number(), read, RoutingPolicy::new), older);
+        } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
             return 4;
         } catch (IOException e) {
@@ -82,11 +82,15 @@
     }
 
     /** True where all lines of the file hold for the exchange; what doesn't is printed. */
-    static boolean holds(Path lines, Site site) throws IOException, Rejected {
+    static boolean holds(Path lines, ExchangeConfiguration site) throws IOException, InvalidFileException {
         ExpectCommand command = new ExpectCommand();
         command.file = lines;
-        ExpectFile.Read read = ExpectFile.read(lines.toString(), Files.readString(lines), site);
-        return command.check(read, new Check(Map.of(site.number(), site), site.number(), read, Logic::new), null) == 0;
+        ExpectationFile.Contents read = ExpectationFile.read(lines.toString(), Files.readString(lines), site);
+        return command.check(
+                        read,
+                        new ExpectationChecker(Map.of(site.number(), site), site.number(), read, RoutingPolicy::new),
+                        null)
+                == 0;
     }
 
     private List<Path> folder() throws IOException {
@@ -98,7 +102,7 @@
         }
     }
 
-    private String junit(List<Check.Verdict> all) {
+    private String junit(List<ExpectationChecker.Result> all) {
         StringBuilder text = new StringBuilder("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"")
                 .append(escaped(file.toString()))
                 .append("\" tests=\"")
@@ -106,7 +110,7 @@
                 .append("\" failures=\"")
                 .append(all.stream().filter(one -> !one.holds()).count())
                 .append("\">\n");
-        for (Check.Verdict one : all) {
+        for (ExpectationChecker.Result one : all) {
             text.append("  <testcase classname=\"")
                     .append(escaped(file.getFileName().toString()))
                     .append("\" name=\"line ")
@@ -114,7 +118,7 @@
                     .append(": ")
                     .append(escaped(one.expectation().text()))
                     .append('"');
-            text.append(one.holds() ? "/>\n" : "><failure message=\"" + escaped(one.why()) + "\"/></testcase>\n");
+            text.append(one.holds() ? "/>\n" : "><failure message=\"" + escaped(one.reason()) + "\"/></testcase>\n");
         }
         return text.append("</testsuite>\n").toString();
     }
@@ -126,30 +130,31 @@
                 .replace("\"", "&quot;");
     }
 
-    private int check(ExpectFile.Read read, Check check, Check older) throws IOException {
+    private int check(ExpectationFile.Contents read, ExpectationChecker check, ExpectationChecker older)
+            throws IOException {
         long began = System.nanoTime();
-        List<Contradictions.Pair> pairs = Contradictions.among(read.expectations());
-        for (Contradictions.Pair pair : pairs) {
+        List<Contradictions.Contradiction> pairs = Contradictions.find(read.expectations());
+        for (Contradictions.Contradiction pair : pairs) {
             System.out.println(
                     file + ":" + pair.one().line() + " and :" + pair.other().line() + " contradict each other ("
-                            + pair.why() + ")" + (pair.state().isEmpty() ? "" : " while " + pair.state()) + "\n    "
+                            + pair.reason() + ")" + (pair.state().isEmpty() ? "" : " while " + pair.state()) + "\n    "
                             + pair.one().text() + "\n    " + pair.other().text());
         }
         if (!pairs.isEmpty()) {
             return 3;
         }
-        List<Check.Verdict> broken = new ArrayList<>();
-        List<Check.Verdict> all = new ArrayList<>();
+        List<ExpectationChecker.Result> broken = new ArrayList<>();
+        List<ExpectationChecker.Result> all = new ArrayList<>();
         for (Expectation one : read.expectations()) {
-            Check.Verdict verdict = check.of(one);
+            ExpectationChecker.Result verdict = check.check(one);
             all.add(verdict);
-            if (older != null && older.of(one).holds() != verdict.holds()) {
+            if (older != null && older.check(one).holds() != verdict.holds()) {
                 System.out.println(
                         file + ":" + one.line() + (verdict.holds() ? " now holds: " : " now breaks: ") + one.text());
             }
             if (!verdict.holds()) {
                 broken.add(verdict);
-                System.out.println(file + ":" + one.line() + " broken: " + one.text() + "\n    " + verdict.why());
+                System.out.println(file + ":" + one.line() + " broken: " + one.text() + "\n    " + verdict.reason());
             }
         }
         System.out.printf(
@@ -158,7 +163,7 @@
                 read.expectations().size(),
                 read.expectations().size() - broken.size(),
                 broken.size(),
-                check.trials(),
+                check.trialCount(),
                 (System.nanoTime() - began) / 1e9);
         if (junit != null) {
             Files.writeString(junit, junit(all));
--- a/src/main/java/martenslip/cli/Main.java
+++ b/src/main/java/martenslip/cli/Main.java
@@ -4,12 +4,12 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.nio.file.Path;
-import martenslip.Logic;
-import martenslip.drill.Drill;
-import martenslip.drill.MalformedWire;
-import martenslip.platform.Rehearsal;
-import martenslip.platform.Reloads;
-import martenslip.platform.Serve;
+import martenslip.RoutingPolicy;
+import martenslip.platform.CdsTrainingRun;
+import martenslip.platform.ControllerService;
+import martenslip.platform.ReloadSignal;
+import martenslip.simulatorprotocol.MalformedInputException;
+import martenslip.simulatorprotocol.SimulatorProtocol;
 import sun.misc.Signal;
 
 /** The way in. The drill's CPU is billed and a controller in service has little memory, so both are
@@ -25,27 +25,27 @@
         } else if (args.length == 1 && args[0].equals("rehearse")) {
             rehearse();
         } else {
-            System.exit(Program.run(args));
+            System.exit(RootCommand.run(args));
         }
     }
 
     /** The signals are taken first of all: a SIGHUP that comes early would end the process. */
     private static void serve() {
-        Reloads reloads = new Reloads();
-        Signal.handle(new Signal("HUP"), any -> reloads.ask());
+        ReloadSignal reloads = new ReloadSignal();
+        Signal.handle(new Signal("HUP"), any -> reloads.request());
         try {
-            Path configured = Serve.configured();
-            Serve serve;
+            Path configured = ControllerService.configurationFile();
+            ControllerService serve;
             try {
-                serve = new Serve(configured, Logic::new, System.err);
+                serve = new ControllerService(configured, RoutingPolicy::new, System.err);
             } catch (IOException | RuntimeException e) {
                 System.err.println("martenslip: " + configured + ": " + e.getMessage());
                 System.exit(2);
                 return;
             }
-            Signal.handle(new Signal("TERM"), any -> serve.term());
-            serve.open();
-            reloads.begin(serve::reload);
+            Signal.handle(new Signal("TERM"), any -> serve.requestShutdown());
+            serve.startServing();
+            reloads.start(serve::reload);
             serve.await();
             System.exit(0);
         } catch (IOException e) {
@@ -59,7 +59,7 @@
     /** For the build: the JVM keeps an archive of what this loads. */
     private static void rehearse() {
         try {
-            Rehearsal.run(Logic::new);
+            CdsTrainingRun.run(RoutingPolicy::new);
             System.exit(0);
         } catch (IOException e) {
             System.err.println("martenslip: " + e.getMessage());
@@ -69,8 +69,8 @@
 
     private static void drill() {
         try (FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
-            new Drill(System.in, out, Logic::new).run();
-        } catch (MalformedWire | IOException e) {
+            new SimulatorProtocol(System.in, out, RoutingPolicy::new).run();
+        } catch (MalformedInputException | IOException e) {
             System.err.println("martenslip: " + e.getMessage());
             System.exit(1);
         }
--- a/src/main/java/martenslip/cli/MeasureCommand.java
+++ b/src/main/java/martenslip/cli/MeasureCommand.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import martenslip.control.Span;
-import martenslip.proof.AddedDelay;
-import martenslip.proof.CaptureFile;
+import martenslip.verification.AddedDelay;
+import martenslip.verification.CaptureReader;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -26,7 +26,7 @@
     public Integer call() {
         try {
             AddedDelay added = new AddedDelay(Span.ofMillis(each * 1000.0));
-            CaptureFile.read(file, added);
+            CaptureReader.read(file, added);
             added.print(System.out);
             return 0;
         } catch (IOException e) {
--- a/src/main/java/martenslip/cli/PlayCommand.java
+++ b/src/main/java/martenslip/cli/PlayCommand.java
@@ -4,9 +4,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import martenslip.play.Day;
-import martenslip.play.Play;
-import martenslip.provision.Rejected;
+import martenslip.configuration.InvalidFileException;
+import martenslip.scenario.Day;
+import martenslip.scenario.ScenarioRunner;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -42,11 +42,12 @@
         try {
             Day day = Day.read(file);
             Path folder = into != null ? into : Path.of("target", "play", day.name());
-            boolean kept = new Play(day, folder, List.of(options.trim().split(" +")), lanes, System.out).run();
+            boolean kept =
+                    new ScenarioRunner(day, folder, List.of(options.trim().split(" +")), lanes, System.out).run();
             // Stand-ins' readers may still wait on sockets; what was to be said is said.
             System.out.flush();
             return kept ? 0 : 1;
-        } catch (Rejected e) {
+        } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
             return 1;
         } catch (IOException e) {
--- a/src/main/java/martenslip/cli/ProveCommand.java
+++ b/src/main/java/martenslip/cli/ProveCommand.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import martenslip.play.Play;
+import martenslip.scenario.ScenarioRunner;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -19,7 +19,7 @@
     @Override
     public Integer call() {
         try {
-            return Play.prove(file, System.out) ? 0 : 1;
+            return ScenarioRunner.verify(file, System.out) ? 0 : 1;
         } catch (IOException e) {
             System.err.println("martenslip: " + file + ": " + e.getMessage());
             return 2;
--- a/src/main/java/martenslip/cli/Program.java
+++ b/src/main/java/martenslip/cli/RootCommand.java
@@ -20,11 +20,11 @@
             DrillCommand.class,
             ServeCommand.class
         })
-final class Program {
-    private Program() {}
+final class RootCommand {
+    private RootCommand() {}
 
     static int run(String[] args) {
-        CommandLine line = new CommandLine(new Program());
+        CommandLine line = new CommandLine(new RootCommand());
         if (args.length == 0) {
             line.usage(System.err);
             return 2;
--- a/src/main/java/martenslip/cli/RunCommand.java
+++ b/src/main/java/martenslip/cli/RunCommand.java
@@ -7,13 +7,13 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
-import martenslip.Logic;
+import martenslip.RoutingPolicy;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.configuration.ExchangeFile;
+import martenslip.configuration.InvalidFileException;
+import martenslip.configuration.Skill;
 import martenslip.control.Span;
 import martenslip.exchange.Exchange;
-import martenslip.provision.Rejected;
-import martenslip.provision.Site;
-import martenslip.provision.SiteFile;
-import martenslip.provision.Skill;
 import martenslip.sip.transport.Hop;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -39,21 +39,21 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        Site site;
+        ExchangeConfiguration site;
         try {
-            site = SiteFile.read(file);
+            site = ExchangeFile.read(file);
             if (expectations != null && !ExpectCommand.holds(expectations, site)) {
                 System.err.println("martenslip: not started, as " + expectations + " does not hold for " + file);
                 return 1;
             }
-        } catch (Rejected e) {
+        } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
             return 1;
         } catch (IOException e) {
             System.err.println("martenslip: " + file + " can't be read: " + e);
             return 2;
         }
-        Exchange exchange = new Exchange(site, Logic::new);
+        Exchange exchange = new Exchange(site, RoutingPolicy::new);
         try {
             exchange.start();
         } catch (IOException e) {
@@ -61,7 +61,7 @@
             exchange.close();
             return 2;
         }
-        for (Hop.Kind kind : Hop.Kind.values()) {
+        for (Hop.Protocol kind : Hop.Protocol.values()) {
             if (exchange.port(kind) >= 0) {
                 System.out.println("ready sip:" + exchange.host() + ":" + exchange.port(kind) + ";transport="
                         + kind.name().toLowerCase(java.util.Locale.ROOT));
@@ -83,16 +83,16 @@
         lines.lines()
                 .map(line -> line.split(" ", 4))
                 .filter(words -> words.length > 2 && words[0].equals("stall"))
-                .forEach(words -> exchange.plant(
+                .forEach(words -> exchange.injectStall(
                         Integer.parseInt(words[1]),
                         Span.ofMillis(Double.parseDouble(words[2])),
                         words.length < 4 || words[3].isEmpty() ? null : words[3]));
     }
 
-    private static Span patience(Site site) {
+    private static Span patience(ExchangeConfiguration site) {
         Span longest = Span.ZERO;
         for (Skill skill : site.skills()) {
-            longest = longest.least(skill.patience());
+            longest = longest.atLeast(skill.patience());
         }
         return longest.plus(Span.ofMillis(500));
     }
@@ -103,7 +103,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
                 boolean all = exchange.drain(owed);
-                System.out.println("ended " + (all ? "in good order " : "with answers owed ") + exchange.figures());
+                System.out.println("ended " + (all ? "in good order " : "with answers owed ") + exchange.statistics());
                 System.out.flush();
                 exchange.close();
             } catch (InterruptedException e) {
@@ -114,7 +114,7 @@
         }));
         while (!over.await(every > 0 ? every : 3600, java.util.concurrent.TimeUnit.SECONDS)) {
             if (every > 0) {
-                System.out.println("figures " + exchange.figures());
+                System.out.println("figures " + exchange.statistics());
                 System.out.flush();
             }
         }
--- a/src/main/java/martenslip/provision/Site.java
+++ b/src/main/java/martenslip/configuration/ExchangeConfiguration.java
@@ -1,4 +1,4 @@
-package martenslip.provision;
+package martenslip.configuration;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -12,32 +12,32 @@
  * One exchange as its file describes it, checked whole. {@code groups} and {@code peers} are by the number of
  * the far exchange; {@code udp} and {@code tcp} are null where that listener is not wanted.
  */
-public record Site(
+public record ExchangeConfiguration(
         int number,
         int region,
         long seed,
         InetSocketAddress udp,
         InetSocketAddress tcp,
-        Hop circuits,
+        Hop circuitsHop,
         String circuitsUri,
-        Hop list,
-        String listUri,
-        Path kept,
+        Hop switchListHop,
+        String switchListUri,
+        Path keptListFile,
         List<String> regions,
         List<Skill> skills,
-        int usual,
-        Prefixes numbering,
+        int defaultSkill,
+        PrefixTable numbering,
         String trunkContext,
         Map<Integer, Group> groups,
         Limits limits,
-        RuleFigures rules,
-        List<String> reports,
+        RuleParameters rules,
+        List<String> configuredReportFields,
         Map<Integer, Peer> peers) {
-    public record Group(String name, int far, int circuits) {}
+    public record Group(String name, int farExchange, int circuits) {}
 
-    public record Limits(int mostRings, int mostOpen, Span comeBack, Span silence, int lanes) {}
+    public record Limits(int maxRings, int maxOpenContacts, Span maxRetryAfter, Span silenceTimeout, int lanes) {}
 
-    public record RuleFigures(Span release, double coldShare, Span warmWithin, double fallMultiple) {}
+    public record RuleParameters(Span releaseTime, double coldShare, Span warmWithin, double fallMultiple) {}
 
     public record Peer(int exchange, String uri, Hop hop) {}
 
@@ -52,7 +52,7 @@
             map.put("classes." + i + ".hard-limit-ns", "" + skill.patience().ns());
         }
         map.put("family-info.home-no", "" + number);
-        map.put("family-info.release-ns", "" + rules.release().ns());
+        map.put("family-info.release-ns", "" + rules.releaseTime().ns());
         map.put(
                 "family-info.mean-hold-ns",
                 joined(skills.stream().map(skill -> skill.meanHold().ns()).toList()));
@@ -60,11 +60,11 @@
         map.put("guarantees.cold-share", "" + rules.coldShare());
         map.put("guarantees.warm-within-ns", "" + rules.warmWithin().ns());
         map.put("guarantees.fall-multiple", "" + rules.fallMultiple());
-        map.put("policy-limits.send-cap", "" + limits.mostRings());
+        map.put("policy-limits.send-cap", "" + limits.maxRings());
         map.put("policy-limits.cancel", "true");
         map.put("policy-limits.peers", "" + !peers.isEmpty());
         map.put("policy-limits.retry-after", "true");
-        map.put("policy-limits.max-retry-after-ns", "" + limits.comeBack().ns());
+        map.put("policy-limits.max-retry-after-ns", "" + limits.maxRetryAfter().ns());
         map.put("policy-limits.probes", "true");
         map.put("report.fields", joined(reportFields()));
         map.put("discovery", "subscribe");
@@ -75,7 +75,7 @@
     /** The values of a load report in the module's order. */
     public List<String> reportFields() {
         List<String> fields = new java.util.ArrayList<>(List.of("spare", "total"));
-        fields.addAll(reports);
+        fields.addAll(configuredReportFields);
         return fields;
     }
 
--- a/src/main/java/martenslip/provision/Fault.java
+++ b/src/main/java/martenslip/configuration/FileError.java
@@ -1,7 +1,7 @@
-package martenslip.provision;
+package martenslip.configuration;
 
 /** What is wrong with an XML file, and where: line, path of elements, reason. */
-public record Fault(int line, String path, String reason) {
+public record FileError(int line, String path, String reason) {
     @Override
     public String toString() {
         return "line " + line + ", " + path + ": " + reason;
--- a/src/main/java/martenslip/provision/Prefixes.java
+++ b/src/main/java/martenslip/configuration/PrefixTable.java
@@ -1,4 +1,4 @@
-package martenslip.provision;
+package martenslip.configuration;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -11,16 +11,16 @@
  * Numbers to exchanges by the longest prefix that was given: a trie by digits, with the plus sign as an eleventh. A
  * look-up costs the number's digits, whatever the number of prefixes. Immutable once built.
  */
-public final class Prefixes {
+public final class PrefixTable {
     private static final int WAYS = 11;
     private static final int PLUS = 10;
 
-    private static final class Step {
-        final Step[] next = new Step[WAYS];
+    private static final class TrieNode {
+        final TrieNode[] next = new TrieNode[WAYS];
         int exchange = -1;
     }
 
-    private final Step root = new Step();
+    private final TrieNode root = new TrieNode();
     private final SortedMap<String, Integer> given = new TreeMap<>();
 
     private static int way(char digit) {
@@ -29,14 +29,14 @@
 
     /** False where the prefix leads elsewhere already. Digits, with a plus sign before them or without. */
     public boolean add(String digits, int exchange) {
-        Step at = root;
+        TrieNode at = root;
         for (int i = 0; i < digits.length(); i++) {
             int way = way(digits.charAt(i));
             if (way < 0) {
                 throw new IllegalArgumentException("no digits: " + digits);
             }
             if (at.next[way] == null) {
-                at.next[way] = new Step();
+                at.next[way] = new TrieNode();
             }
             at = at.next[way];
         }
@@ -49,7 +49,7 @@
     }
 
     /** A prefix that leads to the exchange, or null: the first in the order of their text. */
-    public String leadingTo(int exchange) {
+    public String firstPrefixOf(int exchange) {
         return given.entrySet().stream()
                 .filter(one -> one.getValue() == exchange)
                 .map(one -> one.getKey())
@@ -63,13 +63,13 @@
     }
 
     /** The exchange where the number ends, or -1. */
-    public int exchange(String number) {
+    public int exchangeForNumber(String number) {
         return upTo(number, number.length());
     }
 
     private int upTo(String number, int length) {
         int found = -1;
-        Step at = root;
+        TrieNode at = root;
         for (int i = 0; i < length && at != null; i++) {
             int way = way(number.charAt(i));
             at = way < 0 ? null : at.next[way];
@@ -90,7 +90,7 @@
     public List<String> shadowed() {
         List<String> all = new ArrayList<>();
         given.keySet().forEach(digits -> {
-            Step at = root;
+            TrieNode at = root;
             for (int i = 0; i < digits.length(); i++) {
                 at = at.next[way(digits.charAt(i))];
             }
@@ -101,9 +101,9 @@
         return all;
     }
 
-    private static boolean takenByLonger(Step at) {
+    private static boolean takenByLonger(TrieNode at) {
         for (int digit = 0; digit < PLUS; digit++) {
-            Step next = at.next[digit];
+            TrieNode next = at.next[digit];
             if (next == null || next.exchange < 0 && !takenByLonger(next)) {
                 return false;
             }
--- a/src/main/java/martenslip/provision/Skill.java
+++ b/src/main/java/martenslip/configuration/Skill.java
@@ -1,4 +1,4 @@
-package martenslip.provision;
+package martenslip.configuration;
 
 import martenslip.control.Span;
 
--- a/src/main/java/martenslip/provision/Node.java
+++ b/src/main/java/martenslip/configuration/XmlElement.java
@@ -1,4 +1,4 @@
-package martenslip.provision;
+package martenslip.configuration;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -7,14 +7,14 @@
 import martenslip.control.Span;
 
 /** An element of a file that its schema has accepted, so that values need no second check of their form. */
-public final class Node {
+public final class XmlElement {
     private final String name;
     private final String path;
     private final int line;
     private final Map<String, String> attributes = new LinkedHashMap<>();
-    private final List<Node> children = new ArrayList<>();
+    private final List<XmlElement> children = new ArrayList<>();
 
-    Node(String name, String path, int line) {
+    XmlElement(String name, String path, int line) {
         this.name = name;
         this.path = path;
         this.line = line;
@@ -24,7 +24,7 @@
         attributes.put(attribute, value);
     }
 
-    void add(Node child) {
+    void add(XmlElement child) {
         children.add(child);
     }
 
@@ -32,16 +32,16 @@
         return name;
     }
 
-    public List<Node> children() {
+    public List<XmlElement> children() {
         return children;
     }
 
-    public List<Node> children(String wanted) {
+    public List<XmlElement> children(String wanted) {
         return children.stream().filter(child -> child.name.equals(wanted)).toList();
     }
 
     /** The one child of the name; the schema has seen to it that it is there. */
-    public Node child(String wanted) {
+    public XmlElement child(String wanted) {
         return children(wanted).get(0);
     }
 
@@ -75,15 +75,15 @@
     }
 
     /** A span that stands in milliseconds. */
-    public Span ms(String attribute) {
+    public Span milliseconds(String attribute) {
         return Span.ofMillis(decimal(attribute));
     }
 
-    public Fault fault(String reason) {
-        return new Fault(line, path, reason);
+    public FileError error(String reason) {
+        return new FileError(line, path, reason);
     }
 
-    public Fault fault(String attribute, String reason) {
-        return new Fault(line, path + "/@" + attribute, reason);
+    public FileError error(String attribute, String reason) {
+        return new FileError(line, path + "/@" + attribute, reason);
     }
 }
--- a/src/main/java/martenslip/provision/Sheet.java
+++ b/src/main/java/martenslip/configuration/XmlFileReader.java
@@ -1,4 +1,4 @@
-package martenslip.provision;
+package martenslip.configuration;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -28,18 +28,18 @@
  * Reads an XML file against a schema, whole or not at all. Document types are not read, so neither are entities,
  * inner or outer ones. Each call has a parser of its own: any thread may call.
  */
-public final class Sheet {
+public final class XmlFileReader {
     private static final int MOST_FAULTS = 20;
     private static final int MOST_IDLE = 4;
     private static final int MOST_BYTES = 16 << 20;
 
     private final String name;
     private final Schema schema;
-    private final Deque<Tools> idle = new ArrayDeque<>();
+    private final Deque<ParserTools> idle = new ArrayDeque<>();
     /** Looking a factory up costs more than reading a short text with it. */
     private final SAXParserFactory parsers = SAXParserFactory.newInstance();
 
-    private Sheet(String name, Schema schema) {
+    private XmlFileReader(String name, Schema schema) {
         this.name = name;
         this.schema = schema;
         try {
@@ -52,28 +52,29 @@
     }
 
     /** A reader for the schema that stands in the program under this name. */
-    public static Sheet of(String resource) {
-        try (InputStream in = Sheet.class.getResourceAsStream("/martenslip/" + resource)) {
+    public static XmlFileReader forSchema(String resource) {
+        try (InputStream in = XmlFileReader.class.getResourceAsStream("/martenslip/" + resource)) {
             SchemaFactory factory = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
             factory.setProperty(XMLConstants.ACCESS_EXTERNAL_DTD, "");
             factory.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
-            return new Sheet(resource, factory.newSchema(new StreamSource(in)));
+            return new XmlFileReader(resource, factory.newSchema(new StreamSource(in)));
         } catch (IOException | SAXException e) {
             throw new IllegalStateException("schema " + resource, e);
         }
     }
 
-    public Node read(Path file) throws IOException, Rejected {
+    public XmlElement read(Path file) throws IOException, InvalidFileException {
         if (Files.size(file) > MOST_BYTES) {
-            throw new Rejected(file.toString(), List.of(new Fault(0, "/", "over " + MOST_BYTES + " bytes")));
+            throw new InvalidFileException(
+                    file.toString(), List.of(new FileError(0, "/", "over " + MOST_BYTES + " bytes")));
         }
         return read(file.toString(), Files.readAllBytes(file));
     }
 
     /** {@code what} names the text in errors. */
-    public Node read(String what, byte[] bytes) throws Rejected {
+    public XmlElement read(String what, byte[] bytes) throws InvalidFileException {
         Builder builder = new Builder();
-        Tools tools = take();
+        ParserTools tools = take();
         ValidatorHandler validator = tools.validator();
         validator.setContentHandler(builder);
         validator.setErrorHandler(builder);
@@ -100,45 +101,45 @@
         } catch (SAXParseException e) {
             builder.note(e);
         } catch (SAXException e) {
-            builder.faults.add(new Fault(0, builder.path(), String.valueOf(e.getMessage())));
+            builder.faults.add(new FileError(0, builder.path(), String.valueOf(e.getMessage())));
         } catch (IOException e) {
-            builder.faults.add(new Fault(0, builder.path(), "unreadable text: " + e.getMessage()));
+            builder.faults.add(new FileError(0, builder.path(), "unreadable text: " + e.getMessage()));
         } finally {
             give(tools);
         }
         if (!builder.faults.isEmpty()) {
-            throw new Rejected(what, builder.faults);
+            throw new InvalidFileException(what, builder.faults);
         }
         return builder.root;
     }
 
     /** A parser and a validator cost more to make than a short text costs to read, so they are used again. */
-    private record Tools(XMLReader reader, ValidatorHandler validator) {}
+    private record ParserTools(XMLReader reader, ValidatorHandler validator) {}
 
-    private synchronized Tools take() {
-        Tools kept = idle.poll();
+    private synchronized ParserTools take() {
+        ParserTools kept = idle.poll();
         if (kept != null) {
             return kept;
         }
         try {
-            return new Tools(parsers.newSAXParser().getXMLReader(), schema.newValidatorHandler());
+            return new ParserTools(parsers.newSAXParser().getXMLReader(), schema.newValidatorHandler());
         } catch (ParserConfigurationException | SAXException e) {
             throw new IllegalStateException(name, e);
         }
     }
 
-    private synchronized void give(Tools tools) {
+    private synchronized void give(ParserTools tools) {
         if (idle.size() < MOST_IDLE) {
             idle.push(tools);
         }
     }
 
     private static final class Builder extends DefaultHandler {
-        private final Deque<Node> open = new ArrayDeque<>();
+        private final Deque<XmlElement> open = new ArrayDeque<>();
         private final Deque<String> names = new ArrayDeque<>();
-        private final List<Fault> faults = new ArrayList<>();
+        private final List<FileError> faults = new ArrayList<>();
         private Locator locator;
-        private Node root;
+        private XmlElement root;
 
         @Override
         public void setDocumentLocator(Locator at) {
@@ -147,7 +148,7 @@
 
         @Override
         public void startElement(String space, String local, String qualified, Attributes attributes) {
-            Node node = new Node(local, path(), locator == null ? 0 : locator.getLineNumber());
+            XmlElement node = new XmlElement(local, path(), locator == null ? 0 : locator.getLineNumber());
             for (int i = 0; i < attributes.getLength(); i++) {
                 node.put(attributes.getLocalName(i), attributes.getValue(i));
             }
@@ -179,7 +180,7 @@
         }
 
         private void note(SAXParseException e) {
-            Fault fault = new Fault(e.getLineNumber(), path(), plain(e.getMessage()));
+            FileError fault = new FileError(e.getLineNumber(), path(), plain(e.getMessage()));
             if (faults.size() < MOST_FAULTS && !faults.contains(fault)) {
                 faults.add(fault);
             }
--- a/src/main/java/martenslip/control/Contact.java
+++ b/src/main/java/martenslip/control/Contact.java
@@ -9,11 +9,11 @@
 public record Contact(
         long id,
         int skill,
-        long dialled,
+        long dialledNumber,
         int destination,
-        int hint,
+        int routingHint,
         int width,
         Span patience,
         boolean redial,
         boolean inTransit,
-        boolean cutBefore) {}
+        boolean previouslyCut) {}
--- a/src/main/java/martenslip/control/Controller.java
+++ b/src/main/java/martenslip/control/Controller.java
@@ -11,29 +11,29 @@
         /** Only the lines that changed. */
         CHANGES,
         /** All lines: what is missing is gone. */
-        WHOLE,
+        FULL,
         /** All lines as they were last known here; they may be stale. */
-        REMEMBERED,
+        CACHED,
         /** The list could not be had; what was known stands. */
         FAILED
     }
 
-    void listed(Moment now, ListKind kind, List<SwitchLine> lines);
+    void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> lines);
 
-    void offered(Moment now, Contact contact);
+    void contactOffered(Moment now, Contact contact);
 
-    void stands(Moment now, long contact, int ring, long target, Span took);
+    void established(Moment now, long contact, int ring, long target, Span took);
 
     void ringEnded(Moment now, RingEnd end);
 
     void callerGone(Moment now, long contact);
 
-    void clockRung(Moment now, long token);
+    void timerExpired(Moment now, long token);
 
     /** Circuits toward a switch, and what its processor reports where that was asked for. */
-    void reported(Moment now, long target, boolean reached, Span took, float[] report);
+    void switchReported(Moment now, long target, boolean reached, Span took, float[] report);
 
-    void peerNote(Moment now, int peer, byte[] note);
+    void peerNoteReceived(Moment now, int peer, byte[] note);
 
     void stopped(Moment now);
 }
--- a/src/main/java/martenslip/control/Orders.java
+++ b/src/main/java/martenslip/control/Orders.java
@@ -5,7 +5,7 @@
     /** Sets a contact up toward a switch; it may take {@code limit} until it stands. */
     void ring(long contact, long target, Span limit);
 
-    void callOff(long contact, int ring);
+    void cancel(long contact, int ring);
 
     /** Final: refused; {@code comeBack} is when to try again, zero to say nothing. */
     void defer(long contact, Span comeBack);
@@ -13,15 +13,15 @@
     /** Final: failed. */
     void abandon(long contact);
 
-    /** Asks for {@link Controller#clockRung} after {@code delay}; it cannot be taken back. */
-    void clock(Span delay, long token);
+    /** Asks for {@link Controller#timerExpired} after {@code delay}; it cannot be taken back. */
+    void startTimer(Span delay, long token);
 
     void probe(long target);
 
     /** A short note to a peer, or to all of them with {@link #ALL_PEERS}. */
-    void note(int peer, byte[] note);
+    void sendNote(int peer, byte[] note);
 
-    void watchList(boolean on);
+    void watchSwitchList(boolean on);
 
     void log(String line);
 
--- a/src/main/java/martenslip/control/Blame.java
+++ b/src/main/java/martenslip/control/RejectionReason.java
@@ -1,7 +1,7 @@
 package martenslip.control;
 
 /** Who or what turned a ring away, as far as the far side says. */
-public enum Blame {
+public enum RejectionReason {
     NONE,
     /** No circuit (or no agent) was free. */
     NO_CIRCUIT,
--- a/src/main/java/martenslip/control/RingEnd.java
+++ b/src/main/java/martenslip/control/RingEnd.java
@@ -5,4 +5,11 @@
  * {@code report} holds the values in the order of the settings' report fields and may be empty.
  */
 public record RingEnd(
-        long contact, int ring, long target, Cause cause, Blame blame, Span took, boolean answered, float[] report) {}
+        long contact,
+        int ring,
+        long target,
+        RingEndCause cause,
+        RejectionReason rejectionReason,
+        Span elapsed,
+        boolean answered,
+        float[] report) {}
--- a/src/main/java/martenslip/control/Cause.java
+++ b/src/main/java/martenslip/control/RingEndCause.java
@@ -1,12 +1,12 @@
 package martenslip.control;
 
 /** How a ring ended. */
-public enum Cause {
+public enum RingEndCause {
     /** The contact stood and has now been released in good order. */
     CONCLUDED,
     /** All lines of the number are busy, or signalling went wrong. */
     BUSY,
-    /** Turned away before any set-up: see {@link Blame}. */
+    /** Turned away before any set-up: see {@link RejectionReason}. */
     TURNED_BACK,
     /** No answer within the ring's limit; the set-up may have gone on. */
     TIMED_OUT,
--- a/src/main/java/martenslip/control/Span.java
+++ b/src/main/java/martenslip/control/Span.java
@@ -20,7 +20,7 @@
         return new Span((long) (ns * factor));
     }
 
-    public double over(Span other) {
+    public double ratioTo(Span other) {
         return (double) ns / other.ns;
     }
 
@@ -28,11 +28,11 @@
         return ns > other.ns;
     }
 
-    public Span most(Span limit) {
+    public Span atMost(Span limit) {
         return ns > limit.ns ? limit : this;
     }
 
-    public Span least(Span limit) {
+    public Span atLeast(Span limit) {
         return ns < limit.ns ? limit : this;
     }
 
--- a/src/main/java/martenslip/wheel/EventLoop.java
+++ b/src/main/java/martenslip/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package martenslip.wheel;
+package martenslip.eventloop;
 
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -16,24 +16,24 @@
     private static final long REST = 2_000_000;
 
     /** What a loop does; all is called by its thread. */
-    public interface Duty {
-        void take(Object next);
+    public interface Handler {
+        void handle(Object next);
 
         /** The end of a turn. */
-        void after();
+        void afterTurn();
 
         /** Nothing that comes ends the thread: a fault is told and the next one is taken. */
-        void fault(Throwable fault);
+        void onFailure(Throwable fault);
     }
 
     private final String name;
     private final ArrayBlockingQueue<Object> inbox;
-    private final Wheel wheel;
+    private final TimerWheel timerWheel;
     private final Thread thread;
-    private Duty duty;
+    private Handler duty;
     private Runnable first;
     private volatile boolean closing;
-    private volatile boolean fenced;
+    private volatile boolean isFenced;
     private volatile long turnAt;
     private volatile Object inHand;
 
@@ -44,14 +44,14 @@
     private EventLoop(String name, ArrayBlockingQueue<Object> inbox) {
         this.name = name;
         this.inbox = inbox;
-        wheel = new Wheel(new Moment(System.nanoTime()));
+        timerWheel = new TimerWheel(new Moment(System.nanoTime()));
         turnAt = System.nanoTime();
         thread = new Thread(null, this::work, name, STACK);
         thread.setDaemon(true);
     }
 
-    public Wheel wheel() {
-        return wheel;
+    public TimerWheel timerWheel() {
+        return timerWheel;
     }
 
     public String name() {
@@ -59,7 +59,7 @@
     }
 
     /** Once; {@code before} is the first that its thread does. */
-    public void start(Duty what, Runnable before) {
+    public void start(Handler what, Runnable before) {
         duty = what;
         first = before;
         turnAt = System.nanoTime();
@@ -83,23 +83,23 @@
     }
 
     /** When its last turn began, on the clock of {@link System#nanoTime}; an idle loop turns at least each 50 ms. */
-    public Moment turnedAt() {
+    public Moment lastTurnAt() {
         return new Moment(turnAt);
     }
 
     /** Waiting in the inbox now. */
-    public int waiting() {
+    public int queueSize() {
         return inbox.size();
     }
 
     /** True once another has taken over; what this one still does must reach nobody. Any thread. */
-    public boolean fenced() {
-        return fenced;
+    public boolean isFenced() {
+        return isFenced;
     }
 
     /** From now on this loop takes nothing more. What it was amid of is returned, or null. Any thread. */
     public Object fence() {
-        fenced = true;
+        isFenced = true;
         return inHand;
     }
 
@@ -110,10 +110,11 @@
 
     private void work() {
         guarded(first);
-        guarded(duty::after);
-        while (!closing && !fenced) {
+        guarded(duty::afterTurn);
+        while (!closing && !isFenced) {
             try {
-                Object next = inbox.poll(Math.max(REST, wheel.quiet().ns()), TimeUnit.NANOSECONDS);
+                Object next = inbox.poll(
+                        Math.max(REST, timerWheel.timeUntilNextTimer().ns()), TimeUnit.NANOSECONDS);
                 turn(next);
             } catch (InterruptedException e) {
                 return;
@@ -127,22 +128,22 @@
         Object next = first;
         for (int done = 0; next != null && done < BATCH; done++) {
             inHand = next;
-            if (fenced) {
+            if (isFenced) {
                 // Taken out after the fence, so it is the successor's.
                 inbox.offer(next);
                 return;
             }
             if (done == 0) {
-                guarded(() -> wheel.turn(now));
+                guarded(() -> timerWheel.advanceTo(now));
             }
             take(next);
             inHand = null;
             next = done + 1 < BATCH ? inbox.poll() : null;
         }
         if (first == null) {
-            guarded(() -> wheel.turn(now));
+            guarded(() -> timerWheel.advanceTo(now));
         }
-        guarded(duty::after);
+        guarded(duty::afterTurn);
     }
 
     private void take(Object next) {
@@ -150,7 +151,7 @@
             if (next instanceof Runnable what) {
                 what.run();
             } else {
-                duty.take(next);
+                duty.handle(next);
             }
         });
     }
@@ -159,7 +160,7 @@
         try {
             what.run();
         } catch (RuntimeException | StackOverflowError e) {
-            duty.fault(e);
+            duty.onFailure(e);
         }
     }
 
--- a/src/main/java/martenslip/wheel/Wheel.java
+++ b/src/main/java/martenslip/eventloop/TimerWheel.java
@@ -1,4 +1,4 @@
-package martenslip.wheel;
+package martenslip.eventloop;
 
 import martenslip.control.Moment;
 import martenslip.control.Span;
@@ -12,11 +12,11 @@
  * slot has not been emptied. A timer due in the past goes to the slot {@code next}, as an emptied slot is not
  * looked at again for a whole turn.
  */
-public final class Wheel {
+public final class TimerWheel {
     /** Resolution: the shortest timer of RFC 3261 is 500 ms, but processors of stand-ins work in milliseconds. */
     public static final Span TICK = Span.ofMillis(1);
     /** By how much a loose timer may be late; RFC 3261 says of its lingering spans only how long they last at least. */
-    public static final Span LOOSE = Span.ofMillis(128);
+    public static final Span COARSE_TICK = Span.ofMillis(128);
 
     private static final int SLOTS = 4096;
     private static final int LOOK = 50;
@@ -33,7 +33,7 @@
         }
 
         /** True from the setting until it rings or is taken back. */
-        public boolean set() {
+        public boolean isScheduled() {
             return before != null;
         }
 
@@ -59,7 +59,7 @@
     private long next;
     private Moment now;
 
-    public Wheel(Moment now) {
+    public TimerWheel(Moment now) {
         for (int i = 0; i < SLOTS; i++) {
             slots[i] = new Timer(null);
             slots[i].before = slots[i];
@@ -69,34 +69,34 @@
         next = now.ns() / TICK.ns();
     }
 
-    /** The moment of the turn in progress; it stands still until the next {@link #turn}. */
+    /** The moment of the turn in progress; it stands still until the next {@link #advanceTo}. */
     public Moment now() {
         return now;
     }
 
     /** Rings {@code what} at {@code when} or up to a tick later. */
-    public Timer at(Moment when, Runnable what) {
+    public Timer scheduleAt(Moment when, Runnable what) {
         Timer timer = new Timer(what);
         timer.tick = Math.max(next, Math.floorDiv(when.ns() + TICK.ns() - 1, TICK.ns()));
         timer.link(slots[(int) (timer.tick % SLOTS)]);
         return timer;
     }
 
-    public Timer after(Span span, Runnable what) {
-        return at(now.plus(span), what);
+    public Timer scheduleAfter(Span span, Runnable what) {
+        return scheduleAt(now.plus(span), what);
     }
 
     /**
-     * Rings up to {@link #LOOSE} later than asked, together with others of its kind: for ends of lingering states, of
+     * Rings up to {@link #COARSE_TICK} later than asked, together with others of its kind: for ends of lingering states, of
      * which thousands stand. Each would else wake an idle thread for itself.
      */
-    public Timer loosely(Span span, Runnable what) {
-        long wide = LOOSE.ns();
-        return at(new Moment(Math.floorDiv(now.plus(span).ns() + wide - 1, wide) * wide), what);
+    public Timer scheduleCoarse(Span span, Runnable what) {
+        long wide = COARSE_TICK.ns();
+        return scheduleAt(new Moment(Math.floorDiv(now.plus(span).ns() + wide - 1, wide) * wide), what);
     }
 
     /** Begins a turn: time goes on to {@code moment} and all that are due ring, in the order of their ticks. */
-    public void turn(Moment moment) {
+    public void advanceTo(Moment moment) {
         now = moment;
         long last = now.ns() / TICK.ns();
         // After a pause of over a turn each slot needs one look only.
@@ -117,7 +117,7 @@
     }
 
     /** How long nothing will ring, as far as a short look ahead shows. */
-    public Span quiet() {
+    public Span timeUntilNextTimer() {
         int free = 0;
         while (free < LOOK) {
             Timer head = slots[(int) ((next + free) % SLOTS)];
@@ -126,7 +126,7 @@
             }
             free++;
         }
-        return new Span((next + free) * TICK.ns()).minus(new Span(now.ns())).least(Span.ZERO);
+        return new Span((next + free) * TICK.ns()).minus(new Span(now.ns())).atLeast(Span.ZERO);
     }
 
     private void empty(Timer head, long last) {
--- a/src/main/java/martenslip/exchange/Taken.java
+++ b/src/main/java/martenslip/exchange/AcceptedContact.java
@@ -1,16 +1,16 @@
 package martenslip.exchange;
 
-import martenslip.control.Blame;
 import martenslip.control.Contact;
 import martenslip.control.Moment;
-import martenslip.sip.dialog.CallIn;
+import martenslip.control.RejectionReason;
+import martenslip.eventloop.TimerWheel;
+import martenslip.sip.dialog.UasCall;
 import martenslip.sip.message.Response;
-import martenslip.wheel.Wheel;
 
 /** A contact that was taken: its caller's leg and its last ring, the only one that may be out. */
-final class Taken {
+final class AcceptedContact {
     final Contact contact;
-    final CallIn caller;
+    final UasCall caller;
     final String number;
     final Moment at;
     /** How many rings it has had. */
@@ -23,19 +23,19 @@
     Response answer;
     boolean sent;
     boolean confirmed;
-    Will.Bye bye = Will.Bye.NONE;
+    HandoverRecord.PendingBye bye = HandoverRecord.PendingBye.NONE;
     /** When the last ring ended that may still hold something. */
     Moment heldUntil;
     /** When a CANCEL left that could not leave as its ring was given up, or null. */
     Moment cancelledLate;
     /** Why the last ring ended, for a tandem to pass on. */
-    Blame last = Blame.NONE;
+    RejectionReason last = RejectionReason.NONE;
     /** Its INVITE would count as a new one by now. */
     boolean forgotten;
 
-    Wheel.Timer lastWord;
+    TimerWheel.Timer lastWord;
 
-    Taken(Contact contact, CallIn caller, String number, Moment at) {
+    AcceptedContact(Contact contact, UasCall caller, String number, Moment at) {
         this.contact = contact;
         this.caller = caller;
         this.number = number;
@@ -43,7 +43,7 @@
     }
 
     /** As its will says; the ring is its successor's to build. */
-    Taken(Will will, CallIn caller) {
+    AcceptedContact(HandoverRecord will, UasCall caller) {
         this(will.contact(), caller, will.number(), will.at());
         rings = will.rings();
         heldUntil = will.heldUntil();
@@ -66,9 +66,10 @@
         return ring == null || ring.told ? null : ring;
     }
 
-    Will will() {
-        Will.Out out = ring != null && (!ring.told || bye == Will.Bye.RING) ? ring.out() : null;
-        return new Will(
+    HandoverRecord will() {
+        HandoverRecord.InFlightRing out =
+                ring != null && (!ring.told || bye == HandoverRecord.PendingBye.RING) ? ring.out() : null;
+        return new HandoverRecord(
                 contact,
                 number,
                 at,
--- a/src/main/java/martenslip/exchange/Contacts.java
+++ b/src/main/java/martenslip/exchange/Contacts.java
@@ -4,24 +4,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
+import martenslip.configuration.ExchangeConfiguration;
 import martenslip.control.Moment;
+import martenslip.control.RejectionReason;
+import martenslip.control.RingEndCause;
 import martenslip.control.Span;
-import martenslip.provision.Site;
-import martenslip.roll.LastWord;
-import martenslip.roll.Roll;
-import martenslip.signal.Load;
-import martenslip.signal.Release;
-import martenslip.sip.dialog.CallIn;
-import martenslip.sip.dialog.CallOut;
-import martenslip.sip.dialog.Calls;
-import martenslip.sip.dialog.Ending;
+import martenslip.signaling.ReleaseCause;
+import martenslip.signaling.SipLoadReport;
+import martenslip.sip.dialog.CallEndReason;
+import martenslip.sip.dialog.DialogLayer;
+import martenslip.sip.dialog.UacCall;
+import martenslip.sip.dialog.UasCall;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transaction.Failure;
-import martenslip.sip.transaction.Timers;
+import martenslip.sip.transaction.RequestFailure;
+import martenslip.sip.transaction.TransactionTimers;
 import martenslip.sip.transport.Hop;
+import martenslip.tracking.AnswerDeadline;
+import martenslip.tracking.ContactRegistry;
 
 /**
  * Contacts of one lane, with their callers' legs and rings: carries out what the decider orders and tells it what
@@ -29,29 +29,29 @@
  * second ring beside one that is out. Each contact's will is written before a step leaves.
  */
 final class Contacts {
-    private final Site site;
-    private final Calls calls;
+    private final ExchangeConfiguration site;
+    private final DialogLayer calls;
     private final int lane;
-    private final Estate estate;
-    private final Reports reports;
+    private final HandoverStore estate;
+    private final LaneReports reports;
     private final BooleanSupplier fenced;
-    private final Incoming incoming;
-    private final RingInvite invites;
+    private final InviteReader incoming;
+    private final RingInviteBuilder invites;
     private final EventLog log;
-    private final Figures figures;
-    private final Map<Long, Taken> open = new LinkedHashMap<>();
+    private final ExchangeStatistics figures;
+    private final Map<Long, AcceptedContact> open = new LinkedHashMap<>();
     private int unanswered;
     private boolean closing;
 
     Contacts(
-            Site site,
-            Calls calls,
+            ExchangeConfiguration site,
+            DialogLayer calls,
             int lane,
-            Estate estate,
-            Reports reports,
+            HandoverStore estate,
+            LaneReports reports,
             BooleanSupplier fenced,
             EventLog log,
-            Figures figures) {
+            ExchangeStatistics figures) {
         this.site = site;
         this.calls = calls;
         this.lane = lane;
@@ -60,8 +60,8 @@
         this.fenced = fenced;
         this.log = log;
         this.figures = figures;
-        incoming = new Incoming(site);
-        invites = new RingInvite(site, calls);
+        incoming = new InviteReader(site);
+        invites = new RingInviteBuilder(site, calls);
     }
 
     /** Contacts that are owed a final answer. */
@@ -79,25 +79,27 @@
     }
 
     private Moment now() {
-        return calls.wheel().now();
+        return calls.timerWheel().now();
     }
 
-    void incoming(CallIn call) {
+    void incoming(UasCall call) {
         if (closing
                 || open.size()
-                        >= Math.max(1, site.limits().mostOpen() / site.limits().lanes())) {
+                        >= Math.max(
+                                1,
+                                site.limits().maxOpenContacts() / site.limits().lanes())) {
             unseen(call, closing ? "Closing" : "Too many contacts");
             return;
         }
-        Incoming.Read read = incoming.read(call, estate::nextId);
+        InviteReader.Result read = incoming.read(call, estate::nextId);
         if (read.contact() == null) {
             figures.refusedUnseen++;
             log.info(now(), "not-a-contact", "status", read.status(), "reason", read.reason());
-            call.listen(DEAF);
+            call.setListener(DEAF);
             call.refuse(call.response(read.status(), read.reason()));
             return;
         }
-        Taken taken = new Taken(read.contact(), call, read.number(), now());
+        AcceptedContact taken = new AcceptedContact(read.contact(), call, read.number(), now());
         keep(taken);
         if (!reports.offered(taken.contact, lane)) {
             drop(taken);
@@ -107,25 +109,26 @@
         enter(taken);
         unanswered++;
         figures.taken++;
-        call.listen(new Caller(taken));
+        call.setListener(new CallerListener(taken));
     }
 
-    private void unseen(CallIn call, String why) {
+    private void unseen(UasCall call, String why) {
         figures.refusedUnseen++;
         log.warn(now(), "refused-unseen", "why", why, "open", open.size());
-        call.listen(DEAF);
-        call.refuse(unavailable(call, why, Release.TEMPORARY));
+        call.setListener(DEAF);
+        call.refuse(unavailable(call, why, ReleaseCause.TEMPORARY_FAILURE));
     }
 
-    private void enter(Taken taken) {
+    private void enter(AcceptedContact taken) {
         open.put(taken.contact.id(), taken);
         if (!taken.answered) {
-            taken.lastWord = calls.wheel().at(LastWord.of(taken.at, taken.contact.patience()), () -> lastWord(taken));
+            taken.lastWord = calls.timerWheel()
+                    .scheduleAt(AnswerDeadline.forContact(taken.at, taken.contact.patience()), () -> lastWord(taken));
         }
     }
 
     /** The decider has not spoken in time. */
-    private void lastWord(Taken taken) {
+    private void lastWord(AcceptedContact taken) {
         if (taken.answered) {
             return;
         }
@@ -133,112 +136,114 @@
         abandon(taken.contact.id());
         Ring ring = taken.live();
         if (ring != null) {
-            takeBack(taken, ring, new Release(Release.TIMER, "").toString(), Cause.TIMED_OUT);
+            takeBack(taken, ring, new ReleaseCause(ReleaseCause.TIMER_EXPIRY, "").toString(), RingEndCause.TIMED_OUT);
         }
         reports.gone(taken.contact.id());
     }
 
-    void keep(Taken taken) {
+    void keep(AcceptedContact taken) {
         // A thread that was replaced has nothing more to leave to anybody.
         if (!fenced.getAsBoolean()) {
             estate.put(taken.will());
         }
     }
 
-    private void drop(Taken taken) {
+    private void drop(AcceptedContact taken) {
         if (!fenced.getAsBoolean()) {
             estate.remove(taken.contact.id());
         }
     }
 
-    private static final CallIn.Listener DEAF = new CallIn.Listener() {
+    private static final UasCall.Listener DEAF = new UasCall.Listener() {
         @Override
         public void cancelled() {
             // Refused already.
         }
 
         @Override
-        public void ended(Ending why, Request bye) {
+        public void ended(CallEndReason why, Request bye) {
             // Never stood.
         }
     };
 
-    void ring(long contact, Hands.Send send) {
-        Taken taken = open.get(contact);
+    void ring(long contact, LaneCommands.RingCommand send) {
+        AcceptedContact taken = open.get(contact);
         if (taken == null || send.number() < taken.rings) {
             // Over, or carried out by the thread before this one.
             log.info(now(), "ring-not-wanted", "contact", contact, "ring", send.number());
             return;
         }
-        int far = send.to() == null ? -1 : send.to().line().number();
+        int far = send.to() == null ? -1 : send.to().entry().number();
         Ring ring = new Ring(send.number(), send.target(), far, now(), now().plus(send.limit()));
         boolean may = send.to() != null
                 && taken.live() == null
                 && !taken.answered
                 && send.limit().longerThan(Span.ZERO)
                 && released(taken)
-                && send.number() < site.limits().mostRings();
+                && send.number() < site.limits().maxRings();
         taken.rings = send.number() + 1;
         if (!may) {
-            over(taken, ring, Outcome.of(Cause.NOT_SENT), Load.NONE);
+            over(taken, ring, RingOutcome.of(RingEndCause.NOT_SENT), SipLoadReport.NONE);
             return;
         }
         taken.ring = ring;
         figures.rings++;
         Request invite = invites.build(taken, send.to(), send.group(), send.limit());
         watch(taken, ring);
-        ring.call = calls.call(invite, send.to().hop(), new Answers(taken, ring));
+        ring.call = calls.startCall(invite, send.to().hop(), new RingListener(taken, ring));
     }
 
     /** Rule 5 counts from a CANCEL that left late too, of which the module knows nothing; the rest of it is its own. */
-    private boolean released(Taken taken) {
+    private boolean released(AcceptedContact taken) {
         return taken.cancelledLate == null
-                || !now().before(taken.cancelledLate.plus(site.rules().release()));
+                || !now().before(taken.cancelledLate.plus(site.rules().releaseTime()));
     }
 
     /** Sets the timers of a ring that is out. */
-    void watch(Taken taken, Ring ring) {
-        ring.limit = calls.wheel().at(ring.until, () -> gaveUp(taken, ring));
-        ring.silence = calls.wheel().at(ring.at.plus(site.limits().silence()), () -> silent(taken, ring));
+    void watch(AcceptedContact taken, Ring ring) {
+        ring.limit = calls.timerWheel().scheduleAt(ring.until, () -> gaveUp(taken, ring));
+        ring.silence =
+                calls.timerWheel().scheduleAt(ring.at.plus(site.limits().silenceTimeout()), () -> silent(taken, ring));
     }
 
-    private void gaveUp(Taken taken, Ring ring) {
+    private void gaveUp(AcceptedContact taken, Ring ring) {
         if (!ring.stood && !ring.told) {
-            takeBack(taken, ring, new Release(Release.TIMER, "").toString(), Cause.TIMED_OUT);
+            takeBack(taken, ring, new ReleaseCause(ReleaseCause.TIMER_EXPIRY, "").toString(), RingEndCause.TIMED_OUT);
         }
     }
 
     /** Nothing was heard. It may have arrived all the same, so it counts as a ring that may hold something. */
-    private void silent(Taken taken, Ring ring) {
-        if (!ring.call.heard()) {
+    private void silent(AcceptedContact taken, Ring ring) {
+        if (!ring.call.hasResponse()) {
             gaveUp(taken, ring);
         }
     }
 
-    private void takeBack(Taken taken, Ring ring, String reason, Cause cause) {
+    private void takeBack(AcceptedContact taken, Ring ring, String reason, RingEndCause cause) {
         ring.call.cancel(reason);
-        end(taken, ring, Outcome.of(cause), Load.NONE);
+        end(taken, ring, RingOutcome.of(cause), SipLoadReport.NONE);
     }
 
     void callOff(long contact, int number) {
-        Taken taken = open.get(contact);
+        AcceptedContact taken = open.get(contact);
         Ring ring = taken == null ? null : taken.ring(number);
         if (ring != null && !ring.told && !ring.stood && ring.call != null) {
-            takeBack(taken, ring, "SIP;cause=487;text=\"Called off\"", Cause.CALLED_OFF);
+            takeBack(taken, ring, "SIP;cause=487;text=\"Called off\"", RingEndCause.CALLED_OFF);
         }
     }
 
     void defer(long contact, Span comeBack) {
-        Taken taken = open.get(contact);
+        AcceptedContact taken = open.get(contact);
         if (taken == null || taken.answered) {
             return;
         }
         figures.deferred++;
-        int cause = taken.last == Blame.PROCESSOR ? Release.CONGESTION : Release.NO_CIRCUIT;
+        int cause = taken.last == RejectionReason.PROCESSOR ? ReleaseCause.CONGESTION : ReleaseCause.NO_CIRCUIT;
         Response response = unavailable(taken.caller, "Deferred", cause);
         if (taken.contact.inTransit()) {
-            String place = cause == Release.CONGESTION ? Release.BEYOND : Release.TRANSIT;
-            response.headers().set("Reason", new Release(cause, place));
+            String place =
+                    cause == ReleaseCause.CONGESTION ? ReleaseCause.REMOTE_LOCAL_NETWORK : ReleaseCause.TRANSIT_NETWORK;
+            response.headers().set("Reason", new ReleaseCause(cause, place));
         }
         if (comeBack.longerThan(Span.ZERO)) {
             response.headers().add("Retry-After", Math.max(1, Math.round(comeBack.ns() / 1e9)));
@@ -247,24 +252,24 @@
     }
 
     void abandon(long contact) {
-        Taken taken = open.get(contact);
+        AcceptedContact taken = open.get(contact);
         if (taken == null || taken.answered) {
             return;
         }
         figures.abandoned++;
         Response response = taken.caller.response(504, "Abandoned");
-        String place = taken.contact.inTransit() ? Release.TRANSIT : "";
-        response.headers().add("Reason", new Release(Release.TIMER, place));
+        String place = taken.contact.inTransit() ? ReleaseCause.TRANSIT_NETWORK : "";
+        response.headers().add("Reason", new ReleaseCause(ReleaseCause.TIMER_EXPIRY, place));
         refuse(taken, response);
     }
 
-    private static Response unavailable(CallIn call, String reason, int cause) {
+    private static Response unavailable(UasCall call, String reason, int cause) {
         Response response = call.response(503, reason);
-        response.headers().add("Reason", new Release(cause, ""));
+        response.headers().add("Reason", new ReleaseCause(cause, ""));
         return response;
     }
 
-    private void refuse(Taken taken, Response response) {
+    private void refuse(AcceptedContact taken, Response response) {
         closed(taken, response);
         taken.caller.refuse(response);
         taken.sent = true;
@@ -273,7 +278,7 @@
     }
 
     /** Before the final answer leaves. */
-    private void closed(Taken taken, Response response) {
+    private void closed(AcceptedContact taken, Response response) {
         taken.answered = true;
         taken.answer = response.copy();
         keep(taken);
@@ -284,31 +289,32 @@
         figures.answered(now().since(taken.at));
     }
 
-    private void forget(Taken taken) {
+    private void forget(AcceptedContact taken) {
         if (taken.answered && taken.live() == null) {
             open.remove(taken.contact.id());
             if (taken.forgotten) {
                 // The BYE that ended it may yet have to be sent by a successor.
-                calls.wheel().loosely(Timers.QUICK.whole(), () -> drop(taken));
+                calls.timerWheel()
+                        .scheduleCoarse(TransactionTimers.DELAYED_TRYING.transactionTimeout(), () -> drop(taken));
             }
         }
     }
 
     /** Tells the decider once of the ring's outcome. */
-    private void end(Taken taken, Ring ring, Outcome outcome, Load load) {
+    private void end(AcceptedContact taken, Ring ring, RingOutcome outcome, SipLoadReport load) {
         if (ring.told) {
             return;
         }
         ring.told = true;
         ring.stopTimers();
         taken.last = outcome.blame();
-        taken.heldUntil = Roll.mayHold(outcome.cause()) ? now() : taken.heldUntil;
+        taken.heldUntil = ContactRegistry.mayHoldCircuits(outcome.cause()) ? now() : taken.heldUntil;
         keep(taken);
         over(taken, ring, outcome, load);
         forget(taken);
     }
 
-    private void over(Taken taken, Ring ring, Outcome outcome, Load load) {
+    private void over(AcceptedContact taken, Ring ring, RingOutcome outcome, SipLoadReport load) {
         log.debug(
                 now(),
                 "ring-ended",
@@ -322,7 +328,7 @@
                 outcome.cause(),
                 "blame",
                 outcome.blame());
-        reports.ringOver(new Reports.RingOver(
+        reports.ringOver(new LaneReports.RingResult(
                 taken.contact.id(),
                 ring.number,
                 ring.target,
@@ -335,15 +341,15 @@
     }
 
     /** The caller's side. */
-    private final class Caller implements CallIn.Listener {
-        private final Taken taken;
+    private final class CallerListener implements UasCall.Listener {
+        private final AcceptedContact taken;
 
-        Caller(Taken taken) {
+        CallerListener(AcceptedContact taken) {
             this.taken = taken;
         }
 
         @Override
-        public void leaving(Response last) {
+        public void beforeFinalResponse(Response last) {
             if (!taken.answered) {
                 closed(taken, last);
             }
@@ -366,19 +372,19 @@
         }
 
         @Override
-        public void ended(Ending why, Request bye) {
+        public void ended(CallEndReason why, Request bye) {
             Ring ring = taken.live();
             if (ring != null) {
-                Outcome outcome = Outcome.ofEnd(bye, Cause.CALLED_OFF);
-                taken.bye = Will.Bye.RING;
+                RingOutcome outcome = RingOutcome.ofEnd(bye, RingEndCause.CALLED_OFF);
+                taken.bye = HandoverRecord.PendingBye.RING;
                 keep(taken);
                 ring.call.bye(passedOn(bye, outcome));
-                end(taken, ring, outcome, Load.NONE);
+                end(taken, ring, outcome, SipLoadReport.NONE);
             }
         }
 
         @Override
-        public void forgotten() {
+        public void transactionEnded() {
             taken.forgotten = true;
             if (!open.containsKey(taken.contact.id())) {
                 drop(taken);
@@ -386,26 +392,26 @@
         }
     }
 
-    private static String passedOn(Request bye, Outcome outcome) {
-        Release release = bye == null ? null : Release.of(bye);
+    private static String passedOn(Request bye, RingOutcome outcome) {
+        ReleaseCause release = bye == null ? null : ReleaseCause.of(bye);
         if (release != null) {
             return release.toString();
         }
-        return outcome.cause() == Cause.CUT ? new Release(Release.OUT_OF_ORDER, "").toString() : null;
+        return outcome.cause() == RingEndCause.CUT ? new ReleaseCause(ReleaseCause.OUT_OF_ORDER, "").toString() : null;
     }
 
     /** What a ring brings. */
-    private final class Answers implements CallOut.Listener {
-        private final Taken taken;
+    private final class RingListener implements UacCall.Listener {
+        private final AcceptedContact taken;
         private final Ring ring;
 
-        Answers(Taken taken, Ring ring) {
+        RingListener(AcceptedContact taken, Ring ring) {
             this.taken = taken;
             this.ring = ring;
         }
 
         @Override
-        public void leaving(Request invite, Hop to) {
+        public void beforeSend(Request invite, Hop to) {
             ring.invite = invite.copy();
             ring.hop = to;
             keep(taken);
@@ -423,11 +429,11 @@
         }
 
         @Override
-        public void stood(Response response) {
+        public void established(Response response) {
             ring.stopTimers();
-            if (taken.answered || !taken.caller.open()) {
+            if (taken.answered || !taken.caller.isPending()) {
                 ring.call.bye(null);
-                end(taken, ring, Outcome.of(Cause.CALLED_OFF), Load.of(response));
+                end(taken, ring, RingOutcome.of(RingEndCause.CALLED_OFF), SipLoadReport.of(response));
                 return;
             }
             ring.stood = true;
@@ -436,11 +442,12 @@
             closed(taken, passed);
             figures.stood(now().since(taken.at));
             taken.caller.accept(passed);
-            reports.stood(taken.contact.id(), ring.number, ring.target, now().since(ring.at), Load.of(response));
+            reports.stood(
+                    taken.contact.id(), ring.number, ring.target, now().since(ring.at), SipLoadReport.of(response));
         }
 
         @Override
-        public void cancelledLate() {
+        public void delayedCancelSent() {
             if (open.containsKey(taken.contact.id())) {
                 taken.cancelledLate = now();
                 taken.heldUntil = now();
@@ -450,44 +457,44 @@
 
         @Override
         public void refused(Response response) {
-            end(taken, ring, Outcome.of(response), Load.of(response));
+            end(taken, ring, RingOutcome.of(response), SipLoadReport.of(response));
         }
 
         @Override
-        public void failed(Failure why) {
-            end(taken, ring, Outcome.of(why), Load.NONE);
+        public void failed(RequestFailure why) {
+            end(taken, ring, RingOutcome.of(why), SipLoadReport.NONE);
         }
 
         @Override
-        public void ended(Ending why, Request bye) {
-            Outcome outcome = Outcome.ofEnd(bye, Cause.CONCLUDED);
-            taken.bye = Will.Bye.CALLER;
+        public void ended(CallEndReason why, Request bye) {
+            RingOutcome outcome = RingOutcome.ofEnd(bye, RingEndCause.CONCLUDED);
+            taken.bye = HandoverRecord.PendingBye.CALLER;
             keep(taken);
             taken.caller.bye(passedOn(bye, outcome));
-            end(taken, ring, outcome, Load.NONE);
+            end(taken, ring, outcome, SipLoadReport.NONE);
         }
     }
 
     /** Tells the decider of all that is open here. */
     void tellHeld() {
-        List<Roll.Held> held =
+        List<ContactRegistry.LaneContact> held =
                 open.values().stream().map(taken -> taken.will().held()).toList();
         reports.inherited(lane, held);
     }
 
     /** A contact of the thread before this one, with its legs as far as they are there again. */
-    void takenOver(Taken taken) {
+    void takenOver(AcceptedContact taken) {
         unanswered += taken.answered ? 0 : 1;
         if (!taken.answered || taken.live() != null) {
             enter(taken);
         }
     }
 
-    CallIn.Listener callerOf(Taken taken) {
-        return new Caller(taken);
+    UasCall.Listener callerOf(AcceptedContact taken) {
+        return new CallerListener(taken);
     }
 
-    CallOut.Listener answersTo(Taken taken, Ring ring) {
-        return new Answers(taken, ring);
+    UacCall.Listener answersTo(AcceptedContact taken, Ring ring) {
+        return new RingListener(taken, ring);
     }
 }
--- a/src/main/java/martenslip/exchange/Decider.java
+++ b/src/main/java/martenslip/exchange/Decider.java
@@ -1,51 +1,57 @@
 package martenslip.exchange;
 
 import java.util.List;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
+import martenslip.configuration.ExchangeConfiguration;
 import martenslip.control.Contact;
 import martenslip.control.Controller;
 import martenslip.control.Controller.ListKind;
-import martenslip.control.Maker;
+import martenslip.control.ControllerFactory;
 import martenslip.control.Moment;
 import martenslip.control.Orders;
+import martenslip.control.RejectionReason;
 import martenslip.control.RingEnd;
+import martenslip.control.RingEndCause;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.provision.Site;
-import martenslip.roll.Afloat;
-import martenslip.roll.Roll;
-import martenslip.signal.Load;
-import martenslip.signal.Neighbour;
-import martenslip.signal.SwitchText;
-import martenslip.wheel.Wheel;
+import martenslip.control.SwitchEntry;
+import martenslip.eventloop.TimerWheel;
+import martenslip.signaling.EventPackageCodec;
+import martenslip.signaling.ListedSwitch;
+import martenslip.signaling.SipLoadReport;
+import martenslip.tracking.ContactRegistry;
+import martenslip.tracking.InFlightCircuits;
 
 /**
  * The module with what it needs to know and to be told: the switches and groups that stand, and the roll of contacts.
  * One thread owns it, the only one that uses circuits up: so two lanes can't be given the same one.
  */
-final class Decider implements Reports {
-    private final Site site;
-    private final Wheel wheel;
-    private final Hands hands;
+final class Decider implements LaneReports {
+    private final ExchangeConfiguration site;
+    private final TimerWheel wheel;
+    private final LaneCommands hands;
     private final EventLog log;
-    private final Switchboard switchboard;
-    private final Happenings happenings = new Happenings();
-    private final Roll roll;
+    private final SwitchRegistry switchboard;
+    private final PendingEvents happenings = new PendingEvents();
+    private final ContactRegistry roll;
     private final Controller module;
-    private final Afloat afloat = new Afloat();
+    private final InFlightCircuits afloat = new InFlightCircuits();
     private boolean begun;
     private boolean listWanted;
-    private Wheel.Timer later;
+    private TimerWheel.Timer later;
 
-    Decider(Site site, Maker maker, long seed, Wheel wheel, Hands hands, EventLog log) {
+    Decider(
+            ExchangeConfiguration site,
+            ControllerFactory maker,
+            long seed,
+            TimerWheel wheel,
+            LaneCommands hands,
+            EventLog log) {
         this.site = site;
         this.wheel = wheel;
         this.hands = hands;
         this.log = log;
-        switchboard = new Switchboard(site);
-        module = maker.make(site.settings(Exchange.ROUND), seed, wheel.now(), new Carried());
-        roll = new Roll(module, site.rules().release(), hands::callOff);
+        switchboard = new SwitchRegistry(site);
+        module = maker.create(site.settings(Exchange.MAX_TIMER_LATENESS), seed, wheel.now(), new OrderExecutor());
+        roll = new ContactRegistry(module, site.rules().releaseTime(), hands::callOff);
     }
 
     /** Once all that it orders from stands. */
@@ -59,9 +65,9 @@
     /** At the end of each turn of its thread. */
     void tellAll() {
         happenings.tellAll(wheel.now());
-        Moment due = roll.due();
-        if (due != null && (later == null || !later.set())) {
-            later = wheel.at(due, () -> happenings.add(roll::turn));
+        Moment due = roll.nextOfferAt();
+        if (due != null && (later == null || !later.isScheduled())) {
+            later = wheel.scheduleAt(due, () -> happenings.add(roll::offerDue));
         }
     }
 
@@ -69,7 +75,7 @@
         happenings.add(module::stopped);
     }
 
-    Switchboard switchboard() {
+    SwitchRegistry switchboard() {
         return switchboard;
     }
 
@@ -80,43 +86,45 @@
 
     @Override
     public boolean offered(Contact contact, int lane) {
-        happenings.add(now -> roll.offered(now, contact, lane));
+        happenings.add(now -> roll.contactOffered(now, contact, lane));
         return true;
     }
 
     @Override
     public void heard(long contact, int ring, int far) {
-        afloat.heard(wheel.now(), far, contact, ring);
+        afloat.responseReceived(wheel.now(), far, contact, ring);
     }
 
-    private float[] report(Load load, Switchboard.Circuits group) {
-        return load.report(group == null ? 0 : group.spare(), group == null ? 0 : group.total, site.reports());
+    private float[] report(SipLoadReport load, SwitchRegistry.GroupCircuits group) {
+        return load.toReportValues(
+                group == null ? 0 : group.spare(), group == null ? 0 : group.total, site.configuredReportFields());
     }
 
-    private Load lessAfloat(Load load, int far) {
-        return load.total() < 0 ? load : load.less(afloat.circuits(wheel.now(), far));
+    private SipLoadReport lessAfloat(SipLoadReport load, int far) {
+        return load.totalCircuits() < 0 ? load : load.withFewerFreeCircuits(afloat.inFlightCount(wheel.now(), far));
     }
 
     @Override
-    public void stood(long contact, int ring, long target, Span took, Load said) {
-        happenings.add(now -> roll.stood(now, contact, ring, target, took));
-        Neighbour from = switchboard.neighbour(target);
-        int far = from == null ? -1 : from.line().number();
+    public void stood(long contact, int ring, long target, Span took, SipLoadReport said) {
+        happenings.add(now -> roll.established(now, contact, ring, target, took));
+        ListedSwitch from = switchboard.neighbour(target);
+        int far = from == null ? -1 : from.entry().number();
         heard(contact, ring, far);
-        Load load = lessAfloat(said, far);
-        if (load != Load.NONE && load.total() >= 0) {
-            float[] report = load.report(load.spare(), load.total(), site.reports());
-            happenings.add(now -> module.reported(now, target, true, Span.ZERO, report));
+        SipLoadReport load = lessAfloat(said, far);
+        if (load != SipLoadReport.NONE && load.totalCircuits() >= 0) {
+            float[] report =
+                    load.toReportValues(load.freeCircuits(), load.totalCircuits(), site.configuredReportFields());
+            happenings.add(now -> module.switchReported(now, target, true, Span.ZERO, report));
         }
     }
 
     @Override
-    public void ringOver(RingOver over) {
-        Switchboard.Circuits group = switchboard.toward(over.far());
-        afloat.over(over.far(), over.contact(), over.ring());
+    public void ringOver(RingResult over) {
+        SwitchRegistry.GroupCircuits group = switchboard.toward(over.far());
+        afloat.ringEnded(over.far(), over.contact(), over.ring());
         switchboard.freed(over.far(), over.width());
         float[] report = report(lessAfloat(over.load(), over.far()), group);
-        Outcome outcome = over.outcome();
+        RingOutcome outcome = over.outcome();
         RingEnd end = new RingEnd(
                 over.contact(),
                 over.ring(),
@@ -126,33 +134,33 @@
                 over.took(),
                 over.answered(),
                 report);
-        happenings.add(now -> roll.ended(now, end));
+        happenings.add(now -> roll.ringEnded(now, end));
     }
 
     @Override
     public void gone(long contact) {
-        happenings.add(now -> roll.gone(now, contact));
+        happenings.add(now -> roll.callerGone(now, contact));
     }
 
     @Override
-    public void inherited(int lane, List<Roll.Held> held) {
+    public void inherited(int lane, List<ContactRegistry.LaneContact> held) {
         log.warn(wheel.now(), "inherited", "lane", lane, "contacts", held.size());
-        happenings.add(now -> roll.inherited(now, lane, held));
+        happenings.add(now -> roll.reconcileLane(now, lane, held));
     }
 
     @Override
-    public void listed(ListKind kind, List<Neighbour> lines) {
+    public void listed(ListKind kind, List<ListedSwitch> lines) {
         if (kind != ListKind.FAILED) {
             switchboard.listed(lines, kind != ListKind.CHANGES);
         }
-        List<SwitchLine> told = lines.stream().map(Neighbour::line).toList();
-        happenings.add(now -> module.listed(now, kind, told));
-        if (kind == ListKind.FAILED || kind == ListKind.REMEMBERED) {
+        List<SwitchEntry> told = lines.stream().map(ListedSwitch::entry).toList();
+        happenings.add(now -> module.switchListReceived(now, kind, told));
+        if (kind == ListKind.FAILED || kind == ListKind.CACHED) {
             return;
         }
         // A machine that takes over a number begins without the state of its group.
-        for (Site.Group group : site.groups().values()) {
-            Switchboard.Circuits state = switchboard.toward(group.far());
+        for (ExchangeConfiguration.Group group : site.groups().values()) {
+            SwitchRegistry.GroupCircuits state = switchboard.toward(group.farExchange());
             if (state.known) {
                 tellCircuits(state);
             }
@@ -160,86 +168,95 @@
     }
 
     @Override
-    public void circuits(List<SwitchText.GroupState> groups) {
-        afloat.keepOnly(roll::has);
-        for (SwitchText.GroupState state : groups) {
-            Switchboard.Circuits told = switchboard.told(state);
+    public void circuits(List<EventPackageCodec.GroupState> groups) {
+        afloat.retainContacts(roll::contains);
+        for (EventPackageCodec.GroupState state : groups) {
+            SwitchRegistry.GroupCircuits told = switchboard.told(state);
             if (told != null) {
-                told.free -= afloat.circuits(wheel.now(), told.group.far());
+                told.free -= afloat.inFlightCount(wheel.now(), told.group.farExchange());
                 tellCircuits(told);
             }
         }
     }
 
-    private void tellCircuits(Switchboard.Circuits state) {
-        float[] report = report(Load.NONE, state);
-        for (Neighbour one : switchboard.bearing(state.group.far())) {
-            happenings.add(now -> module.reported(now, one.line().id(), true, Span.ZERO, report));
+    private void tellCircuits(SwitchRegistry.GroupCircuits state) {
+        float[] report = report(SipLoadReport.NONE, state);
+        for (ListedSwitch one : switchboard.bearing(state.group.farExchange())) {
+            happenings.add(now -> module.switchReported(now, one.entry().id(), true, Span.ZERO, report));
         }
     }
 
     @Override
-    public void probed(long target, boolean reached, Span took, Load load) {
-        Neighbour neighbour = switchboard.neighbour(target);
-        Switchboard.Circuits group =
-                neighbour == null ? null : switchboard.toward(neighbour.line().number());
+    public void probed(long target, boolean reached, Span took, SipLoadReport load) {
+        ListedSwitch neighbour = switchboard.neighbour(target);
+        SwitchRegistry.GroupCircuits group =
+                neighbour == null ? null : switchboard.toward(neighbour.entry().number());
         float[] report = load == null ? new float[0] : report(load, group);
-        happenings.add(now -> module.reported(now, target, reached, took, report));
+        happenings.add(now -> module.switchReported(now, target, reached, took, report));
     }
 
     @Override
     public void noted(int peer, byte[] note) {
-        happenings.add(now -> module.peerNote(now, peer, note));
+        happenings.add(now -> module.peerNoteReceived(now, peer, note));
     }
 
     /** The module's orders, passed on at once; what it wants while it is made waits until all parts stand. */
-    private final class Carried implements Orders {
+    private final class OrderExecutor implements Orders {
         @Override
         public void ring(long contact, long target, Span limit) {
-            int number = roll.ordered(contact, target);
+            int number = roll.ringOrdered(contact, target);
             if (number < 0) {
                 log.warn(wheel.now(), "ring-for-unknown", "contact", contact);
                 return;
             }
-            Neighbour to = switchboard.neighbour(target);
+            ListedSwitch to = switchboard.neighbour(target);
             if (to == null) {
                 RingEnd end = new RingEnd(
-                        contact, number, target, Cause.NOT_SENT, Blame.NONE, Span.ZERO, false, new float[0]);
-                happenings.add(now -> roll.ended(now, end));
+                        contact,
+                        number,
+                        target,
+                        RingEndCause.NOT_SENT,
+                        RejectionReason.NONE,
+                        Span.ZERO,
+                        false,
+                        new float[0]);
+                happenings.add(now -> roll.ringEnded(now, end));
                 return;
             }
-            int far = to.line().number();
+            int far = to.entry().number();
             switchboard.seized(far, roll.width(contact));
-            afloat.sent(far, contact, number, roll.width(contact));
-            Switchboard.Circuits group = switchboard.toward(far);
-            hands.ring(contact, new Hands.Send(number, target, to, group == null ? null : group.group, limit));
+            afloat.ringSent(far, contact, number, roll.width(contact));
+            SwitchRegistry.GroupCircuits group = switchboard.toward(far);
+            hands.ring(
+                    contact,
+                    new LaneCommands.RingCommand(number, target, to, group == null ? null : group.group, limit));
         }
 
         @Override
-        public void callOff(long contact, int ring) {
-            hands.callOff(contact, roll.lanesNumber(contact, ring));
+        public void cancel(long contact, int ring) {
+            hands.callOff(contact, roll.laneRingNumber(contact, ring));
         }
 
         @Override
         public void defer(long contact, Span comeBack) {
             hands.defer(contact, comeBack);
-            roll.answered(contact);
+            roll.contactAnswered(contact);
         }
 
         @Override
         public void abandon(long contact) {
             hands.abandon(contact);
-            roll.answered(contact);
+            roll.contactAnswered(contact);
         }
 
         @Override
-        public void clock(Span delay, long token) {
-            wheel.after(delay, () -> happenings.add(now -> module.clockRung(now, token)));
+        public void startTimer(Span delay, long token) {
+            wheel.scheduleAfter(delay, () -> happenings.add(now -> module.timerExpired(now, token)));
         }
 
         @Override
         public void probe(long target) {
-            Neighbour to = switchboard.neighbour(target);
+            ListedSwitch to = switchboard.neighbour(target);
             if (to == null) {
                 probed(target, false, Span.ZERO, null);
             } else {
@@ -248,12 +265,12 @@
         }
 
         @Override
-        public void note(int peer, byte[] note) {
+        public void sendNote(int peer, byte[] note) {
             hands.note(peer, note);
         }
 
         @Override
-        public void watchList(boolean on) {
+        public void watchSwitchList(boolean on) {
             if (begun) {
                 hands.watchList(on);
             } else {
--- a/src/main/java/martenslip/exchange/EventLog.java
+++ b/src/main/java/martenslip/exchange/EventLog.java
@@ -20,7 +20,7 @@
     private static final Span SECOND = Span.ofMillis(1000);
 
     /** Its own lock is held for a few steps of counting, never while a line is written. */
-    private static final class Kind {
+    private static final class RateLimiter {
         private Moment since;
         private int written;
         private long leftOut;
@@ -42,7 +42,7 @@
         }
     }
 
-    private final Map<String, Kind> kinds = new ConcurrentHashMap<>();
+    private final Map<String, RateLimiter> kinds = new ConcurrentHashMap<>();
     private final int exchange;
 
     EventLog(int exchange) {
@@ -68,7 +68,7 @@
         if (!LOG.isEnabledForLevel(level)) {
             return;
         }
-        long leftOut = kinds.computeIfAbsent(event, any -> new Kind()).take(now);
+        long leftOut = kinds.computeIfAbsent(event, any -> new RateLimiter()).take(now);
         if (leftOut < 0) {
             return;
         }
--- a/src/main/java/martenslip/exchange/Exchange.java
+++ b/src/main/java/martenslip/exchange/Exchange.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Function;
-import martenslip.control.Maker;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.control.ControllerFactory;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.provision.Site;
-import martenslip.signal.SwitchText;
-import martenslip.sip.transport.Bounds;
-import martenslip.sip.transport.Gate;
+import martenslip.signaling.EventPackageCodec;
 import martenslip.sip.transport.Hop;
+import martenslip.sip.transport.MessageInterceptor;
 import martenslip.sip.transport.Transport;
+import martenslip.sip.transport.TransportLimits;
 
 /**
  * One exchange's call controller: sockets, lanes, the decider and the look-out over their threads. Any thread may
@@ -25,26 +25,27 @@
  */
 public final class Exchange implements AutoCloseable {
     /** How late the module may hear a clock: collectors were seen to pause a busy process by 20 to 60 ms. */
-    public static final Span ROUND = Span.ofMillis(25);
+    public static final Span MAX_TIMER_LATENESS = Span.ofMillis(25);
 
-    private final Site site;
-    private final Maker maker;
+    private final ExchangeConfiguration site;
+    private final ControllerFactory maker;
     private final EventLog log;
-    private final KeptList kept;
+    private final SwitchListStore kept;
     private final Transport transport;
-    private final Crew crew;
+    private final ThreadSupervisor crew;
 
-    public Exchange(Site site, Maker maker) {
+    public Exchange(ExchangeConfiguration site, ControllerFactory maker) {
         this.site = site;
         this.maker = maker;
         log = new EventLog(site.number());
-        kept = new KeptList(site.kept(), this::trouble);
-        Intake intake = new Intake(site.limits().lanes());
-        transport = new Transport("exchange-" + site.number(), Bounds.USUAL, intake, Gate.OPEN);
-        intake.drops(transport.drops());
-        SwitchText text = new SwitchText(site.regions(), new Moment(System.nanoTime()), Instant.now());
-        crew = new Crew(
-                new Lane.Common(site, transport, new Known(), kept, text, log),
+        kept = new SwitchListStore(site.keptListFile(), this::trouble);
+        InboundDispatcher intake = new InboundDispatcher(site.limits().lanes());
+        transport = new Transport(
+                "exchange-" + site.number(), TransportLimits.DEFAULTS, intake, MessageInterceptor.PASS_THROUGH);
+        intake.drops(transport.dropCounter());
+        EventPackageCodec text = new EventPackageCodec(site.regions(), new Moment(System.nanoTime()), Instant.now());
+        crew = new ThreadSupervisor(
+                new Lane.SharedServices(site, transport, new SwitchStateCache(), kept, text, log),
                 maker,
                 this::fault,
                 // Never from the configured seed: a restart would use the branches and tags of its last run again.
@@ -53,7 +54,7 @@
     }
 
     private void fault(Throwable fault) {
-        transport.drops().count("fault");
+        transport.dropCounter().increment("fault");
         org.slf4j.LoggerFactory.getLogger("martenslip.exchange").error("fault", fault);
     }
 
@@ -64,7 +65,7 @@
     /** Opens the sockets and begins, once the code is warm: a caller who comes first waits no longer than others. */
     public void start() throws IOException {
         try {
-            new Warming(site, maker).run();
+            new WarmUp(site, maker).run();
         } catch (RuntimeException e) {
             trouble("not warmed: " + e);
         }
@@ -82,8 +83,8 @@
     }
 
     /** The port that was opened for this transport, or -1. */
-    public int port(Hop.Kind kind) {
-        return transport.has(kind) ? transport.port(kind) : -1;
+    public int port(Hop.Protocol kind) {
+        return transport.isOpen(kind) ? transport.port(kind) : -1;
     }
 
     public String host() {
@@ -91,8 +92,8 @@
     }
 
     /** Counts so far, one line. */
-    public String figures() {
-        Figures sum = new Figures();
+    public String statistics() {
+        ExchangeStatistics sum = new ExchangeStatistics();
         int[] counts = new int[3];
         for (int i = 0; i < site.limits().lanes(); i++) {
             crew.estate(i).addPast(sum);
@@ -100,34 +101,35 @@
                 sum.add(lane.figures);
                 counts[0] += lane.contacts.unanswered();
                 counts[1] += lane.contacts.open();
-                counts[2] += lane.calls().transactions().open();
+                counts[2] += lane.calls().transactionLayer().openCount();
                 return true;
             });
         }
         return sum.line(counts[0]) + " standing=" + (counts[1] - counts[0]) + " transactions=" + counts[2]
-                + " replaced=" + crew.replaced() + " drops=" + transport.drops().counts();
+                + " replaced=" + crew.replaced() + " drops="
+                + transport.dropCounter().counts();
     }
 
     /** Switches that the exchange knows of. */
-    public int known() {
+    public int knownSwitchCount() {
         return askDecider(decider -> decider.switchboard().all().size());
     }
 
     /** Contacts that the module may still speak of. */
-    public int onRoll() {
+    public int trackedContactCount() {
         return askDecider(Decider::size);
     }
 
     /** Free circuits of the group toward an exchange as they were last told, -1 before that or without a group. */
-    public int free(int far) {
+    public int freeCircuits(int far) {
         return askDecider(decider -> {
-            Switchboard.Circuits circuits = decider.switchboard().toward(far);
+            SwitchRegistry.GroupCircuits circuits = decider.switchboard().toward(far);
             return circuits == null || !circuits.known ? -1 : circuits.spare();
         });
     }
 
     /** Threads that were replaced since the start. */
-    public long replaced() {
+    public long replacedThreadCount() {
         return crew.replaced();
     }
 
@@ -135,7 +137,7 @@
      * Plants a stall in a lane's thread, or in the decider's where {@code lane} is none of them: between two
      * pieces of work where {@code amid} is null, else amid the next send of a message that begins with it.
      */
-    public void plant(int lane, Span span, String amid) {
+    public void injectStall(int lane, Span span, String amid) {
         crew.plant(lane, span, amid);
     }
 
--- a/src/main/java/martenslip/exchange/Figures.java
+++ b/src/main/java/martenslip/exchange/ExchangeStatistics.java
@@ -4,7 +4,7 @@
 import org.HdrHistogram.Histogram;
 
 /** Counts and spans of one exchange since its start; one thread writes, and hands out copies. */
-final class Figures {
+final class ExchangeStatistics {
     private static final long MOST_MICROS = 60_000_000;
 
     long taken;
@@ -29,7 +29,7 @@
     }
 
     /** Adds the counts and spans of another. */
-    void add(Figures other) {
+    void add(ExchangeStatistics other) {
         taken += other.taken;
         stood += other.stood;
         deferred += other.deferred;
--- a/src/main/java/martenslip/exchange/Will.java
+++ b/src/main/java/martenslip/exchange/HandoverRecord.java
@@ -1,12 +1,12 @@
 package martenslip.exchange;
 
-import martenslip.control.Blame;
 import martenslip.control.Contact;
 import martenslip.control.Moment;
-import martenslip.roll.Roll;
+import martenslip.control.RejectionReason;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.transport.Hop;
+import martenslip.tracking.ContactRegistry;
 
 /**
  * All that whoever takes a contact over must know of it. It is written before each step that leaves the process, so
@@ -21,7 +21,7 @@
  * @param confirmed its 2xx was acknowledged
  * @param bye the side that is owed a BYE
  */
-record Will(
+record HandoverRecord(
         Contact contact,
         String number,
         Moment at,
@@ -29,26 +29,27 @@
         Hop from,
         String tag,
         int rings,
-        Out out,
+        InFlightRing out,
         Moment heldUntil,
-        Blame last,
+        RejectionReason last,
         Response answer,
         boolean answered,
         boolean sent,
         boolean confirmed,
-        Bye bye) {
-    enum Bye {
+        PendingBye bye) {
+    enum PendingBye {
         NONE,
         CALLER,
         RING
     }
 
     /** {@code invite} bears its Via; {@code stood} is its 2xx, or null. */
-    record Out(int number, long target, int far, Moment at, Moment until, Request invite, Hop hop, Response stood) {}
+    record InFlightRing(
+            int number, long target, int far, Moment at, Moment until, Request invite, Hop hop, Response stood) {}
 
-    Roll.Held held() {
-        boolean live = out != null && bye == Bye.NONE;
-        return new Roll.Held(
+    ContactRegistry.LaneContact held() {
+        boolean live = out != null && bye == PendingBye.NONE;
+        return new ContactRegistry.LaneContact(
                 contact,
                 at,
                 rings,
--- a/src/main/java/martenslip/exchange/Estate.java
+++ b/src/main/java/martenslip/exchange/HandoverStore.java
@@ -12,14 +12,14 @@
  * that were replaced. The lane's thread writes; a successor reads once that thread has been fenced. Bounded by the
  * contacts that are open and those whose INVITE may still be repeated.
  */
-final class Estate {
+final class HandoverStore {
     private final int lane;
     private final int lanes;
     private final AtomicLong count = new AtomicLong();
-    private final Map<Long, Will> wills = new ConcurrentHashMap<>();
-    private final List<Figures> past = new ArrayList<>();
+    private final Map<Long, HandoverRecord> wills = new ConcurrentHashMap<>();
+    private final List<ExchangeStatistics> past = new ArrayList<>();
 
-    Estate(int lane, int lanes) {
+    HandoverStore(int lane, int lanes) {
         this.lane = lane;
         this.lanes = lanes;
     }
@@ -33,7 +33,7 @@
         return (int) (contact % lanes);
     }
 
-    void put(Will will) {
+    void put(HandoverRecord will) {
         wills.put(will.contact().id(), will);
     }
 
@@ -42,17 +42,17 @@
     }
 
     /** In the order in which they were taken. */
-    List<Will> wills() {
-        List<Will> all = new ArrayList<>(wills.values());
+    List<HandoverRecord> wills() {
+        List<HandoverRecord> all = new ArrayList<>(wills.values());
         all.sort(Comparator.comparing(will -> will.contact().id()));
         return all;
     }
 
-    synchronized void past(Figures figures) {
+    synchronized void past(ExchangeStatistics figures) {
         past.add(figures);
     }
 
-    synchronized void addPast(Figures sum) {
+    synchronized void addPast(ExchangeStatistics sum) {
         past.forEach(sum::add);
     }
 }
--- a/src/main/java/martenslip/exchange/Lane.java
+++ b/src/main/java/martenslip/exchange/Lane.java
@@ -1,19 +1,19 @@
 package martenslip.exchange;
 
 import java.util.Set;
-import martenslip.provision.Site;
-import martenslip.signal.SwitchText;
-import martenslip.sip.dialog.CallIn;
-import martenslip.sip.dialog.CallUser;
-import martenslip.sip.dialog.Calls;
-import martenslip.sip.message.BadValue;
-import martenslip.sip.transaction.Branches;
-import martenslip.sip.transaction.Outlet;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.eventloop.EventLoop;
+import martenslip.signaling.EventPackageCodec;
+import martenslip.sip.dialog.DialogLayer;
+import martenslip.sip.dialog.UasCall;
+import martenslip.sip.dialog.UserAgentCore;
+import martenslip.sip.message.InvalidValueException;
+import martenslip.sip.transaction.IdGenerator;
+import martenslip.sip.transaction.MessageSender;
 import martenslip.sip.transaction.ServerTransaction;
-import martenslip.sip.transaction.Timers;
+import martenslip.sip.transaction.TransactionTimers;
 import martenslip.sip.transport.Hop;
 import martenslip.sip.transport.Transport;
-import martenslip.wheel.EventLoop;
 
 /**
  * One thread with the transactions, dialogs and contacts whose Call-IDs lead to it. What it sends passes its fence at
@@ -23,39 +23,45 @@
     private static final int TRANSACTIONS_A_CONTACT = 8;
 
     /** What all lanes of an exchange have in common. */
-    record Common(Site site, Transport transport, Known known, KeptList kept, SwitchText text, EventLog log) {}
+    record SharedServices(
+            ExchangeConfiguration site,
+            Transport transport,
+            SwitchStateCache known,
+            SwitchListStore kept,
+            EventPackageCodec text,
+            EventLog log) {}
 
     final int number;
     final EventLoop loop;
     final Contacts contacts;
-    final Surroundings surroundings;
-    final Figures figures = new Figures();
-    final Planted planted = new Planted();
-    private final Common common;
-    private final Calls calls;
+    final NetworkMonitor surroundings;
+    final ExchangeStatistics figures = new ExchangeStatistics();
+    final StallInjector planted = new StallInjector();
+    private final SharedServices common;
+    private final DialogLayer calls;
     /** The decider on this lane's own thread, where there is one lane; set before the thread starts. */
     Decider decider;
 
     /** {@code seed} must differ at each start: branches and tags of an earlier one may still be about. */
-    Lane(int number, EventLoop loop, Common common, Estate estate, Reports reports, long seed) {
+    Lane(int number, EventLoop loop, SharedServices common, HandoverStore estate, LaneReports reports, long seed) {
         this.number = number;
         this.loop = loop;
         this.common = common;
-        Site site = common.site();
+        ExchangeConfiguration site = common.site();
         int lanes = site.limits().lanes();
-        int most = Math.min(1 << 20, site.limits().mostOpen() * TRANSACTIONS_A_CONTACT) / lanes;
-        Branches branches = new Branches(seed, callId -> of(callId, lanes) == number);
-        calls = new Calls(
-                loop.wheel(),
-                Timers.QUICK,
+        int most = Math.min(1 << 20, site.limits().maxOpenContacts() * TRANSACTIONS_A_CONTACT) / lanes;
+        IdGenerator branches = new IdGenerator(seed, callId -> of(callId, lanes) == number);
+        calls = new DialogLayer(
+                loop.timerWheel(),
+                TransactionTimers.DELAYED_TRYING,
                 outlet(),
                 branches,
                 user(),
-                common.transport().drops(),
+                common.transport().dropCounter(),
                 most);
-        contacts = new Contacts(site, calls, number, estate, reports, loop::fenced, common.log(), figures);
+        contacts = new Contacts(site, calls, number, estate, reports, loop::isFenced, common.log(), figures);
         surroundings =
-                new Surroundings(site, calls, reports, common.text(), common.known(), common.kept(), common.log());
+                new NetworkMonitor(site, calls, reports, common.text(), common.known(), common.kept(), common.log());
     }
 
     /** The lane of a Call-ID, the same in each process and for all messages of its dialog. */
@@ -64,49 +70,49 @@
         return Math.floorMod(hash ^ hash >>> 15, lanes);
     }
 
-    Calls calls() {
+    DialogLayer calls() {
         return calls;
     }
 
-    private Outlet outlet() {
+    private MessageSender outlet() {
         Transport transport = common.transport();
-        return new Outlet() {
+        return new MessageSender() {
             @Override
             public boolean send(byte[] bytes, Hop to) {
                 planted.sending(bytes);
-                return loop.fenced() || transport.send(bytes, to);
+                return loop.isFenced() || transport.send(bytes, to);
             }
 
             @Override
-            public String sentBy(Hop.Kind kind) {
+            public String sentBy(Hop.Protocol kind) {
                 return transport.sentBy(kind);
             }
         };
     }
 
-    private CallUser user() {
-        return new CallUser() {
+    private UserAgentCore user() {
+        return new UserAgentCore() {
             @Override
-            public void incoming(CallIn call) {
+            public void inviteReceived(UasCall call) {
                 contacts.incoming(call);
             }
 
             @Override
-            public void requested(ServerTransaction transaction) {
+            public void requestReceived(ServerTransaction transaction) {
                 try {
                     surroundings.requested(transaction);
-                } catch (BadValue e) {
-                    transaction.respond(transaction.request().answer(400, "Unreadable value", null));
+                } catch (InvalidValueException e) {
+                    transaction.respond(transaction.request().createResponse(400, "Unreadable value", null));
                 }
             }
 
             @Override
-            public void broken(Hop hop, boolean everUp) {
-                common.log().info(loop.wheel().now(), "connection-ended", "hop", hop, "ever_up", everUp);
+            public void connectionLost(Hop hop, boolean everUp) {
+                common.log().info(loop.timerWheel().now(), "connection-ended", "hop", hop, "ever_up", everUp);
             }
 
             @Override
-            public Set<String> methods() {
+            public Set<String> additionalMethods() {
                 return Set.of("NOTIFY", "MESSAGE", "OPTIONS");
             }
         };
--- a/src/main/java/martenslip/exchange/ToLanes.java
+++ b/src/main/java/martenslip/exchange/LaneCommandDispatcher.java
@@ -2,31 +2,31 @@
 
 import java.util.function.Consumer;
 import martenslip.control.Span;
-import martenslip.signal.Neighbour;
+import martenslip.signaling.ListedSwitch;
 
 /** Orders on their way to the lane that has the contact; what is about no contact is the first lane's. */
-final class ToLanes implements Hands {
-    interface Way {
+final class LaneCommandDispatcher implements LaneCommands {
+    interface Channel {
         void toContacts(int lane, Consumer<Contacts> order);
 
         /** To those of the first lane. */
-        void toSurroundings(Consumer<Surroundings> order);
+        void toSurroundings(Consumer<NetworkMonitor> order);
     }
 
     private final int lanes;
-    private final Way way;
+    private final Channel way;
 
-    ToLanes(int lanes, Way way) {
+    LaneCommandDispatcher(int lanes, Channel way) {
         this.lanes = lanes;
         this.way = way;
     }
 
     private void pass(long contact, Consumer<Contacts> order) {
-        way.toContacts(Estate.laneOf(contact, lanes), order);
+        way.toContacts(HandoverStore.laneOf(contact, lanes), order);
     }
 
     @Override
-    public void ring(long contact, Send send) {
+    public void ring(long contact, RingCommand send) {
         pass(contact, lane -> lane.ring(contact, send));
     }
 
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void probe(Neighbour to) {
+    public void probe(ListedSwitch to) {
         way.toSurroundings(around -> around.probe(to));
     }
 
--- a/src/main/java/martenslip/exchange/Hands.java
+++ b/src/main/java/martenslip/exchange/LaneCommands.java
@@ -1,15 +1,15 @@
 package martenslip.exchange;
 
+import martenslip.configuration.ExchangeConfiguration;
 import martenslip.control.Span;
-import martenslip.provision.Site;
-import martenslip.signal.Neighbour;
+import martenslip.signaling.ListedSwitch;
 
 /** What the decider has lanes do. */
-interface Hands {
+interface LaneCommands {
     /** A ring as the lane needs it: its number, the switch, the group toward it (null without one) and the limit. */
-    record Send(int number, long target, Neighbour to, Site.Group group, Span limit) {}
+    record RingCommand(int number, long target, ListedSwitch to, ExchangeConfiguration.Group group, Span limit) {}
 
-    void ring(long contact, Send send);
+    void ring(long contact, RingCommand send);
 
     void callOff(long contact, int ring);
 
@@ -17,7 +17,7 @@
 
     void abandon(long contact);
 
-    void probe(Neighbour to);
+    void probe(ListedSwitch to);
 
     void note(int peer, byte[] note);
 
--- a/src/main/java/martenslip/exchange/ToDecider.java
+++ b/src/main/java/martenslip/exchange/LaneReportDispatcher.java
@@ -5,21 +5,21 @@
 import martenslip.control.Contact;
 import martenslip.control.Controller.ListKind;
 import martenslip.control.Span;
-import martenslip.roll.Roll;
-import martenslip.signal.Load;
-import martenslip.signal.Neighbour;
-import martenslip.signal.SwitchText;
+import martenslip.signaling.EventPackageCodec;
+import martenslip.signaling.ListedSwitch;
+import martenslip.signaling.SipLoadReport;
+import martenslip.tracking.ContactRegistry;
 
 /** Reports on their way to the decider: at once on its own thread, or through its inbox. */
-final class ToDecider implements Reports {
-    interface Way {
+final class LaneReportDispatcher implements LaneReports {
+    interface Channel {
         /** False where it was not passed; what is {@code refusable} must leave room for what is not. */
         boolean pass(Consumer<Decider> report, boolean refusable);
     }
 
-    private final Way way;
+    private final Channel way;
 
-    ToDecider(Way way) {
+    LaneReportDispatcher(Channel way) {
         this.way = way;
     }
 
@@ -38,12 +38,12 @@
     }
 
     @Override
-    public void stood(long contact, int ring, long target, Span took, Load load) {
+    public void stood(long contact, int ring, long target, Span took, SipLoadReport load) {
         pass(decider -> decider.stood(contact, ring, target, took, load));
     }
 
     @Override
-    public void ringOver(RingOver over) {
+    public void ringOver(RingResult over) {
         pass(decider -> decider.ringOver(over));
     }
 
@@ -53,22 +53,22 @@
     }
 
     @Override
-    public void inherited(int lane, List<Roll.Held> held) {
+    public void inherited(int lane, List<ContactRegistry.LaneContact> held) {
         pass(decider -> decider.inherited(lane, held));
     }
 
     @Override
-    public void listed(ListKind kind, List<Neighbour> lines) {
+    public void listed(ListKind kind, List<ListedSwitch> lines) {
         pass(decider -> decider.listed(kind, lines));
     }
 
     @Override
-    public void circuits(List<SwitchText.GroupState> groups) {
+    public void circuits(List<EventPackageCodec.GroupState> groups) {
         pass(decider -> decider.circuits(groups));
     }
 
     @Override
-    public void probed(long target, boolean reached, Span took, Load load) {
+    public void probed(long target, boolean reached, Span took, SipLoadReport load) {
         pass(decider -> decider.probed(target, reached, took, load));
     }
 
--- a/src/main/java/martenslip/exchange/Inheritance.java
+++ b/src/main/java/martenslip/exchange/LaneTakeover.java
@@ -1,21 +1,21 @@
 package martenslip.exchange;
 
-import martenslip.sip.dialog.CallIn;
-import martenslip.sip.dialog.Calls;
-import martenslip.sip.message.BadValue;
+import martenslip.sip.dialog.DialogLayer;
+import martenslip.sip.dialog.UasCall;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Response;
 
 /**
  * Goes on with what a lane's thread held that was replaced: legs, rings and answers are built again from the wills. A
  * step that may or may not have left is taken once more with the same bytes, which the far side takes for a repeat.
  */
-final class Inheritance {
+final class LaneTakeover {
     private final Contacts contacts;
-    private final Calls calls;
-    private final Estate estate;
+    private final DialogLayer calls;
+    private final HandoverStore estate;
     private final EventLog log;
 
-    Inheritance(Contacts contacts, Calls calls, Estate estate, EventLog log) {
+    LaneTakeover(Contacts contacts, DialogLayer calls, HandoverStore estate, EventLog log) {
         this.contacts = contacts;
         this.calls = calls;
         this.estate = estate;
@@ -24,12 +24,12 @@
 
     /** Before any other work of the lane's new thread; the decider is told of all that is open. */
     void takeOver() {
-        for (Will will : estate.wills()) {
+        for (HandoverRecord will : estate.wills()) {
             try {
                 takeOver(will);
-            } catch (BadValue e) {
+            } catch (InvalidValueException e) {
                 log.warn(
-                        calls.wheel().now(),
+                        calls.timerWheel().now(),
                         "will-not-read",
                         "contact",
                         will.contact().id(),
@@ -40,15 +40,15 @@
         contacts.tellHeld();
     }
 
-    private void takeOver(Will will) throws BadValue {
-        boolean stood = will.answer() != null && will.answer().success();
-        boolean quiet = stood && (will.confirmed() || will.bye() == Will.Bye.RING);
-        CallIn caller = calls.takeOver(will.invite(), will.from(), will.tag(), quiet);
+    private void takeOver(HandoverRecord will) throws InvalidValueException {
+        boolean stood = will.answer() != null && will.answer().isSuccess();
+        boolean quiet = stood && (will.confirmed() || will.bye() == HandoverRecord.PendingBye.RING);
+        UasCall caller = calls.takeOver(will.invite(), will.from(), will.tag(), quiet);
         if (caller == null) {
             return;
         }
-        Taken taken = new Taken(will, caller);
-        caller.listen(contacts.callerOf(taken));
+        AcceptedContact taken = new AcceptedContact(will, caller);
+        caller.setListener(contacts.callerOf(taken));
         if (will.out() != null) {
             ring(taken, will.out());
         }
@@ -56,17 +56,17 @@
         if (will.answer() != null) {
             answer(taken, stood, quiet);
         }
-        if (will.bye() == Will.Bye.CALLER) {
+        if (will.bye() == HandoverRecord.PendingBye.CALLER) {
             caller.bye(null);
         }
     }
 
-    private void answer(Taken taken, boolean stood, boolean quiet) {
+    private void answer(AcceptedContact taken, boolean stood, boolean quiet) {
         Response answer = taken.answer.copy();
         if (stood && !quiet) {
             taken.caller.accept(answer);
         } else if (!stood && taken.sent) {
-            taken.caller.refusedAlready(answer);
+            taken.caller.restoreRefused(answer);
         } else if (!stood) {
             taken.caller.refuse(answer);
             taken.sent = true;
@@ -74,7 +74,7 @@
         }
     }
 
-    private void ring(Taken taken, Will.Out out) throws BadValue {
+    private void ring(AcceptedContact taken, HandoverRecord.InFlightRing out) throws InvalidValueException {
         Ring ring = new Ring(out.number(), out.target(), out.far(), out.at(), out.until());
         ring.invite = out.invite();
         ring.hop = out.hop();
@@ -82,10 +82,10 @@
         ring.stood = out.stood() != null;
         taken.ring = ring;
         ring.call = calls.takeOver(out.invite().copy(), out.hop(), out.stood(), contacts.answersTo(taken, ring));
-        if (taken.bye == Will.Bye.RING) {
+        if (taken.bye == HandoverRecord.PendingBye.RING) {
             ring.told = true;
             ring.call.bye(null);
-        } else if (taken.bye == Will.Bye.CALLER) {
+        } else if (taken.bye == HandoverRecord.PendingBye.CALLER) {
             ring.told = true;
         } else if (!ring.stood) {
             contacts.watch(taken, ring);
--- a/src/main/java/martenslip/exchange/Happenings.java
+++ b/src/main/java/martenslip/exchange/PendingEvents.java
@@ -8,7 +8,7 @@
  * What has happened and the module has not heard yet. The module is told one at a time and never while it is amid
  * another, as an order that fails at once would else come back to it out of turn. Bounded by what is open.
  */
-final class Happenings {
+final class PendingEvents {
     private final ArrayDeque<Consumer<Moment>> waiting = new ArrayDeque<>();
     private boolean telling;
 
--- a/src/main/java/martenslip/exchange/Ring.java
+++ b/src/main/java/martenslip/exchange/Ring.java
@@ -1,11 +1,11 @@
 package martenslip.exchange;
 
 import martenslip.control.Moment;
-import martenslip.sip.dialog.CallOut;
+import martenslip.eventloop.TimerWheel;
+import martenslip.sip.dialog.UacCall;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.transport.Hop;
-import martenslip.wheel.Wheel;
 
 /** A ring of a contact toward one switch. {@code told} says that the decider knows its outcome. */
 final class Ring {
@@ -14,9 +14,9 @@
     final int far;
     final Moment at;
     final Moment until;
-    CallOut call;
-    Wheel.Timer limit;
-    Wheel.Timer silence;
+    UacCall call;
+    TimerWheel.Timer limit;
+    TimerWheel.Timer silence;
     boolean stood;
     boolean told;
     /** The decider knows that the switch has it. */
@@ -42,7 +42,9 @@
         }
     }
 
-    Will.Out out() {
-        return invite == null ? null : new Will.Out(number, target, far, at, until, invite, hop, okay);
+    HandoverRecord.InFlightRing out() {
+        return invite == null
+                ? null
+                : new HandoverRecord.InFlightRing(number, target, far, at, until, invite, hop, okay);
     }
 }
--- a/src/main/java/martenslip/exchange/RingInvite.java
+++ b/src/main/java/martenslip/exchange/RingInviteBuilder.java
@@ -1,10 +1,10 @@
 package martenslip.exchange;
 
+import martenslip.configuration.ExchangeConfiguration;
 import martenslip.control.Span;
-import martenslip.provision.Site;
-import martenslip.signal.Fields;
-import martenslip.signal.Neighbour;
-import martenslip.sip.dialog.Calls;
+import martenslip.signaling.ExtensionHeaders;
+import martenslip.signaling.ListedSwitch;
+import martenslip.sip.dialog.DialogLayer;
 import martenslip.sip.message.Headers;
 import martenslip.sip.message.HostPort;
 import martenslip.sip.message.Request;
@@ -12,21 +12,21 @@
 import martenslip.sip.message.SipUri;
 
 /** Writes the INVITE of a ring, and what its responses bring for the caller (docs/sip-mapping.md). */
-final class RingInvite {
-    private final Site site;
-    private final Calls calls;
+final class RingInviteBuilder {
+    private final ExchangeConfiguration site;
+    private final DialogLayer calls;
 
-    RingInvite(Site site, Calls calls) {
+    RingInviteBuilder(ExchangeConfiguration site, DialogLayer calls) {
         this.site = site;
         this.calls = calls;
     }
 
-    Request build(Taken taken, Neighbour to, Site.Group group, Span limit) {
+    Request build(AcceptedContact taken, ListedSwitch to, ExchangeConfiguration.Group group, Span limit) {
         Request caller = taken.caller.invite();
         String trunk = group == null ? "" : ";tgrp=" + group.name() + ";trunk-context=" + site.trunkContext();
-        HostPort at = to.uri().at();
+        HostPort at = to.uri().hostPort();
         SipUri uri = SipUri.of(taken.number + trunk, at.host(), at.port());
-        if (to.hop().reliable()) {
+        if (to.hop().isReliable()) {
             uri = uri.with("transport", "tcp");
         }
         Headers in = caller.headers();
@@ -35,15 +35,16 @@
         headers.add(
                 "From",
                 "<sip:exchange-" + site.number() + "@" + at.host() + ">;tag="
-                        + calls.branches().tag());
+                        + calls.idGenerator().nextTag());
         headers.add("To", "<sip:" + taken.number + "@" + at.host() + ">");
-        headers.add("Call-ID", calls.branches().callId("x" + site.number())).add("CSeq", "1 INVITE");
-        String contact = calls.contact(to.hop().kind(), taken.number + trunk);
+        headers.add("Call-ID", calls.idGenerator().nextCallId("x" + site.number()))
+                .add("CSeq", "1 INVITE");
+        String contact = calls.contactHeader(to.hop().protocol(), taken.number + trunk);
         headers.add("Contact", contact);
         headers.add("Expires", Math.max(1, (limit.ns() + 999_999_999) / 1_000_000_000));
-        headers.add(Fields.PATIENCE, limit.ns() / 1_000_000);
-        for (String name : new String[] {"Session-ID", "Resource-Priority", Fields.AGAIN}) {
-            headers.take(in, name);
+        headers.add(ExtensionHeaders.PATIENCE, limit.ns() / 1_000_000);
+        for (String name : new String[] {"Session-ID", "Resource-Priority", ExtensionHeaders.RETRY_KIND}) {
+            headers.copyFrom(in, name);
         }
         Request invite = new Request("INVITE", uri.toString(), headers);
         invite.body(in.first("Content-Type"), caller.body());
@@ -55,7 +56,7 @@
     }
 
     /** The same status for the caller's leg, with the body. */
-    Response passedOn(Taken taken, Response response) {
+    Response passedOn(AcceptedContact taken, Response response) {
         Response passed = taken.caller.response(response.status(), response.reason());
         passed.body(response.headers().first("Content-Type"), response.body());
         return passed;
--- a/src/main/java/martenslip/exchange/Planted.java
+++ b/src/main/java/martenslip/exchange/StallInjector.java
@@ -9,19 +9,19 @@
  * A stall that a test or a play plants in a thread: between two pieces of work, or amid a send, after its decision
  * and before its last step. Any thread may plant; the thread it is meant for stalls, once.
  */
-final class Planted {
-    private record Amid(Span span, byte[] start) {}
+final class StallInjector {
+    private record StallDuringSend(Span span, byte[] start) {}
 
-    private volatile Amid amid;
+    private volatile StallDuringSend amid;
 
     /** Amid the next send of a message that begins so; an empty text is any. */
     void plant(Span span, String start) {
-        amid = new Amid(span, start.getBytes(StandardCharsets.US_ASCII));
+        amid = new StallDuringSend(span, start.getBytes(StandardCharsets.US_ASCII));
     }
 
     /** Called amid each send. */
     void sending(byte[] bytes) {
-        Amid now = amid;
+        StallDuringSend now = amid;
         if (now != null
                 && bytes.length >= now.start.length
                 && Arrays.equals(bytes, 0, now.start.length, now.start, 0, now.start.length)) {
--- a/src/main/java/martenslip/exchange/KeptList.java
+++ b/src/main/java/martenslip/exchange/SwitchListStore.java
@@ -12,7 +12,7 @@
  * The last whole switch list on disk, for a restart. A thread of its own writes, so a slow disk holds nothing up;
  * only the newest list waits for it. A crash leaves the old file or the new one, never a part.
  */
-final class KeptList implements AutoCloseable {
+final class SwitchListStore implements AutoCloseable {
     /** The 4,096 lines that the schema allows take a quarter of this. */
     static final int MOST_BYTES = 4 << 20;
 
@@ -22,7 +22,7 @@
     private byte[] next;
     private boolean closing;
 
-    KeptList(Path file, Consumer<String> trouble) {
+    SwitchListStore(Path file, Consumer<String> trouble) {
         this.file = file;
         this.trouble = trouble;
         thread = new Thread(null, this::work, "kept-list", 256 * 1024);
--- a/src/main/java/martenslip/exchange/Crew.java
+++ b/src/main/java/martenslip/exchange/ThreadSupervisor.java
@@ -5,47 +5,47 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReferenceArray;
 import java.util.function.Consumer;
-import martenslip.control.Maker;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.control.ControllerFactory;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.lookout.Lookout;
-import martenslip.provision.Site;
-import martenslip.sip.transport.Arrival;
-import martenslip.wheel.EventLoop;
+import martenslip.eventloop.EventLoop;
+import martenslip.sip.transport.TransportEvent;
+import martenslip.watchdog.Watchdog;
 
 /**
  * The threads of an exchange: its lanes, the decider (on the only lane's thread where there is one, else on its own),
  * and the look-out that replaces one that stalled. What a replaced thread still does reaches nobody: its sends,
  * reports and orders each pass its fence last.
  */
-final class Crew implements AutoCloseable {
-    private static final int ROOM = 4 * Intake.MOST;
+final class ThreadSupervisor implements AutoCloseable {
+    private static final int ROOM = 4 * InboundDispatcher.MOST;
 
     /** For a lane; an order bears the count of the decider that gave it, anything else -1. */
-    private record ForLane(Consumer<Lane> what, int decider) {}
+    private record LaneTask(Consumer<Lane> what, int decider) {}
 
-    private record ForDecider(Consumer<Decider> what) {}
+    private record DeciderTask(Consumer<Decider> what) {}
 
     /** Who decides, on which thread. */
-    private record Seat(EventLoop loop, Decider decider, int count) {}
+    private record DeciderInstance(EventLoop loop, Decider decider, int count) {}
 
-    private final Lane.Common common;
-    private final Site site;
-    private final Maker maker;
+    private final Lane.SharedServices common;
+    private final ExchangeConfiguration site;
+    private final ControllerFactory maker;
     private final Consumer<Throwable> faults;
     private final SplittableRandom seeds;
     private final int count;
     private final boolean inline;
     private final String name;
-    private final Estate[] estates;
+    private final HandoverStore[] estates;
     private final AtomicReferenceArray<Lane> lanes;
     private final AtomicLong replaced = new AtomicLong();
     private final Thread watch;
-    private volatile Seat seat;
+    private volatile DeciderInstance seat;
     private volatile boolean closing;
     private volatile boolean over;
 
-    Crew(Lane.Common common, Maker maker, Consumer<Throwable> faults, long seed) {
+    ThreadSupervisor(Lane.SharedServices common, ControllerFactory maker, Consumer<Throwable> faults, long seed) {
         this.common = common;
         this.maker = maker;
         this.faults = faults;
@@ -54,10 +54,10 @@
         count = site.limits().lanes();
         inline = count == 1;
         name = "exchange-" + site.number();
-        estates = new Estate[count];
+        estates = new HandoverStore[count];
         lanes = new AtomicReferenceArray<>(count);
         for (int i = 0; i < count; i++) {
-            estates[i] = new Estate(i, count);
+            estates[i] = new HandoverStore(i, count);
             lanes.set(i, lane(i, new EventLoop(inline ? name : name + "-lane-" + i, ROOM)));
         }
         watch = new Thread(null, this::watch, name + "-lookout", 256 * 1024);
@@ -68,7 +68,7 @@
         return lanes.get(lane).loop;
     }
 
-    Estate estate(int lane) {
+    HandoverStore estate(int lane) {
         return estates[lane];
     }
 
@@ -78,8 +78,8 @@
 
     private Lane lane(int number, EventLoop loop) {
         Lane[] self = new Lane[1];
-        ToDecider reports = new ToDecider((report, refusable) -> {
-            if (loop.fenced()) {
+        LaneReportDispatcher reports = new LaneReportDispatcher((report, refusable) -> {
+            if (loop.isFenced()) {
                 return false;
             }
             if (inline) {
@@ -87,9 +87,10 @@
                 return true;
             }
             EventLoop to = seat.loop();
-            boolean passed = (!refusable || to.waiting() < Intake.MOST) && to.offer(new ForDecider(report));
+            boolean passed =
+                    (!refusable || to.queueSize() < InboundDispatcher.MOST) && to.offer(new DeciderTask(report));
             if (!passed) {
-                common.transport().drops().count(refusable ? "offer without room" : "report without room");
+                common.transport().dropCounter().increment(refusable ? "offer without room" : "report without room");
             }
             return passed;
         });
@@ -98,35 +99,35 @@
     }
 
     /** {@code only} is the lane on whose thread it decides, or null. */
-    private Seat seat(EventLoop loop, int number, Lane only) {
-        ToLanes hands = new ToLanes(count, new ToLanes.Way() {
+    private DeciderInstance seat(EventLoop loop, int number, Lane only) {
+        LaneCommandDispatcher hands = new LaneCommandDispatcher(count, new LaneCommandDispatcher.Channel() {
             @Override
             public void toContacts(int lane, Consumer<Contacts> order) {
                 pass(lane, one -> order.accept(one.contacts));
             }
 
             @Override
-            public void toSurroundings(Consumer<Surroundings> order) {
+            public void toSurroundings(Consumer<NetworkMonitor> order) {
                 pass(0, one -> order.accept(one.surroundings));
             }
 
             private void pass(int lane, Consumer<Lane> order) {
-                if (loop.fenced()) {
+                if (loop.isFenced()) {
                     return;
                 }
                 if (only != null) {
                     order.accept(only);
-                } else if (!lanes.get(lane).loop.offer(new ForLane(order, number))) {
-                    common.transport().drops().count("order without room");
+                } else if (!lanes.get(lane).loop.offer(new LaneTask(order, number))) {
+                    common.transport().dropCounter().increment("order without room");
                 }
             }
         });
         // A successor must not draw as its predecessor did.
-        Decider decider = new Decider(site, maker, site.seed() + number, loop.wheel(), hands, common.log());
+        Decider decider = new Decider(site, maker, site.seed() + number, loop.timerWheel(), hands, common.log());
         if (only != null) {
             only.decider = decider;
         }
-        return new Seat(loop, decider, number);
+        return new DeciderInstance(loop, decider, number);
     }
 
     /** Once, with the sockets open. */
@@ -136,12 +137,12 @@
                 : seat(new EventLoop(name + "-decider", ROOM), 0, null);
         Decider decider = seat.decider();
         if (!inline) {
-            seat.loop().start(new DeciderDuty(decider), decider::begin);
+            seat.loop().start(new DeciderHandler(decider), decider::begin);
         }
         for (int i = 0; i < count; i++) {
             Lane lane = lanes.get(i);
             boolean first = i == 0;
-            lane.loop.start(new LaneDuty(lane), () -> {
+            lane.loop.start(new LaneHandler(lane), () -> {
                 if (first) {
                     lane.surroundings.start(true);
                 }
@@ -154,16 +155,16 @@
     }
 
     void tell(int lane, Consumer<Lane> what) {
-        put(lanes.get(lane).loop, new ForLane(what, -1));
+        put(lanes.get(lane).loop, new LaneTask(what, -1));
     }
 
     void tellDecider(Consumer<Decider> what) {
-        put(seat.loop(), new ForDecider(what));
+        put(seat.loop(), new DeciderTask(what));
     }
 
     private void put(EventLoop loop, Object what) {
         try {
-            loop.put(what, () -> common.transport().drops().count("waited for the inbox"));
+            loop.put(what, () -> common.transport().dropCounter().increment("waited for the inbox"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -181,85 +182,85 @@
         if (amid != null && lane >= 0 && lane < count) {
             lanes.get(lane).planted.plant(span, amid);
         } else if (lane >= 0 && lane < count) {
-            tell(lane, any -> Planted.stall(span));
+            tell(lane, any -> StallInjector.stall(span));
         } else {
-            tellDecider(any -> Planted.stall(span));
+            tellDecider(any -> StallInjector.stall(span));
         }
     }
 
     /** Carries out a lane's work; in a process with one lane the decider's too. */
-    private final class LaneDuty implements EventLoop.Duty {
+    private final class LaneHandler implements EventLoop.Handler {
         private final Lane lane;
 
-        LaneDuty(Lane lane) {
+        LaneHandler(Lane lane) {
             this.lane = lane;
         }
 
         @Override
-        public void take(Object next) {
-            if (next instanceof Arrival arrival) {
-                lane.calls().transactions().arrived(arrival);
-            } else if (next instanceof ForLane order && (order.decider() < 0 || order.decider() == seat.count())) {
+        public void handle(Object next) {
+            if (next instanceof TransportEvent arrival) {
+                lane.calls().transactionLayer().handleEvent(arrival);
+            } else if (next instanceof LaneTask order && (order.decider() < 0 || order.decider() == seat.count())) {
                 order.what().accept(lane);
-            } else if (next instanceof ForDecider report && inline) {
+            } else if (next instanceof DeciderTask report && inline) {
                 report.what().accept(lane.decider);
             }
         }
 
         @Override
-        public void after() {
-            if (inline && !lane.loop.fenced()) {
+        public void afterTurn() {
+            if (inline && !lane.loop.isFenced()) {
                 lane.decider.tellAll();
             }
         }
 
         @Override
-        public void fault(Throwable fault) {
+        public void onFailure(Throwable fault) {
             faults.accept(fault);
         }
     }
 
-    private final class DeciderDuty implements EventLoop.Duty {
+    private final class DeciderHandler implements EventLoop.Handler {
         private final Decider decider;
 
-        DeciderDuty(Decider decider) {
+        DeciderHandler(Decider decider) {
             this.decider = decider;
         }
 
         @Override
-        public void take(Object next) {
-            if (next instanceof ForDecider report) {
+        public void handle(Object next) {
+            if (next instanceof DeciderTask report) {
                 report.what().accept(decider);
             }
         }
 
         @Override
-        public void after() {
+        public void afterTurn() {
             decider.tellAll();
         }
 
         @Override
-        public void fault(Throwable fault) {
+        public void onFailure(Throwable fault) {
             faults.accept(fault);
         }
     }
 
     private void watch() {
         int places = inline ? 1 : count + 1;
-        Lookout lookout = new Lookout(places, new Moment(System.nanoTime()));
+        Watchdog lookout = new Watchdog(places, new Moment(System.nanoTime()));
         while (!over) {
             try {
-                TimeUnit.NANOSECONDS.sleep(Lookout.EVERY.ns());
+                TimeUnit.NANOSECONDS.sleep(Watchdog.CHECK_INTERVAL.ns());
             } catch (InterruptedException e) {
                 return;
             }
             for (int i = 0; i < count; i++) {
-                lookout.turned(i, lanes.get(i).loop.turnedAt());
+                lookout.loopTurned(i, lanes.get(i).loop.lastTurnAt());
             }
             if (!inline) {
-                lookout.turned(count, seat.loop().turnedAt());
+                lookout.loopTurned(count, seat.loop().lastTurnAt());
             }
-            int stalled = lookout.look(new Moment(System.nanoTime()));
+            int stalled = lookout.findStalled(new Moment(System.nanoTime()));
             if (stalled >= 0 && !over) {
                 replaced.incrementAndGet();
                 if (stalled < count) {
@@ -281,7 +282,7 @@
             seat = seat(loop, seat.count() + 1, next);
         }
         lanes.set(number, next);
-        LaneDuty duty = new LaneDuty(next);
+        LaneHandler duty = new LaneHandler(next);
         loop.start(duty, () -> {
             if (number == 0) {
                 next.surroundings.start(false);
@@ -292,7 +293,7 @@
             if (closing) {
                 next.contacts.close();
             }
-            new Inheritance(next.contacts, next.calls(), estates[number], common.log()).takeOver();
+            new LaneTakeover(next.contacts, next.calls(), estates[number], common.log()).takeOver();
             if (number == 0 && !inline) {
                 next.surroundings.watchList(true);
             }
@@ -303,22 +304,22 @@
     }
 
     /** What the stalled thread was amid of; transactions and numbers of rings see to it that nothing is done twice. */
-    private static void again(EventLoop.Duty duty, Object inHand) {
-        if (inHand instanceof Arrival || inHand instanceof ForLane order && order.decider() >= 0) {
-            duty.take(inHand);
+    private static void again(EventLoop.Handler duty, Object inHand) {
+        if (inHand instanceof TransportEvent || inHand instanceof LaneTask order && order.decider() >= 0) {
+            duty.handle(inHand);
         }
     }
 
     private void replaceDecider() {
-        Seat old = seat;
+        DeciderInstance old = seat;
         Object inHand = old.loop().fence();
         EventLoop loop = old.loop().successor(old.loop().name() + "+");
         seat = seat(loop, old.count() + 1, null);
-        DeciderDuty duty = new DeciderDuty(seat.decider());
+        DeciderHandler duty = new DeciderHandler(seat.decider());
         Decider decider = seat.decider();
         loop.start(duty, () -> {
             decider.listed(
-                    martenslip.control.Controller.ListKind.WHOLE, common.known().lines());
+                    martenslip.control.Controller.ListKind.FULL, common.known().lines());
             decider.circuits(common.known().groups());
             decider.begin();
         });
--- a/src/main/java/martenslip/exchange/Warming.java
+++ b/src/main/java/martenslip/exchange/WarmUp.java
@@ -7,72 +7,72 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
+import martenslip.configuration.ExchangeConfiguration;
 import martenslip.control.Controller.ListKind;
-import martenslip.control.Maker;
+import martenslip.control.ControllerFactory;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.provision.Site;
-import martenslip.signal.Neighbour;
-import martenslip.signal.SwitchText;
-import martenslip.sip.dialog.CallIn;
-import martenslip.sip.dialog.CallUser;
-import martenslip.sip.dialog.Calls;
-import martenslip.sip.message.BadValue;
+import martenslip.control.SwitchEntry;
+import martenslip.eventloop.TimerWheel;
+import martenslip.signaling.EventPackageCodec;
+import martenslip.signaling.ListedSwitch;
+import martenslip.sip.dialog.DialogLayer;
+import martenslip.sip.dialog.UasCall;
+import martenslip.sip.dialog.UserAgentCore;
 import martenslip.sip.message.Headers;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Message;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.message.SipUri;
-import martenslip.sip.transaction.Branches;
-import martenslip.sip.transaction.Outlet;
+import martenslip.sip.transaction.IdGenerator;
+import martenslip.sip.transaction.MessageSender;
 import martenslip.sip.transaction.ServerTransaction;
-import martenslip.sip.transaction.Timers;
-import martenslip.sip.transport.Arrival;
-import martenslip.sip.transport.Drops;
+import martenslip.sip.transaction.TransactionTimers;
+import martenslip.sip.transport.DropCounter;
 import martenslip.sip.transport.Hop;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.TransportEvent;
 
 /**
  * Runs the code of a contact on driven time, without sockets, before the first caller comes. A process that has just
  * started would else need hundreds of milliseconds for its first contacts, which after a crash are many at once and
  * may have little patience left. All it builds is thrown away.
  */
-final class Warming {
+final class WarmUp {
     private static final int CONTACTS = 400;
     private static final Span STEP = Span.ofMillis(5);
 
-    private final Site site;
-    private final Maker maker;
-    private final Wheel wheel = new Wheel(new Moment(0));
+    private final ExchangeConfiguration site;
+    private final ControllerFactory maker;
+    private final TimerWheel wheel = new TimerWheel(new Moment(0));
     private final Deque<byte[]> sent = new ArrayDeque<>();
     private final Hop far = Hop.udp(new InetSocketAddress("127.0.0.1", 9));
-    private Calls calls;
+    private DialogLayer calls;
     private Contacts contacts;
     private Decider decider;
     private Moment now = new Moment(0);
 
-    Warming(Site site, Maker maker) {
+    WarmUp(ExchangeConfiguration site, ControllerFactory maker) {
         this.site = site;
         this.maker = maker;
     }
 
     void run() {
         List<Integer> reached = site.groups().keySet().stream()
-                .filter(one -> site.numbering().leadingTo(one) != null)
+                .filter(one -> site.numbering().firstPrefixOf(one) != null)
                 .toList();
         if (reached.isEmpty()) {
             return;
         }
         build();
         for (int i = 0; i < CONTACTS; i++) {
-            contact(i, site.numbering().leadingTo(reached.get(i % reached.size())));
+            contact(i, site.numbering().firstPrefixOf(reached.get(i % reached.size())));
         }
     }
 
     private void build() {
-        Outlet outlet = new Outlet() {
+        MessageSender outlet = new MessageSender() {
             @Override
             public boolean send(byte[] bytes, Hop to) {
                 sent.add(bytes);
@@ -80,37 +80,40 @@
             }
 
             @Override
-            public String sentBy(Hop.Kind kind) {
+            public String sentBy(Hop.Protocol kind) {
                 return "127.0.0.1:8";
             }
         };
-        calls = new Calls(wheel, Timers.RFC, outlet, new Branches(1), user(), new Drops(), 1 << 16);
+        calls = new DialogLayer(
+                wheel, TransactionTimers.RFC_3261, outlet, new IdGenerator(1), user(), new DropCounter(), 1 << 16);
         EventLog log = new EventLog(site.number());
-        ToLanes hands = new ToLanes(1, new ToLanes.Way() {
+        LaneCommandDispatcher hands = new LaneCommandDispatcher(1, new LaneCommandDispatcher.Channel() {
             @Override
             public void toContacts(int lane, Consumer<Contacts> order) {
                 order.accept(contacts);
             }
 
             @Override
-            public void toSurroundings(Consumer<Surroundings> order) {
+            public void toSurroundings(Consumer<NetworkMonitor> order) {
                 // The world around is not there.
             }
         });
         decider = new Decider(site, maker, 1, wheel, hands, log);
-        ToDecider reports = new ToDecider((report, refusable) -> {
+        LaneReportDispatcher reports = new LaneReportDispatcher((report, refusable) -> {
             report.accept(decider);
             return true;
         });
-        contacts = new Contacts(site, calls, 0, new Estate(0, 1), reports, () -> false, log, new Figures());
-        List<Neighbour> lines = new ArrayList<>();
-        for (Site.Group group : site.groups().values()) {
-            SwitchLine line = new SwitchLine(group.far() + 1, group.far(), SwitchLine.State.READY, null, 0);
-            lines.add(new Neighbour(line, SipUri.of(null, "127.0.0.1", 9), far));
+        contacts = new Contacts(
+                site, calls, 0, new HandoverStore(0, 1), reports, () -> false, log, new ExchangeStatistics());
+        List<ListedSwitch> lines = new ArrayList<>();
+        for (ExchangeConfiguration.Group group : site.groups().values()) {
+            SwitchEntry line =
+                    new SwitchEntry(group.farExchange() + 1, group.farExchange(), SwitchEntry.State.READY, null, 0);
+            lines.add(new ListedSwitch(line, SipUri.of(null, "127.0.0.1", 9), far));
         }
-        decider.listed(ListKind.WHOLE, lines);
+        decider.listed(ListKind.FULL, lines);
         decider.circuits(site.groups().values().stream()
-                .map(group -> new SwitchText.GroupState(group.name(), group.circuits(), group.circuits()))
+                .map(group -> new EventPackageCodec.GroupState(group.name(), group.circuits(), group.circuits()))
                 .toList());
         decider.begin();
         decider.tellAll();
@@ -130,10 +133,10 @@
 
     private void arrive(Message message) {
         byte[] bytes = message.bytes();
-        Message read = Parser.datagram(bytes, bytes.length).message();
+        Message read = MessageParser.parse(bytes, bytes.length).message();
         now = now.plus(STEP);
-        wheel.turn(now);
-        calls.transactions().arrived(new Arrival.Received(read, far));
+        wheel.advanceTo(now);
+        calls.transactionLayer().handleEvent(new TransportEvent.MessageReceived(read, far));
         decider.tellAll();
     }
 
@@ -141,19 +144,19 @@
     private void answerAll() {
         for (int left = sent.size(); left > 0; left--) {
             byte[] bytes = sent.poll();
-            Message message = Parser.datagram(bytes, bytes.length).message();
+            Message message = MessageParser.parse(bytes, bytes.length).message();
             try {
-                if (message instanceof Request request && !request.is("ACK")) {
-                    Response ok = request.answer(200, "OK", "far");
+                if (message instanceof Request request && !request.hasMethod("ACK")) {
+                    Response ok = request.createResponse(200, "OK", "far");
                     ok.headers().add("Contact", "<sip:far@127.0.0.1:9>");
                     arrive(ok);
                 } else if (message instanceof Response response
-                        && response.success()
+                        && response.isSuccess()
                         && response.cseq().method().equals("INVITE")) {
                     arrive(within(response, "ACK", 1));
                     arrive(within(response, "BYE", 2));
                 }
-            } catch (BadValue e) {
+            } catch (InvalidValueException e) {
                 throw new IllegalStateException("own message", e);
             }
         }
@@ -168,25 +171,25 @@
         return new Request(method, "sip:x@127.0.0.1:8", headers);
     }
 
-    private CallUser user() {
-        return new CallUser() {
+    private UserAgentCore user() {
+        return new UserAgentCore() {
             @Override
-            public void incoming(CallIn call) {
+            public void inviteReceived(UasCall call) {
                 contacts.incoming(call);
             }
 
             @Override
-            public void requested(ServerTransaction transaction) {
-                transaction.respond(transaction.request().answer(200, "OK", "w"));
+            public void requestReceived(ServerTransaction transaction) {
+                transaction.respond(transaction.request().createResponse(200, "OK", "w"));
             }
 
             @Override
-            public void broken(Hop hop, boolean everUp) {
+            public void connectionLost(Hop hop, boolean everUp) {
                 // There are no connections here.
             }
 
             @Override
-            public Set<String> methods() {
+            public Set<String> additionalMethods() {
                 return Set.of();
             }
         };
