--- a/src/main/java/martenslip/expect/Contradictions.java
+++ b/src/main/java/martenslip/expect/Contradictions.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Set;
 import martenslip.expect.Expectation.Condition;
-import martenslip.expect.Expectation.Often;
 import martenslip.expect.Expectation.Outcome;
+import martenslip.expect.Expectation.Quantifier;
 import martenslip.expect.Expectation.Route;
 
 /**
@@ -16,18 +16,18 @@
  */
 public final class Contradictions {
     /** The two, why, and a state in which both are demanded. */
-    public record Pair(Expectation one, Expectation other, String why, List<Condition> state) {}
+    public record Contradiction(Expectation one, Expectation other, String reason, List<Condition> state) {}
 
     private Contradictions() {}
 
-    public static List<Pair> among(List<Expectation> all) {
-        List<Pair> pairs = new ArrayList<>();
+    public static List<Contradiction> find(List<Expectation> all) {
+        List<Contradiction> pairs = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
             for (int j = i + 1; j < all.size(); j++) {
                 List<Condition> state = together(all.get(i), all.get(j));
                 String why = state == null || !meet(all.get(i), all.get(j)) ? null : why(all.get(i), all.get(j));
                 if (why != null) {
-                    pairs.add(new Pair(all.get(i), all.get(j), why, state));
+                    pairs.add(new Contradiction(all.get(i), all.get(j), why, state));
                 }
             }
         }
@@ -38,22 +38,22 @@
     }
 
     /** Parts of the same contacts in the same state that go apart from each other and add up past all of them. */
-    private static void parts(List<Expectation> all, List<Pair> pairs) {
+    private static void parts(List<Expectation> all, List<Contradiction> pairs) {
         for (int i = 0; i < all.size(); i++) {
             Expectation first = all.get(i);
             List<Route> taken = new ArrayList<>();
             int sum = 0;
             for (int j = i; j < all.size() && sum <= 100; j++) {
                 Expectation one = all.get(j);
-                if (one.often() == Often.AT_LEAST
-                        && one.outcome() instanceof Outcome.Goes goes
+                if (one.often() == Quantifier.AT_LEAST
+                        && one.outcome() instanceof Outcome.Routed goes
                         && alike(first, one)
                         && taken.stream()
                                 .allMatch(route -> apart(route, goes.routes().get(0)))) {
                     taken.add(goes.routes().get(0));
                     sum += one.percent();
                     if (sum > 100) {
-                        pairs.add(new Pair(
+                        pairs.add(new Contradiction(
                                 first,
                                 one,
                                 "the parts of " + taken.size() + " lines add up to " + sum + "%",
@@ -106,14 +106,14 @@
     }
 
     private static String why(Expectation a, Expectation b) {
-        if (a.outcome() instanceof Outcome.Goes one && b.outcome() instanceof Outcome.Goes other) {
+        if (a.outcome() instanceof Outcome.Routed one && b.outcome() instanceof Outcome.Routed other) {
             return routes(a, one.routes().get(0), b, other.routes().get(0));
         }
         boolean same = a.outcome().getClass() == b.outcome().getClass();
         if (same) {
             return clash(a.often(), b.often()) ? "one says never" : null;
         }
-        boolean goes = a.outcome() instanceof Outcome.Goes || b.outcome() instanceof Outcome.Goes;
+        boolean goes = a.outcome() instanceof Outcome.Routed || b.outcome() instanceof Outcome.Routed;
         if (goes) {
             // A contact that was rung for may still stand or be deferred.
             return null;
@@ -121,8 +121,8 @@
         return shares(a) + shares(b) > 100 ? "a contact that stands is not deferred" : null;
     }
 
-    private static boolean clash(Often a, Often b) {
-        return a == Often.NEVER && b != Often.NEVER || b == Often.NEVER && a != Often.NEVER;
+    private static boolean clash(Quantifier a, Quantifier b) {
+        return a == Quantifier.NEVER && b != Quantifier.NEVER || b == Quantifier.NEVER && a != Quantifier.NEVER;
     }
 
     /** What part of contacts it claims, at least. */
@@ -136,12 +136,12 @@
     }
 
     private static String routes(Expectation a, Route one, Expectation b, Route other) {
-        if (a.often() == Often.NEVER && b.often() == Often.NEVER) {
+        if (a.often() == Quantifier.NEVER && b.often() == Quantifier.NEVER) {
             return null;
         }
-        if (a.often() == Often.NEVER || b.often() == Often.NEVER) {
-            Route never = a.often() == Often.NEVER ? one : other;
-            Route wanted = a.often() == Often.NEVER ? other : one;
+        if (a.often() == Quantifier.NEVER || b.often() == Quantifier.NEVER) {
+            Route never = a.often() == Quantifier.NEVER ? one : other;
+            Route wanted = a.often() == Quantifier.NEVER ? other : one;
             boolean within = never.via().isEmpty()
                     ? wanted.via().isEmpty()
                     : !wanted.via().isEmpty() && never.via().containsAll(wanted.via());
--- a/src/main/java/martenslip/expect/Expectation.java
+++ b/src/main/java/martenslip/expect/Expectation.java
@@ -5,7 +5,7 @@
 
 /**
  * One expectation as written: {@code skill}, {@code from} and {@code to} are -1 where any will do. {@code percent} is
- * for {@link Often#AT_LEAST}.
+ * for {@link Quantifier#AT_LEAST}.
  */
 public record Expectation(
         int line,
@@ -13,11 +13,11 @@
         int skill,
         Set<Integer> from,
         Set<Integer> to,
-        Often often,
+        Quantifier often,
         int percent,
         Outcome outcome,
         List<Condition> conditions) {
-    public enum Often {
+    public enum Quantifier {
         ALWAYS,
         NEVER,
         MAY,
@@ -27,9 +27,9 @@
     /** What is expected of a contact. */
     public sealed interface Outcome {
         /** Its rings go these ways, one after the other; the last stands for all later ones. */
-        record Goes(List<Route> routes) implements Outcome {}
+        record Routed(List<Route> routes) implements Outcome {}
 
-        record Stands() implements Outcome {}
+        record Established() implements Outcome {}
 
         record Deferred() implements Outcome {}
     }
--- a/src/main/java/martenslip/expect/Check.java
+++ b/src/main/java/martenslip/expect/ExpectationChecker.java
@@ -6,27 +6,27 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import martenslip.control.Maker;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.control.ControllerFactory;
 import martenslip.expect.Expectation.Condition;
-import martenslip.expect.Expectation.Often;
 import martenslip.expect.Expectation.Outcome;
+import martenslip.expect.Expectation.Quantifier;
 import martenslip.expect.Expectation.Route;
-import martenslip.provision.Site;
 
 /**
  * Holds expectations against what the module does. Draws of a tandem are covered by seeds: with n trials without a
  * failure, what fails in more than 3 of n would have been seen with 95%. The same trial is made once, whatever number
  * of expectations asks for it. One thread.
  */
-public final class Check {
+public final class ExpectationChecker {
     /** What came of one expectation. {@code why} is empty where it holds. */
-    public record Verdict(Expectation expectation, int trials, int met, String why) {
+    public record Result(Expectation expectation, int trials, int metCount, String reason) {
         public boolean holds() {
-            return why.isEmpty();
+            return reason.isEmpty();
         }
     }
 
-    private record Asked(int skill, int to, Set<Condition> conditions, long seed) {}
+    private record TrialKey(int skill, int to, Set<Condition> conditions, long seed) {}
 
     /** For one pair and skill; wide expectations have fewer for each, and no fewer than {@link #LEAST}. */
     private static final int TRIALS = 60;
@@ -36,14 +36,18 @@
     /** For a part: its deviation is then under 3 in 100. */
     private static final int FOR_PART = 300;
 
-    private final Map<Integer, Site> sites;
-    private final Site origin;
+    private final Map<Integer, ExchangeConfiguration> sites;
+    private final ExchangeConfiguration origin;
     private final Map<Integer, String> regions;
     private final Map<Integer, String> names;
-    private final Maker maker;
-    private final Map<Asked, Trial.Path> made = new HashMap<>();
+    private final ControllerFactory maker;
+    private final Map<TrialKey, ContactTrial.RouteTaken> made = new HashMap<>();
 
-    public Check(Map<Integer, Site> sites, int origin, ExpectFile.Read read, Maker maker) {
+    public ExpectationChecker(
+            Map<Integer, ExchangeConfiguration> sites,
+            int origin,
+            ExpectationFile.Contents read,
+            ControllerFactory maker) {
         this.sites = sites;
         this.origin = sites.get(origin);
         regions = read.regions();
@@ -52,7 +56,7 @@
     }
 
     /** Trials that were made, each once. */
-    public int trials() {
+    public int trialCount() {
         return made.size();
     }
 
@@ -67,13 +71,13 @@
         return all;
     }
 
-    private Trial.Path path(int skill, int to, List<Condition> conditions, long seed) {
+    private ContactTrial.RouteTaken path(int skill, int to, List<Condition> conditions, long seed) {
         return made.computeIfAbsent(
-                new Asked(skill, to, Set.copyOf(conditions), seed),
-                any -> new Trial(sites, origin.number(), regions, maker, conditions, seed).offer(skill, to));
+                new TrialKey(skill, to, Set.copyOf(conditions), seed),
+                any -> new ContactTrial(sites, origin.number(), regions, maker, conditions, seed).offer(skill, to));
     }
 
-    public Verdict of(Expectation one) {
+    public Result check(Expectation one) {
         List<Integer> to = destinations(one);
         List<Integer> skills = new ArrayList<>();
         for (int i = 0; i < origin.skills().size(); i++) {
@@ -82,7 +86,7 @@
             }
         }
         int pairs = Math.max(1, to.size() * skills.size());
-        int each = one.often() == Often.AT_LEAST ? FOR_PART : Math.max(LEAST, Math.min(TRIALS, WIDE / pairs));
+        int each = one.often() == Quantifier.AT_LEAST ? FOR_PART : Math.max(LEAST, Math.min(TRIALS, WIDE / pairs));
         int trials = 0;
         int met = 0;
         String against = "";
@@ -90,10 +94,11 @@
             for (int skill : skills) {
                 int here = 0;
                 for (int seed = 0; seed < each; seed++) {
-                    Trial.Path path = path(skill, far, one.conditions(), seed);
+                    ContactTrial.RouteTaken path = path(skill, far, one.conditions(), seed);
                     boolean meets = meets(one, path, far);
                     here += meets ? 1 : 0;
-                    boolean wrong = one.often() == Often.ALWAYS && !meets || one.often() == Often.NEVER && meets;
+                    boolean wrong =
+                            one.often() == Quantifier.ALWAYS && !meets || one.often() == Quantifier.NEVER && meets;
                     if (wrong && against.isEmpty()) {
                         against = origin.skills().get(skill).name() + " to " + name(far) + " went " + told(path, far);
                     }
@@ -103,18 +108,18 @@
                 against = against.isEmpty() ? share(one, here, each, far, skill) : against;
             }
         }
-        return new Verdict(one, trials, met, to.isEmpty() ? "it speaks of no contact" : against);
+        return new Result(one, trials, met, to.isEmpty() ? "it speaks of no contact" : against);
     }
 
     private String share(Expectation one, int met, int trials, int far, int skill) {
         String which = origin.skills().get(skill).name() + " to " + name(far);
-        if (one.often() == Often.MAY && met == 0) {
+        if (one.often() == Quantifier.MAY && met == 0) {
             return which + " never did in " + trials + " trials; " + most(one, far, skill);
         }
         // Below what is asked by more than chance: two deviations.
         double part = one.percent() / 100.0;
         double slack = 2 * Math.sqrt(part * (1 - part) / trials);
-        if (one.often() == Often.AT_LEAST && (double) met / trials < part - slack) {
+        if (one.often() == Quantifier.AT_LEAST && (double) met / trials < part - slack) {
             return which + " did in " + Math.round(100.0 * met / trials) + "% of " + trials + " trials; "
                     + most(one, far, skill);
         }
@@ -134,15 +139,15 @@
                         .getKey();
     }
 
-    private static boolean meets(Expectation one, Trial.Path path, int destination) {
-        if (one.outcome() instanceof Outcome.Stands) {
-            return path.end() == Trial.End.STOOD;
+    private static boolean meets(Expectation one, ContactTrial.RouteTaken path, int destination) {
+        if (one.outcome() instanceof Outcome.Established) {
+            return path.end() == ContactTrial.FinalState.STOOD;
         }
         if (one.outcome() instanceof Outcome.Deferred) {
-            return path.end() == Trial.End.DEFERRED;
+            return path.end() == ContactTrial.FinalState.DEFERRED;
         }
-        List<Route> routes = ((Outcome.Goes) one.outcome()).routes();
-        if (one.often() == Often.NEVER) {
+        List<Route> routes = ((Outcome.Routed) one.outcome()).routes();
+        if (one.often() == Quantifier.NEVER) {
             return path.tries().stream()
                     .anyMatch(far -> routes.get(0).takes(far, destination)
                             && (routes.get(0).via().isEmpty() || far != destination));
@@ -161,7 +166,7 @@
         return names.getOrDefault(exchange, "exchange " + exchange);
     }
 
-    private String told(Trial.Path path, int destination) {
+    private String told(ContactTrial.RouteTaken path, int destination) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < path.tries().size(); i++) {
             int far = path.tries().get(i);
@@ -196,14 +201,14 @@
     /** What is wrong or weak with no expectation written: unreachable desks, desks that hang on one tandem, prefixes. */
     public List<String> findings() {
         List<String> found = new ArrayList<>();
-        int skill = origin.usual();
+        int skill = origin.defaultSkill();
         for (int far : destinations(null)) {
             Set<Integer> by = new java.util.TreeSet<>();
             int stood = 0;
             for (int seed = 0; seed < TRIALS; seed++) {
-                Trial.Path path = path(skill, far, List.of(), seed);
-                stood += path.end() == Trial.End.STOOD ? 1 : 0;
-                if (path.end() == Trial.End.STOOD) {
+                ContactTrial.RouteTaken path = path(skill, far, List.of(), seed);
+                stood += path.end() == ContactTrial.FinalState.STOOD ? 1 : 0;
+                if (path.end() == ContactTrial.FinalState.STOOD) {
                     by.add(path.tries().get(path.tries().size() - 1));
                 }
             }
@@ -233,8 +238,8 @@
                 Set<Integer> first = new java.util.TreeSet<>();
                 boolean stood = true;
                 for (int seed = 0; seed < TRIALS; seed++) {
-                    Trial.Path path = path(skill, far, List.of(), seed);
-                    stood &= path.end() == Trial.End.STOOD;
+                    ContactTrial.RouteTaken path = path(skill, far, List.of(), seed);
+                    stood &= path.end() == ContactTrial.FinalState.STOOD;
                     first.add(path.tries().isEmpty() ? -1 : path.tries().get(0));
                 }
                 String what = origin.skills().get(skill).name() + " to " + name(far) + " ";
--- a/src/main/java/martenslip/expect/ExpectFile.java
+++ b/src/main/java/martenslip/expect/ExpectationFile.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.configuration.FileError;
+import martenslip.configuration.InvalidFileException;
 import martenslip.expect.Expectation.Condition;
-import martenslip.expect.Expectation.Often;
 import martenslip.expect.Expectation.Outcome;
+import martenslip.expect.Expectation.Quantifier;
 import martenslip.expect.Expectation.Route;
-import martenslip.provision.Fault;
-import martenslip.provision.Rejected;
-import martenslip.provision.Site;
 import org.antlr.v4.runtime.BaseErrorListener;
 import org.antlr.v4.runtime.CharStreams;
 import org.antlr.v4.runtime.CommonTokenStream;
@@ -23,23 +23,23 @@
 import org.antlr.v4.runtime.Token;
 
 /** Reads a file of expectations against an exchange's file; all faults are told at once, by line and column. */
-public final class ExpectFile {
-    private final Site site;
-    private final List<Fault> faults = new ArrayList<>();
+public final class ExpectationFile {
+    private final ExchangeConfiguration site;
+    private final List<FileError> faults = new ArrayList<>();
     private final Map<String, Integer> desks = new LinkedHashMap<>();
     private final Map<String, Set<Integer>> sets = new LinkedHashMap<>();
     private final Map<Integer, String> regions = new LinkedHashMap<>();
     private final List<Expectation> expectations = new ArrayList<>();
 
-    private ExpectFile(Site site) {
+    private ExpectationFile(ExchangeConfiguration site) {
         this.site = site;
     }
 
     /** Names and regions of desks as the file defines them, by exchange. */
-    public record Read(List<Expectation> expectations, Map<Integer, String> names, Map<Integer, String> regions) {}
+    public record Contents(List<Expectation> expectations, Map<Integer, String> names, Map<Integer, String> regions) {}
 
-    public static Read read(String file, String text, Site site) throws Rejected {
-        ExpectFile reader = new ExpectFile(site);
+    public static Contents read(String file, String text, ExchangeConfiguration site) throws InvalidFileException {
+        ExpectationFile reader = new ExpectationFile(site);
         ExpectLexer lexer = new ExpectLexer(CharStreams.fromString(text));
         ExpectParser parser = new ExpectParser(new CommonTokenStream(lexer));
         for (Recognizer<?, ?> one : List.of(lexer, parser)) {
@@ -54,11 +54,11 @@
             tree.statement().forEach(one -> reader.expect(one, lines));
         }
         if (!reader.faults.isEmpty()) {
-            throw new Rejected(file, reader.faults);
+            throw new InvalidFileException(file, reader.faults);
         }
         Map<Integer, String> names = new LinkedHashMap<>();
         reader.desks.forEach((name, exchange) -> names.putIfAbsent(exchange, name));
-        return new Read(reader.expectations, names, reader.regions);
+        return new Contents(reader.expectations, names, reader.regions);
     }
 
     private BaseErrorListener listener() {
@@ -71,19 +71,19 @@
                     int column,
                     String message,
                     RecognitionException e) {
-                faults.add(new Fault(line, "column " + (column + 1), message.replace("\\n", "the line's end")));
+                faults.add(new FileError(line, "column " + (column + 1), message.replace("\\n", "the line's end")));
             }
         };
     }
 
     private void fault(Token at, String what) {
-        faults.add(new Fault(at.getLine(), "column " + (at.getCharPositionInLine() + 1), what));
+        faults.add(new FileError(at.getLine(), "column " + (at.getCharPositionInLine() + 1), what));
     }
 
     private void define(ExpectParser.StatementContext statement) {
         if (statement instanceof ExpectParser.DeskContext desk) {
             int exchange = Integer.parseInt(desk.number.getText());
-            if (site.numbering().leadingTo(exchange) == null) {
+            if (site.numbering().firstPrefixOf(exchange) == null) {
                 fault(desk.number, "no number leads to exchange " + exchange);
             } else if (desk.region != null && !site.regions().contains(desk.region.getText())) {
                 fault(
@@ -155,7 +155,7 @@
         ExpectParser.SubjectContext subject = written.subject();
         boolean nothing = subject.what != null && subject.what.getText().equals("nothing");
         Outcome outcome = outcome(written.outcome());
-        Often often = often(written.often());
+        Quantifier often = often(written.often());
         if (nothing && written.often() != null) {
             fault(written.often().getStart(), "nothing is never already");
         }
@@ -182,7 +182,7 @@
                 skill(subject),
                 from,
                 subject.to == null ? Set.of() : new TreeSet<>(exchanges(subject.to)),
-                nothing ? Often.NEVER : often,
+                nothing ? Quantifier.NEVER : often,
                 percent,
                 outcome,
                 conditions));
@@ -202,21 +202,21 @@
         return at;
     }
 
-    private static Often often(ExpectParser.OftenContext often) {
+    private static Quantifier often(ExpectParser.OftenContext often) {
         if (often instanceof ExpectParser.NeverContext) {
-            return Often.NEVER;
+            return Quantifier.NEVER;
         }
         if (often instanceof ExpectParser.MayContext) {
-            return Often.MAY;
+            return Quantifier.MAY;
         }
-        return often instanceof ExpectParser.AtLeastContext ? Often.AT_LEAST : Often.ALWAYS;
+        return often instanceof ExpectParser.AtLeastContext ? Quantifier.AT_LEAST : Quantifier.ALWAYS;
     }
 
     private Outcome outcome(ExpectParser.OutcomeContext written) {
         if (written instanceof ExpectParser.GoesContext goes) {
-            return new Outcome.Goes(goes.route().stream().map(this::route).toList());
+            return new Outcome.Routed(goes.route().stream().map(this::route).toList());
         }
-        return written instanceof ExpectParser.StandsContext ? new Outcome.Stands() : new Outcome.Deferred();
+        return written instanceof ExpectParser.StandsContext ? new Outcome.Established() : new Outcome.Deferred();
     }
 
     private Route route(ExpectParser.RouteContext written) {
@@ -233,7 +233,7 @@
         }
         if (written instanceof ExpectParser.ItsStateContext its) {
             Set<Integer> via = new TreeSet<>();
-            if (outcome instanceof Outcome.Goes goes) {
+            if (outcome instanceof Outcome.Routed goes) {
                 goes.routes().forEach(route -> via.addAll(route.via()));
             }
             if (via.isEmpty()) {
@@ -263,8 +263,9 @@
     }
 
     private List<Condition> group(Token name, int free) {
-        List<String> names =
-                site.groups().values().stream().map(Site.Group::name).toList();
+        List<String> names = site.groups().values().stream()
+                .map(ExchangeConfiguration.Group::name)
+                .toList();
         if (!names.contains(name.getText())) {
             fault(name, "no group is called " + name.getText() + nearest(name.getText(), names));
             return List.of();
--- a/src/main/java/martenslip/pulse/Pulse.java
+++ b/src/main/java/martenslip/liveness/LivenessMonitor.java
@@ -1,4 +1,4 @@
-package martenslip.pulse;
+package martenslip.liveness;
 
 import martenslip.control.Moment;
 import martenslip.control.Span;
@@ -11,12 +11,12 @@
  *
  * <p>Without I/O, threads or clock.
  */
-public final class Pulse {
+public final class LivenessMonitor {
     /** What is to be done now. */
-    public enum Sign {
-        WELL,
-        ASK,
-        OVER
+    public enum Action {
+        NONE,
+        PROBE,
+        DECLARE_DEAD
     }
 
     /** Two missed seconds of an ordinary switch's states, and time left for a second question. */
@@ -31,15 +31,15 @@
     private Moment heardAt;
     private Moment askedAt;
     private boolean inVain;
-    private boolean listed = true;
+    private boolean setListed = true;
     private boolean over;
 
-    public Pulse(Moment now) {
+    public LivenessMonitor(Moment now) {
         heardAt = now;
     }
 
     /** It has said something, or taken a connection. */
-    public void heard(Moment now) {
+    public void signalReceived(Moment now) {
         heardAt = now;
         askedAt = null;
         inVain = false;
@@ -47,27 +47,27 @@
     }
 
     /** A connection that was asked for has not come up. */
-    public void neverUp(Moment now) {
+    public void connectFailed(Moment now) {
         inVain |= askedAt != null && !now.before(askedAt);
     }
 
-    public void listed(boolean still) {
-        listed = still;
+    public void setListed(boolean still) {
+        setListed = still;
     }
 
     /** Looks at it; where it says to ask, that counts as asked, and each silence is over but once. */
-    public Sign look(Moment now) {
+    public Action check(Moment now) {
         Span silence = now.since(heardAt);
-        boolean dead = listed ? inVain && !OVER_AFTER.longerThan(silence) : !LEFT_AFTER.longerThan(silence);
+        boolean dead = setListed ? inVain && !OVER_AFTER.longerThan(silence) : !LEFT_AFTER.longerThan(silence);
         if (dead && !over) {
             over = true;
-            return Sign.OVER;
+            return Action.DECLARE_DEAD;
         }
         boolean due = askedAt == null ? !ASK_AFTER.longerThan(silence) : !ASK_AGAIN.longerThan(now.since(askedAt));
-        if (listed && !over && due) {
+        if (setListed && !over && due) {
             askedAt = now;
-            return Sign.ASK;
+            return Action.PROBE;
         }
-        return Sign.WELL;
+        return Action.NONE;
     }
 }
--- a/src/main/java/martenslip/platform/Rehearsal.java
+++ b/src/main/java/martenslip/platform/CdsTrainingRun.java
@@ -13,29 +13,29 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import martenslip.control.Maker;
+import martenslip.control.ControllerFactory;
 
 /**
  * A short service on loopback with itself: one switch, a feed, some contacts set up, refused, withdrawn and released.
  * The build runs it once, so that the JVM can keep an archive of the classes that a controller needs: most of its start
  * is reading and checking them, on part of a core.
  */
-public final class Rehearsal {
+public final class CdsTrainingRun {
     private static final int CONTACTS = 30;
     private static final int PATIENCE_MS = 2000;
     private static final String EACH =
             "{\"instanceId\":\"s-%d\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"here\",\"cell\":%d,"
                     + "\"lifecycle\":\"up\",\"startedAtMs\":0}";
 
-    private Rehearsal() {}
+    private CdsTrainingRun() {}
 
     /** Throws where the controller does not serve: the build must then fail. */
-    public static void run(Maker maker) throws IOException {
+    public static void run(ControllerFactory maker) throws IOException {
         Path file = Files.createTempFile("rehearsal", ".json");
         try (ServerSocket machine = listener();
                 ServerSocket feed = listener()) {
-            each(machine, Rehearsal::answer);
-            each(feed, Rehearsal::tell);
+            each(machine, CdsTrainingRun::answer);
+            each(feed, CdsTrainingRun::tell);
             String list = String.format(
                     "{\"pos\":1,\"hosts\":{\"generation\":1,\"reset\":true,\"instances\":[" + EACH + "," + EACH + "]}}",
                     0,
@@ -54,8 +54,9 @@
                             + "\"me\":0,\"family-info\":{\"mean-hold-ns\":[1000000000],\"widths\":[1],\"home-no\":0,\"release-ns\":"
                             + "200000000},\"policy-limits\":{\"send-cap\":5,\"cancel\":true,\"peers\":true,\"max-open\":50},"
                             + "\"report\":{\"fields\":[\"spare\",\"total\",\"allowed\"]},\"round-ns\":5000000}}");
-            try (Serve serve = new Serve(file, maker, new PrintStream(OutputStream.nullOutputStream()))) {
-                serve.open();
+            try (ControllerService serve =
+                    new ControllerService(file, maker, new PrintStream(OutputStream.nullOutputStream()))) {
+                serve.startServing();
                 serve.reload();
                 call(serve.listens());
             }
@@ -69,12 +70,12 @@
     }
 
     /** Serves one connection, which is closed after it. */
-    interface Served {
+    interface ConnectionHandler {
         void by(Socket socket) throws IOException;
     }
 
     /** Has each connection of a listener served by a thread of its own until the listener is closed. */
-    static void each(ServerSocket listener, Served served) {
+    static void each(ServerSocket listener, ConnectionHandler served) {
         Thread accepting = new Thread(() -> {
             while (!listener.isClosed()) {
                 try {
--- a/src/main/java/martenslip/platform/Configuration.java
+++ b/src/main/java/martenslip/platform/Configuration.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import martenslip.platform.journal.ListEvent;
-import martenslip.platform.json.Addresses;
+import martenslip.platform.journal.SwitchListEvent;
+import martenslip.platform.json.AddressParser;
 import martenslip.platform.json.Json;
 
 /**
@@ -26,7 +26,7 @@
         InetSocketAddress peersAll,
         InetSocketAddress journal,
         long position,
-        List<ListEvent> known,
+        List<SwitchListEvent> known,
         Map<String, String> settings) {
     private static final int MOST_BYTES = 4 << 20;
 
@@ -40,43 +40,43 @@
         List<InetSocketAddress> peers = new ArrayList<>();
         if (all.get("peers") instanceof List<?> list) {
             for (Object peer : list) {
-                peers.add(Addresses.of(peer, "peers"));
+                peers.add(AddressParser.parse(peer, "peers"));
             }
         }
-        List<ListEvent> known = new ArrayList<>();
+        List<SwitchListEvent> known = new ArrayList<>();
         long position = 0;
         if (all.get("known") instanceof Map<?, ?> map) {
             position = (long) within(map.get("pos"), "known.pos", 0, Long.MAX_VALUE);
             if (map.get("entries") instanceof List<?> entries) {
                 for (Object entry : entries) {
-                    known.add(ListEvent.of(entry));
+                    known.add(SwitchListEvent.parse(entry));
                 }
             }
         }
         Map<?, ?> limits = map(all.get("limits"), "limits");
-        Map<String, String> settings = Flat.of(map(all.get("settings"), "settings"));
-        Settings.check(settings);
+        Map<String, String> settings = SettingsFlattener.of(map(all.get("settings"), "settings"));
+        SettingsValidator.check(settings);
         return new Configuration(
                 text(all.get("name"), "name"),
-                Addresses.of(all.get("listen"), "listen"),
+                AddressParser.parse(all.get("listen"), "listen"),
                 seed(text(all.get("seed"), "seed")),
                 (int) within(limits.get("sockets"), "limits.sockets", 1, Integer.MAX_VALUE),
                 limits.toString(),
                 optional(all.get("peer_listen"), "peer_listen"),
                 List.copyOf(peers),
                 optional(all.get("peers_all"), "peers_all"),
-                Addresses.of(all.get("journal"), "journal"),
+                AddressParser.parse(all.get("journal"), "journal"),
                 position,
                 List.copyOf(known),
                 settings);
     }
 
     private static double within(Object value, String where, double least, double most) throws IOException {
-        return Settings.within(Json.figure(value, where), where, value, least, most);
+        return SettingsValidator.within(Json.number(value, where), where, value, least, most);
     }
 
     private static InetSocketAddress optional(Object value, String where) throws IOException {
-        return value == null ? null : Addresses.of(value, where);
+        return value == null ? null : AddressParser.parse(value, where);
     }
 
     private static Map<?, ?> map(Object value, String where) throws IOException {
@@ -87,7 +87,7 @@
     }
 
     private static String text(Object value, String where) throws IOException {
-        if (value instanceof String || value instanceof Json.Figure) {
+        if (value instanceof String || value instanceof Json.JsonNumber) {
             return value.toString();
         }
         throw new IOException(where + " is missing or no text");
--- a/src/main/java/martenslip/platform/Serve.java
+++ b/src/main/java/martenslip/platform/ControllerService.java
@@ -10,30 +10,30 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Supplier;
-import martenslip.control.Maker;
+import martenslip.control.ControllerFactory;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.platform.caller.Callers;
-import martenslip.platform.desk.Desk;
-import martenslip.platform.desk.Outward;
-import martenslip.platform.desk.SetUp;
-import martenslip.platform.desk.Start;
-import martenslip.platform.desk.Terms;
+import martenslip.eventloop.EventLoop;
+import martenslip.eventloop.TimerWheel;
+import martenslip.platform.caller.CallerConnections;
+import martenslip.platform.contact.ContactSettings;
+import martenslip.platform.contact.ContactTable;
+import martenslip.platform.contact.OutboundMessages;
+import martenslip.platform.contact.SetUpRequest;
+import martenslip.platform.contact.SwitchStartRequest;
 import martenslip.platform.journal.Journal;
-import martenslip.platform.journal.ListEvent;
-import martenslip.platform.peer.Peers;
-import martenslip.platform.switchconnection.Load;
+import martenslip.platform.journal.SwitchListEvent;
+import martenslip.platform.peer.PeerNoteTransport;
+import martenslip.platform.switchconnection.LoadReportParser;
 import martenslip.platform.switchconnection.SwitchConnections;
 import martenslip.sip.message.Request;
-import martenslip.sip.transport.Bounds;
-import martenslip.sip.transport.Drops;
-import martenslip.sip.transport.Queued;
-import martenslip.sip.transport.Writers;
-import martenslip.wheel.EventLoop;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.ConnectionThreadPool;
+import martenslip.sip.transport.DropCounter;
+import martenslip.sip.transport.QueuedMessage;
+import martenslip.sip.transport.TransportLimits;
 
 /** One controller in service on the platform: wires callers, switches, journal and peers to one deciding thread. */
-public final class Serve implements AutoCloseable {
+public final class ControllerService implements AutoCloseable {
     private static final int INBOX = 4096;
     private static final Span READY_AT_LAST = Span.ofMillis(1500);
     /**
@@ -58,18 +58,18 @@
     private static final int MOST_LINES = 500;
 
     private final Path file;
-    private final Log log;
-    private final Drops drops = new Drops();
-    private final Writers writers = new Writers("desk", 16);
+    private final RateLimitedLog log;
+    private final DropCounter drops = new DropCounter();
+    private final ConnectionThreadPool writers = new ConnectionThreadPool("desk", 16);
     private final EventLoop loop = new EventLoop("desk", INBOX);
-    private final Wheel wheel = loop.wheel();
+    private final TimerWheel wheel = loop.timerWheel();
     private final CountDownLatch done = new CountDownLatch(1);
-    private final Desk desk;
-    private final Callers callers;
+    private final ContactTable desk;
+    private final CallerConnections callers;
     private final SwitchConnections switches;
-    private final Roster roster;
+    private final SwitchRegistry roster;
     private final Journal journal;
-    private final Peers peers;
+    private final PeerNoteTransport peers;
     private final Configuration start;
     private volatile Thread decides;
     private volatile boolean ready;
@@ -77,18 +77,19 @@
     private int port;
 
     /** The log goes to {@code out}; an exception names the path in the file and the reason. */
-    public Serve(Path file, Maker maker, PrintStream out) throws IOException {
+    public ControllerService(Path file, ControllerFactory maker, PrintStream out) throws IOException {
         this(file, maker, out, Socket::new);
     }
 
     /** {@code sockets} makes those toward switches, not yet connected. */
-    Serve(Path file, Maker maker, PrintStream out, Supplier<Socket> sockets) throws IOException {
+    ControllerService(Path file, ControllerFactory maker, PrintStream out, Supplier<Socket> sockets)
+            throws IOException {
         this.file = file;
-        log = new Log(out);
+        log = new RateLimitedLog(out);
         start = Configuration.read(file);
         Map<String, String> settings = start.settings();
-        Terms terms = terms(settings);
-        Bounds bounds = new Bounds(
+        ContactSettings terms = terms(settings);
+        TransportLimits bounds = new TransportLimits(
                 MOST_LINES,
                 Span.ofMillis(2000),
                 Span.ofMillis(20_000),
@@ -96,56 +97,56 @@
                 256 * 1024,
                 Span.ofMillis(3000),
                 Span.ofMillis(500));
-        callers = new Callers(terms, bounds, writers, drops, fromCallers);
+        callers = new CallerConnections(terms, bounds, writers, drops, fromCallers);
         Span connect = span(settings, "policy-limits.connect-timeout-ns", 500e6);
         Span idle = span(settings, "policy-limits.conn-idle-ns", 600e9);
-        Bounds toSwitches = new Bounds(
+        TransportLimits toSwitches = new TransportLimits(
                 256, idle.times(2), idle.times(2), Span.ofMillis(400), 256 * 1024, Span.ofMillis(3000), connect);
         switches = new SwitchConnections(
                 toSwitches,
                 sockets,
                 writers,
                 wheel,
-                new Load(
+                new LoadReportParser(
                         Arrays.asList(settings.getOrDefault("report.fields", "").split(","))),
                 drops,
                 this::turn,
                 fromSwitches);
-        desk = new Desk(wheel, terms, outward);
-        roster = new Roster(
+        desk = new ContactTable(wheel, terms, outward);
+        roster = new SwitchRegistry(
                 desk, switches, settings.getOrDefault("zones", ""), wheel.now(), System.currentTimeMillis(), log);
         journal = new Journal(start.journal(), start.position(), fromJournal);
         boolean notes = "true".equals(settings.get("policy-limits.peers")) && start.peerListen() != null;
         int own = (int) number(settings, "me", -1);
         peers = notes
-                ? new Peers(
+                ? new PeerNoteTransport(
                         start.peerListen(),
                         start.peers(),
                         start.peersAll(),
                         own,
                         drops,
-                        (peer, note) ->
-                                loop.offer((Runnable) () -> desk.tell(to -> to.peerNote(wheel.now(), peer, note))))
+                        (peer, note) -> loop.offer((Runnable)
+                                () -> desk.notifyController(to -> to.peerNoteReceived(wheel.now(), peer, note))))
                 : null;
-        desk.module(maker.make(settings, start.seed(), wheel.now(), desk));
+        desk.setController(maker.create(settings, start.seed(), wheel.now(), desk));
     }
 
     /** Begins to serve; the port that is listened on is returned. */
-    public int open() throws IOException {
+    public int startServing() throws IOException {
         loop.start(
-                new EventLoop.Duty() {
+                new EventLoop.Handler() {
                     @Override
-                    public void take(Object next) {
+                    public void handle(Object next) {
                         log.line("fault", "unknown piece of work " + next);
                     }
 
                     @Override
-                    public void after() {
+                    public void afterTurn() {
                         // Messages go out as they are queued; nothing is left for the end of a turn.
                     }
 
                     @Override
-                    public void fault(Throwable fault) {
+                    public void onFailure(Throwable fault) {
                         log.line(
                                 "fault",
                                 fault + " at "
@@ -160,7 +161,7 @@
                     allot();
                     Moment begun = wheel.now();
                     look(begun);
-                    wheel.after(TELL, this::told);
+                    wheel.scheduleAfter(TELL, this::told);
                 });
         journal.start();
         port = callers.open(start.listen());
@@ -182,30 +183,31 @@
      * it hold at most a third of all.
      */
     private void allot() {
-        int reserved = NOT_FOR_CONNECTIONS + switches.needs();
-        callers.allow(Math.max(start.sockets() / 3 + 1, start.sockets() - reserved));
+        int reserved = NOT_FOR_CONNECTIONS + switches.requiredConnections();
+        callers.setConnectionLimit(Math.max(start.sockets() / 3 + 1, start.sockets() - reserved));
     }
 
     private void look(Moment begun) {
-        if (switches.allTold() || wheel.now().since(begun).longerThan(READY_AT_LAST)) {
+        if (switches.allGroupStatesReported() || wheel.now().since(begun).longerThan(READY_AT_LAST)) {
             ready = true;
             log.line(
                     "ready",
                     "after " + wheel.now().since(begun).ns() / 1_000_000 + " ms, states of all groups: "
-                            + switches.allTold());
+                            + switches.allGroupStatesReported());
         } else {
-            wheel.after(Span.ofMillis(10), () -> look(begun));
+            wheel.scheduleAfter(Span.ofMillis(10), () -> look(begun));
         }
     }
 
     private void told() {
         log.line(
                 "counts",
-                desk.counts() + " open=" + desk.open() + " standing=" + desk.standing() + " unheard="
-                        + desk.unheardReleases() + " lines=" + callers.count() + " switch-lines=" + switches.count()
-                        + " threads=" + Thread.activeCount() + " waiting=" + loop.waiting() + " drops="
+                desk.counters() + " open=" + desk.openCount() + " standing=" + desk.establishedCount() + " unheard="
+                        + desk.unacknowledgedReleaseCount() + " lines=" + callers.connectionCount() + " switch-lines="
+                        + switches.connectionCount()
+                        + " threads=" + Thread.activeCount() + " waiting=" + loop.queueSize() + " drops="
                         + drops.counts());
-        wheel.after(TELL, this::told);
+        wheel.scheduleAfter(TELL, this::told);
     }
 
     /** SIGHUP: the file is read anew; only a whole good one counts, else the one in force stays. One at a time. */
@@ -215,7 +217,7 @@
             if (!now.settings().equals(start.settings())) {
                 log.line("reload", "other settings than at the start: they count from the next start on");
             }
-            journal.moved(now.journal());
+            journal.moveTo(now.journal());
             log.line("reload", "journal " + now.journal() + " from " + journal.position());
         } catch (IOException | RuntimeException e) {
             log.line("reload", "refused, the one in force stays: " + file + ": " + e.getMessage());
@@ -223,14 +225,14 @@
     }
 
     /** SIGTERM: goes on until all that is owed is answered and nothing more can come, then ends. */
-    public void term() {
+    public void requestShutdown() {
         try {
             turn(() -> {
                 if (!ends) {
                     ends = true;
-                    log.line("term", "open=" + desk.open() + " standing=" + desk.standing());
-                    wheel.after(STILL_TAKEN, desk::closing);
-                    wheel.after(LAST_FOR_SURE, this::ending);
+                    log.line("term", "open=" + desk.openCount() + " standing=" + desk.establishedCount());
+                    wheel.scheduleAfter(STILL_TAKEN, desk::refuseNewContacts);
+                    wheel.scheduleAfter(LAST_FOR_SURE, this::ending);
                 }
             });
         } catch (InterruptedException e) {
@@ -239,15 +241,15 @@
     }
 
     private void ending() {
-        if (desk.open() > 0 || callers.unread()) {
-            wheel.after(LOOK, this::ending);
+        if (desk.openCount() > 0 || callers.hasUnreadInput()) {
+            wheel.scheduleAfter(LOOK, this::ending);
             return;
         }
         Thread last = new Thread(
                 null,
                 () -> {
                     // While the deciding thread still answers: what comes until a connection is ended has an owner.
-                    callers.hangUp(HANG_UP);
+                    callers.closeGracefully(HANG_UP);
                     close();
                     done.countDown();
                 },
@@ -270,27 +272,27 @@
         if (peers != null) {
             peers.close();
         }
-        log.line("end", desk.counts().toString());
+        log.line("end", desk.counters().toString());
     }
 
     /** Has something done by the deciding thread; waits for room, but never on that thread, which alone makes room. */
     void turn(Runnable what) throws InterruptedException {
         if (Thread.currentThread() == decides) {
-            wheel.after(Span.ZERO, what);
+            wheel.scheduleAfter(Span.ZERO, what);
             return;
         }
-        loop.put(what, () -> drops.count("waited for the deciding thread"));
+        loop.put(what, () -> drops.increment("waited for the deciding thread"));
     }
 
-    private static Terms terms(Map<String, String> settings) {
+    private static ContactSettings terms(Map<String, String> settings) {
         int count = (int) number(settings, "classes.count", 0);
         String[] names = new String[count];
         Span longest = Span.ZERO;
         for (int i = 0; i < count; i++) {
             names[i] = settings.get("classes." + i + ".name");
-            longest = longest.least(span(settings, "classes." + i + ".hard-limit-ns", 9e9));
+            longest = longest.atLeast(span(settings, "classes." + i + ".hard-limit-ns", 9e9));
         }
-        return new Terms(
+        return new ContactSettings(
                 List.of(names),
                 (int) number(settings, "policy-limits.max-open", 20_000),
                 longest,
@@ -307,19 +309,19 @@
         return new Span((long) number(settings, name, otherwise));
     }
 
-    private final Callers.Heard fromCallers = new Callers.Heard() {
+    private final CallerConnections.Listener fromCallers = new CallerConnections.Listener() {
         @Override
-        public boolean setUp(SetUp asked) throws InterruptedException {
+        public boolean setUpReceived(SetUpRequest asked) throws InterruptedException {
             Runnable take = () -> {
-                if (asked.standsAt() == null) {
-                    desk.setUp(asked);
-                } else if (roster.number(asked.standsAt()) == 0) {
-                    desk.stoodNowhere(asked);
+                if (asked.establishedSwitch() == null) {
+                    desk.setUpReceived(asked);
+                } else if (roster.number(asked.establishedSwitch()) == 0) {
+                    desk.establishedAtUnknownSwitch(asked);
                 } else {
-                    desk.stoodBefore(asked, roster.number(asked.standsAt()));
+                    desk.establishedElsewhere(asked, roster.number(asked.establishedSwitch()));
                 }
             };
-            if (asked.standsAt() == null) {
+            if (asked.establishedSwitch() == null) {
                 return loop.offer(take);
             }
             // It expects no answer that could refuse it, and nobody else would ever release it.
@@ -328,33 +330,33 @@
         }
 
         @Override
-        public void request(long line, Request request) throws InterruptedException {
+        public void requestReceived(long line, Request request) throws InterruptedException {
             turn(() -> {
                 switch (request.method()) {
-                    case "CANCEL" -> desk.withdrawn(line, request);
-                    case "BYE" -> desk.released(line, request);
-                    default -> desk.acknowledged(request.callId());
+                    case "CANCEL" -> desk.cancelReceived(line, request);
+                    case "BYE" -> desk.byeReceived(line, request);
+                    default -> desk.ackReceived(request.callId());
                 }
             });
         }
 
         @Override
-        public void releaseHeard(String tag) throws InterruptedException {
-            turn(() -> desk.releaseHeard(tag));
+        public void releaseAcknowledged(String tag) throws InterruptedException {
+            turn(() -> desk.releaseAcknowledged(tag));
         }
 
         @Override
-        public void over(long line) throws InterruptedException {
-            turn(() -> desk.lineOver(line));
+        public void connectionEnded(long line) throws InterruptedException {
+            turn(() -> desk.callerConnectionEnded(line));
         }
 
         @Override
-        public boolean ready() {
+        public boolean isReady() {
             return ready;
         }
     };
 
-    private final SwitchConnections.Heard fromSwitches = new SwitchConnections.Heard() {
+    private final SwitchConnections.Listener fromSwitches = new SwitchConnections.Listener() {
         @Override
         public void started(long target, long connection, String tag, String description) {
             desk.started(target, connection, tag, description);
@@ -366,23 +368,23 @@
         }
 
         @Override
-        public void load(long target, float[] report) {
-            desk.load(target, report);
+        public void loadReported(long target, float[] report) {
+            desk.loadReported(target, report);
         }
 
         @Override
-        public void connectionOver(long target, long connection, boolean everUp) {
-            desk.connectionOver(target, connection, everUp);
+        public void connectionEnded(long target, long connection, boolean everUp) {
+            desk.switchConnectionEnded(target, connection, everUp);
         }
 
         @Override
-        public void processOver(long target) {
-            desk.switchOver(target, null);
+        public void processEnded(long target) {
+            desk.switchProcessEnded(target, null);
         }
 
         @Override
-        public boolean standsAt(long target) {
-            return desk.standsAt(target);
+        public boolean hasEstablishedAt(long target) {
+            return desk.hasEstablishedAt(target);
         }
 
         @Override
@@ -391,9 +393,9 @@
         }
     };
 
-    private final Journal.Heard fromJournal = new Journal.Heard() {
+    private final Journal.Listener fromJournal = new Journal.Listener() {
         @Override
-        public void event(ListEvent event) throws InterruptedException {
+        public void eventReceived(SwitchListEvent event) throws InterruptedException {
             turn(() -> {
                 roster.take(event, wheel.now());
                 allot();
@@ -401,49 +403,49 @@
         }
 
         @Override
-        public void broken(String why) {
-            drops.count("journal", why);
+        public void connectionLost(String why) {
+            drops.increment("journal", why);
         }
     };
 
-    private final Outward outward = new Outward() {
+    private final OutboundMessages outward = new OutboundMessages() {
         @Override
-        public boolean toCaller(long line, byte[] message) {
+        public boolean sendToCaller(long line, byte[] message) {
             return callers.send(line, message);
         }
 
         @Override
-        public long anyLine(long but) {
-            return callers.any(but);
+        public long anyConnection(long but) {
+            return callers.mostRecentConnection(but);
         }
 
         @Override
-        public void settled(long line, String tag) {
-            callers.settled(line, tag);
+        public void contactAnswered(long line, String tag) {
+            callers.contactAnswered(line, tag);
         }
 
         @Override
-        public void drop(long line, String why) {
-            callers.drop(line, why);
+        public void disconnect(long line, String why) {
+            callers.disconnect(line, why);
         }
 
         @Override
-        public Queued start(long target, Start asked, Runnable unsent) {
-            return switches.start(target, asked, unsent);
+        public QueuedMessage sendStart(long target, SwitchStartRequest asked, Runnable unsent) {
+            return switches.sendStart(target, asked, unsent);
         }
 
         @Override
-        public void finish(long target, long connection, String tag, int cause, Runnable written) {
-            switches.finish(target, connection, tag, cause, written);
+        public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
+            switches.sendFinish(target, connection, tag, cause, written);
         }
 
         @Override
-        public void finished(long target, long connection, String tag) {
-            switches.finished(target, connection, tag);
+        public void sendFinished(long target, long connection, String tag) {
+            switches.sendFinished(target, connection, tag);
         }
 
         @Override
-        public void note(int peer, byte[] note) {
+        public void sendNote(int peer, byte[] note) {
             if (peers != null) {
                 peers.send(peer, note);
             }
@@ -456,7 +458,7 @@
     };
 
     /** What the platform names in the environment; the address in the file is the one that counts. */
-    public static Path configured() throws IOException {
+    public static Path configurationFile() throws IOException {
         String file = System.getenv("ROUTER_CONFIG");
         if (file == null || file.isBlank()) {
             throw new IOException("ROUTER_CONFIG is not set");
@@ -466,12 +468,12 @@
 
     /** For checks; the deciding thread's. */
     int openSetUps() {
-        return desk.open();
+        return desk.openCount();
     }
 
     /** For checks; the deciding thread's. */
     boolean groupsTold() {
-        return switches.allTold();
+        return switches.allGroupStatesReported();
     }
 
     /** Of the last event of the list that was taken. */
--- a/src/main/java/martenslip/platform/Log.java
+++ b/src/main/java/martenslip/platform/RateLimitedLog.java
@@ -8,7 +8,7 @@
  * The log of a controller in service: a line each, so many of a kind a second at most; how many were left
  * out is told with the next one. No logging library: its start and its memory are part of the day.
  */
-final class Log {
+final class RateLimitedLog {
     private static final int MOST = 10;
     private static final long SECOND = 1_000_000_000;
 
@@ -20,7 +20,7 @@
 
     private final PrintStream out;
 
-    Log(PrintStream out) {
+    RateLimitedLog(PrintStream out) {
         this.out = out;
     }
 
--- a/src/main/java/martenslip/platform/Reloads.java
+++ b/src/main/java/martenslip/platform/ReloadSignal.java
@@ -7,18 +7,18 @@
  * SIGHUP from the first moment on. One that comes while the file is being read for the start may or may not have been
  * in time for that, so it is looked at again once service has begun; none is lost between two lines.
  */
-public final class Reloads {
+public final class ReloadSignal {
     private final AtomicReference<Runnable> serving = new AtomicReference<>();
     private final AtomicBoolean asked = new AtomicBoolean();
 
     /** The signal. Any thread. */
-    public void ask() {
+    public void request() {
         asked.set(true);
         go();
     }
 
     /** Service has begun, and this is what a reload does. */
-    public void begin(Runnable reload) {
+    public void start(Runnable reload) {
         serving.set(reload);
         go();
     }
--- a/src/main/java/martenslip/platform/Flat.java
+++ b/src/main/java/martenslip/platform/SettingsFlattener.java
@@ -9,8 +9,8 @@
  * joined by commas, lists of objects as {@code .count} and {@code .0}, {@code .1}; blanks and commas in a value as
  * {@code _}.
  */
-final class Flat {
-    private Flat() {}
+final class SettingsFlattener {
+    private SettingsFlattener() {}
 
     static Map<String, String> of(Map<?, ?> settings) {
         Map<String, String> flat = new LinkedHashMap<>();
@@ -24,7 +24,10 @@
         } else if (value instanceof List<?> list) {
             boolean plain = list.stream().noneMatch(one -> one instanceof Map || one instanceof List);
             if (plain) {
-                flat.put(path, String.join(",", list.stream().map(Flat::text).toList()));
+                flat.put(
+                        path,
+                        String.join(
+                                ",", list.stream().map(SettingsFlattener::text).toList()));
                 return;
             }
             flat.put(path + ".count", Integer.toString(list.size()));
--- a/src/main/java/martenslip/platform/Settings.java
+++ b/src/main/java/martenslip/platform/SettingsValidator.java
@@ -9,42 +9,44 @@
  * and in its range, a switch is true or false. What is absent takes its default, as the operators' page says; what is
  * there and wrong stops the start, by name. Nothing here belongs to one deployment.
  */
-final class Settings {
+final class SettingsValidator {
     /** A century: no span of a call, a connection or a start is longer. */
     private static final double LONGEST_NS = 3.2e18;
 
     private static final double MOST = 1e9;
 
-    private record Bound(String path, double least, double most) {}
+    private record NumberRange(String path, double least, double most) {}
 
-    private static final List<Bound> NUMBERS = List.of(
-            new Bound("round-ns", 1, LONGEST_NS),
-            new Bound("me", -1, MOST),
-            new Bound("n-instances", 0, MOST),
-            new Bound("family-info.mean-hold-ns", 0, LONGEST_NS),
-            new Bound("family-info.widths", 0, MOST),
-            new Bound("family-info.home-no", -1, MOST),
-            new Bound("family-info.release-ns", 0, LONGEST_NS),
-            new Bound("guarantees.warm-within-ns", 0, LONGEST_NS),
-            new Bound("guarantees.cold-share", 0, 1),
-            new Bound("guarantees.fall-multiple", 0, MOST),
-            new Bound("guarantees.fall-ns", 0, LONGEST_NS),
-            new Bound("guarantees.drain-grace-ns", 0, LONGEST_NS),
-            new Bound("guarantees.answer-slack-ns", 0, LONGEST_NS),
-            new Bound("policy-limits.send-cap", 0, MOST),
-            new Bound("policy-limits.max-open", 0, MOST),
-            new Bound("policy-limits.max-retry-after-ns", 0, LONGEST_NS),
-            new Bound("policy-limits.connect-timeout-ns", 0, LONGEST_NS),
-            new Bound("policy-limits.conn-idle-ns", 0, LONGEST_NS));
-    private static final List<Bound> OF_A_CLASS = List.of(
-            new Bound("aim-ns", 0, LONGEST_NS), new Bound("hard-limit-ns", 0, LONGEST_NS), new Bound("worth", 0, 1e12));
+    private static final List<NumberRange> NUMBERS = List.of(
+            new NumberRange("round-ns", 1, LONGEST_NS),
+            new NumberRange("me", -1, MOST),
+            new NumberRange("n-instances", 0, MOST),
+            new NumberRange("family-info.mean-hold-ns", 0, LONGEST_NS),
+            new NumberRange("family-info.widths", 0, MOST),
+            new NumberRange("family-info.home-no", -1, MOST),
+            new NumberRange("family-info.release-ns", 0, LONGEST_NS),
+            new NumberRange("guarantees.warm-within-ns", 0, LONGEST_NS),
+            new NumberRange("guarantees.cold-share", 0, 1),
+            new NumberRange("guarantees.fall-multiple", 0, MOST),
+            new NumberRange("guarantees.fall-ns", 0, LONGEST_NS),
+            new NumberRange("guarantees.drain-grace-ns", 0, LONGEST_NS),
+            new NumberRange("guarantees.answer-slack-ns", 0, LONGEST_NS),
+            new NumberRange("policy-limits.send-cap", 0, MOST),
+            new NumberRange("policy-limits.max-open", 0, MOST),
+            new NumberRange("policy-limits.max-retry-after-ns", 0, LONGEST_NS),
+            new NumberRange("policy-limits.connect-timeout-ns", 0, LONGEST_NS),
+            new NumberRange("policy-limits.conn-idle-ns", 0, LONGEST_NS));
+    private static final List<NumberRange> OF_A_CLASS = List.of(
+            new NumberRange("aim-ns", 0, LONGEST_NS),
+            new NumberRange("hard-limit-ns", 0, LONGEST_NS),
+            new NumberRange("worth", 0, 1e12));
     private static final List<String> SWITCHES = List.of("cancel", "peers", "probes", "retry-after");
 
-    private Settings() {}
+    private SettingsValidator() {}
 
     /** Throws where one is wrong; the text names its path and the reason. */
     static void check(Map<String, String> settings) throws IOException {
-        number(settings, new Bound("classes.count", 1, 1024));
+        number(settings, new NumberRange("classes.count", 1, 1024));
         String count = settings.get("classes.count");
         if (count == null) {
             throw new IOException("settings.classes is missing or empty");
@@ -54,11 +56,11 @@
             if (settings.getOrDefault(at + "name", "").isBlank()) {
                 throw new IOException("settings.classes[" + i + "].name is missing");
             }
-            for (Bound one : OF_A_CLASS) {
-                number(settings, new Bound(at + one.path, one.least, one.most));
+            for (NumberRange one : OF_A_CLASS) {
+                number(settings, new NumberRange(at + one.path, one.least, one.most));
             }
         }
-        for (Bound one : NUMBERS) {
+        for (NumberRange one : NUMBERS) {
             number(settings, one);
         }
         for (String name : SWITCHES) {
@@ -70,7 +72,7 @@
     }
 
     /** A list is one number after another; an empty one is none. */
-    private static void number(Map<String, String> settings, Bound number) throws IOException {
+    private static void number(Map<String, String> settings, NumberRange number) throws IOException {
         if (settings.keySet().stream().anyMatch(name -> name.startsWith(number.path + "."))) {
             throw new IOException("settings." + number.path + " is no number");
         }
--- a/src/main/java/martenslip/platform/Roster.java
+++ b/src/main/java/martenslip/platform/SwitchRegistry.java
@@ -11,29 +11,30 @@
 import martenslip.control.Controller.ListKind;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.platform.desk.Desk;
-import martenslip.platform.journal.ListEvent;
+import martenslip.control.SwitchEntry;
+import martenslip.platform.contact.ContactTable;
+import martenslip.platform.journal.SwitchListEvent;
 import martenslip.platform.switchconnection.SwitchConnections;
 
 /**
  * The switch list: numbers for ids, since an address is used again and an id never; keeps the lines to the switches
  * and the module's list in step with the journal's events. The deciding thread's.
  */
-final class Roster {
-    private record Known(long number, long startedMs) {}
+final class SwitchRegistry {
+    private record RegisteredSwitch(long number, long startedMs) {}
 
-    private final Desk desk;
+    private final ContactTable desk;
     private final SwitchConnections lines;
     private final List<String> zones;
     /** What the clock of the program shows less what the Unix clock shows, at the start. */
     private final Span offset;
 
-    private final Log log;
-    private final Map<String, Known> known = new LinkedHashMap<>();
+    private final RateLimitedLog log;
+    private final Map<String, RegisteredSwitch> known = new LinkedHashMap<>();
     private long numbers;
 
-    Roster(Desk desk, SwitchConnections lines, String zones, Moment now, long unixMs, Log log) {
+    SwitchRegistry(
+            ContactTable desk, SwitchConnections lines, String zones, Moment now, long unixMs, RateLimitedLog log) {
         this.desk = desk;
         this.lines = lines;
         this.zones = Arrays.asList(zones.split(","));
@@ -43,70 +44,71 @@
 
     /** The number of a switch that is on the list, or 0. */
     long number(String id) {
-        Known one = known.get(id);
+        RegisteredSwitch one = known.get(id);
         return one == null ? 0 : one.number;
     }
 
     /** The events up to the start, as one list. */
-    void remembered(List<ListEvent> events, Moment now) {
-        Map<String, ListEvent.Entry> all = new LinkedHashMap<>();
-        for (ListEvent event : events) {
-            if (event.whole()) {
+    void remembered(List<SwitchListEvent> events, Moment now) {
+        Map<String, SwitchListEvent.Entry> all = new LinkedHashMap<>();
+        for (SwitchListEvent event : events) {
+            if (event.full()) {
                 all.clear();
             }
-            for (ListEvent.Entry entry : event.entries()) {
-                if (entry.state() == SwitchLine.State.GONE) {
+            for (SwitchListEvent.Entry entry : event.entries()) {
+                if (entry.state() == SwitchEntry.State.GONE) {
                     all.remove(entry.id());
                 } else {
                     all.put(entry.id(), entry);
                 }
             }
         }
-        tell(ListKind.REMEMBERED, List.copyOf(all.values()), now);
+        tell(ListKind.CACHED, List.copyOf(all.values()), now);
     }
 
-    void take(ListEvent event, Moment now) {
-        tell(event.whole() ? ListKind.WHOLE : ListKind.CHANGES, event.entries(), now);
+    void take(SwitchListEvent event, Moment now) {
+        tell(event.full() ? ListKind.FULL : ListKind.CHANGES, event.entries(), now);
     }
 
-    private void tell(ListKind kind, List<ListEvent.Entry> entries, Moment now) {
-        List<SwitchLine> told = new ArrayList<>();
+    private void tell(ListKind kind, List<SwitchListEvent.Entry> entries, Moment now) {
+        List<SwitchEntry> told = new ArrayList<>();
         Set<String> left = new HashSet<>();
         Map<Long, Moment> restarted = new HashMap<>();
         Set<String> named = new HashSet<>();
-        for (ListEvent.Entry entry : entries) {
+        for (SwitchListEvent.Entry entry : entries) {
             named.add(entry.id());
-            Known before = known.get(entry.id());
-            if (entry.state() == SwitchLine.State.GONE && before == null) {
+            RegisteredSwitch before = known.get(entry.id());
+            if (entry.state() == SwitchEntry.State.GONE && before == null) {
                 continue;
             }
-            Known one = new Known(before == null ? ++numbers : before.number, entry.startedMs());
+            RegisteredSwitch one =
+                    new RegisteredSwitch(before == null ? ++numbers : before.number, entry.startedAtMs());
             known.put(entry.id(), one);
-            Moment started = entry.startedMs() == 0 ? null : new Moment(entry.startedMs() * 1_000_000).plus(offset);
-            if (before != null && entry.startedMs() > before.startedMs) {
+            Moment started = entry.startedAtMs() == 0 ? null : new Moment(entry.startedAtMs() * 1_000_000).plus(offset);
+            if (before != null && entry.startedAtMs() > before.startedMs) {
                 restarted.put(one.number, started);
             }
             log.line(
                     "list",
                     entry.id() + " is switch " + one.number + ", number " + entry.number() + ", " + entry.state()
-                            + " at " + entry.at() + " since " + entry.startedMs());
-            told.add(new SwitchLine(
+                            + " at " + entry.address() + " since " + entry.startedAtMs());
+            told.add(new SwitchEntry(
                     one.number, entry.number(), entry.state(), started, Math.max(0, zones.indexOf(entry.zone()))));
-            if (entry.state() == SwitchLine.State.GONE) {
+            if (entry.state() == SwitchEntry.State.GONE) {
                 left.add(entry.id());
             } else {
-                lines.listed(one.number, entry.at(), entry.state() == SwitchLine.State.DRAINING);
+                lines.listed(one.number, entry.address(), entry.state() == SwitchEntry.State.DRAINING);
             }
         }
         if (kind != ListKind.CHANGES) {
             known.keySet().stream().filter(id -> !named.contains(id)).forEach(left::add);
         }
-        restarted.forEach(desk::switchOver);
-        desk.tell(to -> to.listed(now, kind, told));
+        restarted.forEach(desk::switchProcessEnded);
+        desk.notifyController(to -> to.switchListReceived(now, kind, told));
         for (String id : left) {
             long number = known.remove(id).number;
             lines.unlisted(number);
-            desk.forget(number);
+            desk.switchRemoved(number);
         }
     }
 }
--- a/src/main/java/martenslip/platform/caller/Callers.java
+++ b/src/main/java/martenslip/platform/caller/CallerConnections.java
@@ -15,26 +15,26 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.platform.desk.Replies;
-import martenslip.platform.desk.SetUp;
-import martenslip.platform.desk.Terms;
-import martenslip.platform.desk.Withdrawal;
+import martenslip.platform.contact.CallerCancellation;
+import martenslip.platform.contact.CallerMessages;
+import martenslip.platform.contact.ContactSettings;
+import martenslip.platform.contact.SetUpRequest;
 import martenslip.sip.message.Message;
-import martenslip.sip.message.Parsed;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
+import martenslip.sip.message.ParseResult;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transport.Bounds;
 import martenslip.sip.transport.Connection;
-import martenslip.sip.transport.Drops;
-import martenslip.sip.transport.Framer;
-import martenslip.sip.transport.Writers;
+import martenslip.sip.transport.ConnectionThreadPool;
+import martenslip.sip.transport.ContentLengthFramer;
+import martenslip.sip.transport.DropCounter;
+import martenslip.sip.transport.TransportLimits;
 
 /**
  * The callers' lines: accepts, cuts, reads, refuses what is unfit by itself, hands the rest up. What one line brings
  * is read by its own thread, and waits there where the deciding thread has no room.
  */
-public final class Callers implements AutoCloseable {
+public final class CallerConnections implements AutoCloseable {
     /** Greatest message of the platform, and room for a set-up of the usual size. */
     private static final int MOST_BYTES = 16 * 1024;
 
@@ -58,42 +58,42 @@
     private static final int LAST_LOOK_MS = 5;
 
     /** Takes what is fit; called by reading threads and may make them wait. */
-    public interface Heard {
+    public interface Listener {
         /** False where there is no room for it: its reader must not wait with what its caller says next. */
-        boolean setUp(SetUp asked) throws InterruptedException;
+        boolean setUpReceived(SetUpRequest asked) throws InterruptedException;
 
-        void request(long line, Request request) throws InterruptedException;
+        void requestReceived(long line, Request request) throws InterruptedException;
 
-        void releaseHeard(String tag) throws InterruptedException;
+        void releaseAcknowledged(String tag) throws InterruptedException;
 
-        void over(long line) throws InterruptedException;
+        void connectionEnded(long line) throws InterruptedException;
 
         /** Whether a test passes now. */
-        boolean ready();
+        boolean isReady();
     }
 
-    private static final class Line {
+    private static final class CallerConnection {
         final Connection connection;
         final AtomicInteger open = new AtomicInteger();
         /** Of the set-ups that are open: whether their caller has gone. One id names one of them. */
-        final Map<String, Withdrawal> waiting = new ConcurrentHashMap<>();
+        final Map<String, CallerCancellation> waiting = new ConcurrentHashMap<>();
 
         volatile long heardAt;
         volatile boolean good;
         int wrong;
 
-        Line(Connection connection) {
+        CallerConnection(Connection connection) {
             this.connection = connection;
             heardAt = System.nanoTime();
         }
     }
 
-    private final Bounds bounds;
-    private final Writers writers;
-    private final Heard heard;
-    private final Drops drops;
-    private final Fit fit;
-    private final Map<Long, Line> lines = new ConcurrentHashMap<>();
+    private final TransportLimits bounds;
+    private final ConnectionThreadPool writers;
+    private final Listener heard;
+    private final DropCounter drops;
+    private final SetUpParser fit;
+    private final Map<Long, CallerConnection> lines = new ConcurrentHashMap<>();
     private final ServerSocket listener;
     private final CountDownLatch accepted = new CountDownLatch(1);
     private volatile int most;
@@ -101,30 +101,42 @@
     private volatile boolean closing;
     private long numbers;
 
-    public Callers(Terms terms, Bounds bounds, Writers writers, Drops drops, Heard heard) throws IOException {
+    public CallerConnections(
+            ContactSettings terms,
+            TransportLimits bounds,
+            ConnectionThreadPool writers,
+            DropCounter drops,
+            Listener heard)
+            throws IOException {
         this(terms, bounds, writers, drops, heard, new ServerSocket());
     }
 
     /** {@code listener} is not bound yet. */
-    Callers(Terms terms, Bounds bounds, Writers writers, Drops drops, Heard heard, ServerSocket listener) {
+    CallerConnections(
+            ContactSettings terms,
+            TransportLimits bounds,
+            ConnectionThreadPool writers,
+            DropCounter drops,
+            Listener heard,
+            ServerSocket listener) {
         this.listener = listener;
         this.bounds = bounds;
         this.writers = writers;
         this.heard = heard;
         this.drops = drops;
-        fit = new Fit(terms);
-        most = bounds.connections();
+        fit = new SetUpParser(terms);
+        most = bounds.maxConnections();
     }
 
     /**
      * How many connections callers may hold from now on; where they hold more, quiet ones are ended. Those that are owed
      * something stay.
      */
-    public void allow(int connections) {
-        most = Math.max(1, Math.min(bounds.connections(), connections));
+    public void setConnectionLimit(int connections) {
+        most = Math.max(1, Math.min(bounds.maxConnections(), connections));
         int over = lines.size() - most;
         for (int i = 0; i < over && makeRoom(); i++) {
-            drops.count("connection ended for a switch");
+            drops.increment("connection ended for a switch");
         }
     }
 
@@ -138,45 +150,44 @@
         return listener.getLocalPort();
     }
 
-    public int count() {
+    public int connectionCount() {
         return lines.size();
     }
 
     /** True where some line holds what its reader has not come to. */
-    public boolean unread() {
-        return lines.values().stream().anyMatch(line -> line.connection.unread());
+    public boolean hasUnreadInput() {
+        return lines.values().stream().anyMatch(line -> line.connection.hasUnreadInput());
     }
 
     public boolean send(long line, byte[] message) {
-        Line to = lines.get(line);
+        CallerConnection to = lines.get(line);
         return to != null && to.connection.send(message);
     }
 
     /** The line that was heard last of those that have brought something fit; {@code but} only where it is alone; or 0. */
-    public long any(long but) {
-        Line last = null;
-        for (Line one : lines.values()) {
-            boolean only = last != null && last.connection.number() == but;
-            if (one.good
-                    && (last == null || only || one.connection.number() != but && last.heardAt - one.heardAt < 0)) {
+    public long mostRecentConnection(long but) {
+        CallerConnection last = null;
+        for (CallerConnection one : lines.values()) {
+            boolean only = last != null && last.connection.id() == but;
+            if (one.good && (last == null || only || one.connection.id() != but && last.heardAt - one.heardAt < 0)) {
                 last = one;
             }
         }
-        return last == null ? 0 : last.connection.number();
+        return last == null ? 0 : last.connection.id();
     }
 
-    public void settled(long line, String tag) {
-        Line one = lines.get(line);
+    public void contactAnswered(long line, String tag) {
+        CallerConnection one = lines.get(line);
         if (one != null) {
             one.waiting.remove(tag);
             one.open.decrementAndGet();
         }
     }
 
-    public void drop(long line, String why) {
-        Line one = lines.get(line);
+    public void disconnect(long line, String why) {
+        CallerConnection one = lines.get(line);
         if (one != null) {
-            drops.count(why);
+            drops.increment(why);
             one.connection.close(why);
         }
     }
@@ -188,7 +199,7 @@
             }
             listener.close();
         } catch (IOException e) {
-            drops.count("listener not closed");
+            drops.increment("listener not closed");
         } finally {
             accepted.countDown();
         }
@@ -208,7 +219,7 @@
                 return false;
             }
             // Where no descriptor is to be had it fails at once and the caller goes on waiting: no reason to spin.
-            drops.count("accept fault", String.valueOf(e.getMessage()));
+            drops.increment("accept fault", String.valueOf(e.getMessage()));
             if (!makeRoom()) {
                 pause();
             }
@@ -217,7 +228,7 @@
         try {
             take(socket);
         } catch (IOException e) {
-            drops.count("caller gone as it was taken");
+            drops.increment("caller gone as it was taken");
             quietly(socket);
         }
         return true;
@@ -225,7 +236,7 @@
 
     private void take(Socket socket) throws IOException {
         if (!room()) {
-            drops.count("too many connections");
+            drops.increment("too many connections");
             quietly(socket);
             return;
         }
@@ -237,9 +248,9 @@
                 true,
                 bounds,
                 events,
-                new Framer(MOST_BYTES, FIRST_BYTES, true),
+                new ContentLengthFramer(MOST_BYTES, FIRST_BYTES, true),
                 writers);
-        lines.put(connection.number(), new Line(connection));
+        lines.put(connection.id(), new CallerConnection(connection));
         begin(connection);
     }
 
@@ -247,7 +258,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            drops.count("not closed");
+            drops.increment("not closed");
         }
     }
 
@@ -286,11 +297,11 @@
      * this controller has taken, and on part of a core a reader may come to it late.
      */
     private boolean makeRoom() {
-        Set<Line> busy = new HashSet<>();
+        Set<CallerConnection> busy = new HashSet<>();
         for (int i = 0; i < MOST_LOOKS; i++) {
             long now = System.nanoTime();
-            Line worst = null;
-            for (Line one : lines.values()) {
+            CallerConnection worst = null;
+            for (CallerConnection one : lines.values()) {
                 if (one.open.get() <= 0
                         && now - one.heardAt > QUIET_NS
                         && !busy.contains(one)
@@ -303,8 +314,8 @@
             if (worst == null) {
                 return false;
             }
-            if (!worst.connection.unread() && worst.open.get() <= 0) {
-                drops.count("quiet line ended for a new one");
+            if (!worst.connection.hasUnreadInput() && worst.open.get() <= 0) {
+                drops.increment("quiet line ended for a new one");
                 worst.connection.close("room for others");
                 return true;
             }
@@ -313,10 +324,10 @@
         return false;
     }
 
-    private final Connection.Events events = new Connection.Events() {
+    private final Connection.Listener events = new Connection.Listener() {
         @Override
-        public void whole(Connection connection, byte[] message) throws InterruptedException {
-            Line line = lines.get(connection.number());
+        public void messageReceived(Connection connection, byte[] message) throws InterruptedException {
+            CallerConnection line = lines.get(connection.id());
             if (line != null) {
                 line.heardAt = System.nanoTime();
                 take(line, message);
@@ -325,30 +336,30 @@
 
         @Override
         public void ended(Connection connection, String why) {
-            Line line = lines.remove(connection.number());
+            CallerConnection line = lines.remove(connection.id());
             if (line != null) {
-                line.waiting.values().forEach(Withdrawal::make);
+                line.waiting.values().forEach(CallerCancellation::cancel);
             }
-            drops.count("line over", why);
+            drops.increment("line over", why);
             try {
-                heard.over(connection.number());
+                heard.connectionEnded(connection.id());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
     };
 
-    private void take(Line line, byte[] bytes) throws InterruptedException {
-        Parsed parsed = Parser.lean(bytes, bytes.length);
+    private void take(CallerConnection line, byte[] bytes) throws InterruptedException {
+        ParseResult parsed = MessageParser.parseMinimal(bytes, bytes.length);
         Message message = parsed.message();
-        if (!parsed.good()) {
-            wrong(line, parsed.answerable() ? (Request) message : null, parsed.fault());
+        if (!parsed.isValid()) {
+            wrong(line, parsed.isAnswerable() ? (Request) message : null, parsed.fault());
             return;
         }
-        long number = line.connection.number();
+        long number = line.connection.id();
         if (message instanceof Response response) {
             if (response.headers().first("CSeq").endsWith("BYE")) {
-                heard.releaseHeard(response.callId());
+                heard.releaseAcknowledged(response.callId());
             }
             return;
         }
@@ -356,58 +367,58 @@
         switch (request.method()) {
             case "INVITE" -> setUp(line, request);
             case "CANCEL", "BYE" -> {
-                Withdrawal caller = line.waiting.get(request.callId());
+                CallerCancellation caller = line.waiting.get(request.callId());
                 if (caller != null) {
                     // Before it is queued: what was ordered for it and not yet sent must not go out meanwhile.
-                    caller.make();
+                    caller.cancel();
                 }
-                heard.request(number, request);
+                heard.requestReceived(number, request);
             }
-            case "ACK" -> heard.request(number, request);
+            case "ACK" -> heard.requestReceived(number, request);
             case "OPTIONS" -> {
                 line.good = true;
-                boolean ready = heard.ready();
-                line.connection.send(Replies.plain(request, ready ? 200 : 503, ready ? "OK" : "Not Ready"));
+                boolean ready = heard.isReady();
+                line.connection.send(CallerMessages.response(request, ready ? 200 : 503, ready ? "OK" : "Not Ready"));
             }
             default -> wrong(line, request, "no such method");
         }
     }
 
-    private void setUp(Line line, Request invite) throws InterruptedException {
-        SetUp asked;
-        Withdrawal caller = new Withdrawal();
+    private void setUp(CallerConnection line, Request invite) throws InterruptedException {
+        SetUpRequest asked;
+        CallerCancellation caller = new CallerCancellation();
         try {
-            asked = fit.setUp(line.connection.number(), invite, new Moment(System.nanoTime()), caller);
-        } catch (Fit.Unfit e) {
+            asked = fit.setUp(line.connection.id(), invite, new Moment(System.nanoTime()), caller);
+        } catch (SetUpParser.InvalidSetUpException e) {
             wrong(line, invite, e.getMessage());
             return;
         }
         if (line.open.incrementAndGet() > MOST_OPEN) {
             line.open.decrementAndGet();
-            drops.count("too many set-ups open on a line");
-            line.connection.send(Replies.plain(invite, 503, "Too Many Open"));
+            drops.increment("too many set-ups open on a line");
+            line.connection.send(CallerMessages.response(invite, 503, "Too Many Open"));
             return;
         }
         line.good = true;
         line.waiting.put(asked.tag(), caller);
-        if (lines.get(line.connection.number()) != line) {
+        if (lines.get(line.connection.id()) != line) {
             // Its connection ended between two lines of this: nobody may have seen the mark.
-            caller.make();
+            caller.cancel();
         }
-        if (!heard.setUp(asked)) {
-            settled(line.connection.number(), asked.tag());
-            drops.count("no room for a set-up");
-            line.connection.send(Replies.plain(invite, 503, "No Room"));
+        if (!heard.setUpReceived(asked)) {
+            contactAnswered(line.connection.id(), asked.tag());
+            drops.increment("no room for a set-up");
+            line.connection.send(CallerMessages.response(invite, 503, "No Room"));
         }
     }
 
-    private void wrong(Line line, Request request, String why) {
-        drops.count("wrong", why);
+    private void wrong(CallerConnection line, Request request, String why) {
+        drops.increment("wrong", why);
         if (request == null || ++line.wrong > MOST_WRONG) {
             line.connection.close(why);
             return;
         }
-        line.connection.send(Replies.plain(request, 400, why));
+        line.connection.send(CallerMessages.response(request, 400, why));
     }
 
     /**
@@ -415,7 +426,7 @@
      * nothing of it is unread. What is read meanwhile is handed up like before, so whoever decides must go on. Those
      * that are still owed something after this time are left.
      */
-    public void hangUp(Span atMost) {
+    public void closeGracefully(Span atMost) {
         long until = System.nanoTime() + atMost.ns();
         leaving = true;
         try {
@@ -424,9 +435,9 @@
             Thread.currentThread().interrupt();
         }
         do {
-            for (Line line : lines.values()) {
-                if (line.open.get() <= 0 && !line.connection.unread()) {
-                    line.connection.finish("closing", Span.ofMillis(WAIT_MS));
+            for (CallerConnection line : lines.values()) {
+                if (line.open.get() <= 0 && !line.connection.hasUnreadInput()) {
+                    line.connection.flushAndClose("closing", Span.ofMillis(WAIT_MS));
                 }
             }
         } while (!lines.isEmpty() && System.nanoTime() < until && pause());
--- a/src/main/java/martenslip/platform/caller/Fit.java
+++ b/src/main/java/martenslip/platform/caller/SetUpParser.java
@@ -5,21 +5,21 @@
 import java.util.Map;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.platform.desk.SetUp;
-import martenslip.platform.desk.Terms;
-import martenslip.platform.desk.Withdrawal;
+import martenslip.platform.contact.CallerCancellation;
+import martenslip.platform.contact.ContactSettings;
+import martenslip.platform.contact.SetUpRequest;
 import martenslip.sip.message.Request;
 
 /**
  * Reads a set-up and finds out whether it is fit: figures are numbers and in their range, the skill exists, the id is
  * one. What is not is refused before anybody decides anything about it.
  */
-final class Fit {
+final class SetUpParser {
     /** A set-up that can't be taken; the text is the reason phrase. */
-    static final class Unfit extends Exception {
+    static final class InvalidSetUpException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unfit(String why) {
+        InvalidSetUpException(String why) {
             super(why, null, false, false);
         }
     }
@@ -28,16 +28,17 @@
     private static final int MOST_WIDTH = 1024;
     private static final String NET = "@net";
 
-    private final Terms terms;
+    private final ContactSettings terms;
 
-    Fit(Terms terms) {
+    SetUpParser(ContactSettings terms) {
         this.terms = terms;
     }
 
-    SetUp setUp(long line, Request invite, Moment heardAt, Withdrawal caller) throws Unfit {
+    SetUpRequest setUp(long line, Request invite, Moment heardAt, CallerCancellation caller)
+            throws InvalidSetUpException {
         String tag = invite.callId();
         if (!hex(tag)) {
-            throw new Unfit("Call-ID is no id");
+            throw new InvalidSetUpException("Call-ID is no id");
         }
         String key = key(invite.uri());
         Map<String, String> figures = figures(invite.headers().first("Routing-Data"));
@@ -47,7 +48,7 @@
         int skill = terms.skills().indexOf(String.valueOf(invite.headers().first("Call-Kind")));
         if (at != null) {
             // Of one that stands nothing else is needed.
-            return new SetUp(
+            return new SetUpRequest(
                     line,
                     invite,
                     tag,
@@ -65,21 +66,21 @@
                     caller);
         }
         if (skill < 0) {
-            throw new Unfit("no such Call-Kind");
+            throw new InvalidSetUpException("no such Call-Kind");
         }
         double within = number(
                 invite.headers().first("Answer-Within"),
                 "Answer-Within",
                 1,
-                2.0 * terms.patienceMost().ns() / 1e6);
+                2.0 * terms.maxPatience().ns() / 1e6);
         int destination = (int) number(figures.get("dest"), "dest", 0, MOST_NUMBER);
         int width = (int) number(figures.getOrDefault("width", "1"), "width", 1, MOST_WIDTH);
         int hint = (int) number(figures.getOrDefault("via", "-1"), "via", -1, MOST_NUMBER);
         String description = Utf8.text(invite.body());
         if (description == null) {
-            throw new Unfit("the description is no text");
+            throw new InvalidSetUpException("the description is no text");
         }
-        return new SetUp(
+        return new SetUpRequest(
                 line,
                 invite,
                 tag,
@@ -111,31 +112,31 @@
         return true;
     }
 
-    private static String key(String uri) throws Unfit {
+    private static String key(String uri) throws InvalidSetUpException {
         String key = uri.startsWith("sip:") && uri.endsWith(NET) ? uri.substring(4, uri.length() - NET.length()) : "";
         if (!hex(key)) {
-            throw new Unfit("the number called is none");
+            throw new InvalidSetUpException("the number called is none");
         }
         return key;
     }
 
-    private static Map<String, String> figures(String text) throws Unfit {
+    private static Map<String, String> figures(String text) throws InvalidSetUpException {
         Map<String, String> figures = new HashMap<>();
         for (String one : text == null ? List.<String>of() : List.of(text.split(";"))) {
             int colon = one.indexOf(':');
             if (colon > 0) {
                 String name = one.substring(0, colon).trim();
                 if (figures.put(name, one.substring(colon + 1).trim()) != null) {
-                    throw new Unfit("Routing-Data has " + name + " twice");
+                    throw new InvalidSetUpException("Routing-Data has " + name + " twice");
                 }
             } else if (!one.isBlank()) {
-                throw new Unfit("Routing-Data can't be read");
+                throw new InvalidSetUpException("Routing-Data can't be read");
             }
         }
         return figures;
     }
 
-    private static double number(String text, String what, double least, double most) throws Unfit {
+    private static double number(String text, String what, double least, double most) throws InvalidSetUpException {
         double value;
         try {
             value = text == null || text.length() > 24 ? Double.NaN : Double.parseDouble(text);
@@ -144,7 +145,7 @@
         }
         // NaN is in no range.
         if (!(value >= least && value <= most)) {
-            throw new Unfit(what + " is no number in its range");
+            throw new InvalidSetUpException(what + " is no number in its range");
         }
         return value;
     }
--- a/src/main/java/martenslip/platform/desk/Replies.java
+++ b/src/main/java/martenslip/platform/contact/CallerMessages.java
@@ -1,4 +1,4 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import martenslip.control.Span;
 import martenslip.sip.message.Headers;
@@ -6,21 +6,21 @@
 import martenslip.sip.message.Response;
 
 /** The messages that go to callers. */
-public final class Replies {
-    private Replies() {}
+public final class CallerMessages {
+    private CallerMessages() {}
 
-    public static byte[] plain(Request request, int status, String reason) {
-        return request.answer(status, reason, null).bytes();
+    public static byte[] response(Request request, int status, String reason) {
+        return request.createResponse(status, reason, null).bytes();
     }
 
     static byte[] stands(Request invite, byte[] description) {
-        Response answer = invite.answer(200, "OK", null);
+        Response answer = invite.createResponse(200, "OK", null);
         answer.body("application/sdp", description);
         return answer.bytes();
     }
 
     static byte[] deferred(Request invite, Span comeBack) {
-        Response answer = invite.answer(503, "Service Unavailable", null);
+        Response answer = invite.createResponse(503, "Service Unavailable", null);
         if (comeBack.longerThan(Span.ZERO)) {
             answer.headers().add("Come-Back-Ms", comeBack.ns() / 1_000_000);
         }
--- a/src/main/java/martenslip/platform/desk/Counts.java
+++ b/src/main/java/martenslip/platform/contact/ContactCounters.java
@@ -1,12 +1,12 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import java.util.Map;
 import java.util.TreeMap;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
+import martenslip.control.RejectionReason;
+import martenslip.control.RingEndCause;
 
 /** What passed the desk since its start; the deciding thread writes and reads. */
-public final class Counts {
+public final class ContactCounters {
     long taken;
     long stood;
     long inherited;
@@ -17,8 +17,8 @@
     long rings;
     private final Map<String, Long> ends = new TreeMap<>();
 
-    void ended(Cause cause, Blame blame) {
-        ends.merge(blame == Blame.NONE ? cause.name() : cause + "/" + blame, 1L, Long::sum);
+    void ended(RingEndCause cause, RejectionReason blame) {
+        ends.merge(blame == RejectionReason.NONE ? cause.name() : cause + "/" + blame, 1L, Long::sum);
     }
 
     @Override
--- a/src/main/java/martenslip/platform/desk/Terms.java
+++ b/src/main/java/martenslip/platform/contact/ContactSettings.java
@@ -1,4 +1,4 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import java.util.List;
 import martenslip.control.Span;
@@ -7,4 +7,4 @@
  * What the settings say that is no matter of decisions: names of skills in the order of their numbers, the most open
  * contacts, the longest patience of any skill, how late a final answer is still one.
  */
-public record Terms(List<String> skills, int mostOpen, Span patienceMost, Span answerSlack) {}
+public record ContactSettings(List<String> skills, int maxOpen, Span maxPatience, Span answerSlack) {}
--- a/src/main/java/martenslip/platform/desk/Desk.java
+++ b/src/main/java/martenslip/platform/contact/ContactTable.java
@@ -1,4 +1,4 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -8,18 +8,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
 import martenslip.control.Contact;
 import martenslip.control.Controller;
 import martenslip.control.Moment;
 import martenslip.control.Orders;
+import martenslip.control.RejectionReason;
 import martenslip.control.RingEnd;
+import martenslip.control.RingEndCause;
 import martenslip.control.Span;
-import martenslip.roll.LastWord;
+import martenslip.eventloop.TimerWheel;
 import martenslip.sip.message.Request;
-import martenslip.sip.transport.Queued;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.QueuedMessage;
+import martenslip.tracking.AnswerDeadline;
 
 /**
  * The contacts of one controller on the platform: what arrives becomes news for the module, what the module orders
@@ -28,68 +28,68 @@
  * <p>An order that fails at once, and the end of an attempt that was called off, become further news and never reach
  * back into a module that is amid another.
  */
-public final class Desk implements Orders {
+public final class ContactTable implements Orders {
     private static final float[] NO_REPORT = {};
 
-    private final Wheel wheel;
-    private final Terms terms;
-    private final Outward out;
-    private final Map<String, Taken> byTag = new HashMap<>();
-    private final Map<Long, Taken> byId = new LinkedHashMap<>();
-    private final Map<Long, Taken> underWay = new LinkedHashMap<>();
-    private final Standing standing;
-    private final Releases releases;
+    private final TimerWheel wheel;
+    private final ContactSettings terms;
+    private final OutboundMessages out;
+    private final Map<String, TrackedContact> byTag = new HashMap<>();
+    private final Map<Long, TrackedContact> byId = new LinkedHashMap<>();
+    private final Map<Long, TrackedContact> underWay = new LinkedHashMap<>();
+    private final EstablishedContacts establishedCount;
+    private final ReleaseSender releases;
     /** Sizes of the groups as they were told last. */
     private final Map<Long, Integer> sizes = new HashMap<>();
 
     private final ArrayDeque<Consumer<Controller>> news = new ArrayDeque<>();
-    private final Counts counts = new Counts();
-    private Controller module;
+    private final ContactCounters counters = new ContactCounters();
+    private Controller setController;
     private boolean amid;
-    private boolean closing;
+    private boolean refuseNewContacts;
     private long ids;
 
-    public Desk(Wheel wheel, Terms terms, Outward out) {
+    public ContactTable(TimerWheel wheel, ContactSettings terms, OutboundMessages out) {
         this.wheel = wheel;
         this.terms = terms;
         this.out = out;
-        releases = new Releases(wheel, out);
-        standing = new Standing(out, releases, this::standingOver);
+        releases = new ReleaseSender(wheel, out);
+        establishedCount = new EstablishedContacts(out, releases, this::standingOver);
     }
 
     /** The module that was made with this desk as its orders. */
-    public void module(Controller made) {
-        module = made;
+    public void setController(Controller made) {
+        setController = made;
     }
 
-    public Counts counts() {
-        return counts;
+    public ContactCounters counters() {
+        return counters;
     }
 
     /** Contacts without a final answer. */
-    public int open() {
+    public int openCount() {
         return byId.size();
     }
 
-    public int standing() {
-        return standing.count();
+    public int establishedCount() {
+        return establishedCount.count();
     }
 
-    public boolean standsAt(long target) {
-        return standing.at(target);
+    public boolean hasEstablishedAt(long target) {
+        return establishedCount.at(target);
     }
 
-    public int unheardReleases() {
+    public int unacknowledgedReleaseCount() {
         return releases.unheard();
     }
 
     /** From now on what comes is refused; what is open is answered in its own time. */
-    public void closing() {
-        closing = true;
+    public void refuseNewContacts() {
+        refuseNewContacts = true;
     }
 
     /** Tells the module, and then what its orders have brought about, one thing at a time. */
-    public void tell(Consumer<Controller> what) {
+    public void notifyController(Consumer<Controller> what) {
         news.add(what);
         if (amid) {
             return;
@@ -98,7 +98,7 @@
         try {
             for (Consumer<Controller> next = news.poll(); next != null; next = news.poll()) {
                 try {
-                    next.accept(module);
+                    next.accept(setController);
                 } catch (RuntimeException e) {
                     // It costs this piece of news: contacts it left open have their last word here.
                     out.log("fault", "the module: " + e);
@@ -111,37 +111,39 @@
 
     // ---- what callers say
 
-    public void setUp(SetUp asked) {
-        Taken same = byTag.get(asked.tag());
-        if (asked.standsAt() == null && same != null && same.open && same.line == asked.line()) {
+    public void setUpReceived(SetUpRequest asked) {
+        TrackedContact same = byTag.get(asked.tag());
+        if (asked.establishedSwitch() == null && same != null && same.open && same.line == asked.connectionId()) {
             // Which of the two its caller means can't be told, and neither may be answered as good.
-            out.drop(asked.line(), "two set-ups under one id");
+            out.disconnect(asked.connectionId(), "two set-ups under one id");
             return;
         }
-        if (asked.standsAt() == null && (same != null || closing || byId.size() >= terms.mostOpen())) {
-            counts.refusedUnseen++;
-            out.settled(asked.line(), asked.tag());
-            out.toCaller(
-                    asked.line(),
+        if (asked.establishedSwitch() == null
+                && (same != null || refuseNewContacts || byId.size() >= terms.maxOpen())) {
+            counters.refusedUnseen++;
+            out.contactAnswered(asked.connectionId(), asked.tag());
+            out.sendToCaller(
+                    asked.connectionId(),
                     same != null
-                            ? Replies.plain(asked.invite(), 482, "Loop Detected")
-                            : Replies.deferred(asked.invite(), Span.ZERO));
+                            ? CallerMessages.response(asked.invite(), 482, "Loop Detected")
+                            : CallerMessages.deferred(asked.invite(), Span.ZERO));
             return;
         }
-        if (asked.caller().made()) {
+        if (asked.cancellation().isCancelled()) {
             // Nobody waits for it any more: what its caller said after it stands behind it in the inbox.
-            counts.callerGone++;
-            out.settled(asked.line(), asked.tag());
-            out.toCaller(asked.line(), Replies.plain(asked.invite(), 487, "Request Terminated"));
+            counters.callerGone++;
+            out.contactAnswered(asked.connectionId(), asked.tag());
+            out.sendToCaller(asked.connectionId(), CallerMessages.response(asked.invite(), 487, "Request Terminated"));
             return;
         }
-        Taken one = new Taken(++ids, asked);
+        TrackedContact one = new TrackedContact(++ids, asked);
         byTag.put(one.tag, one);
         byId.put(one.id, one);
-        counts.taken++;
+        counters.taken++;
         Moment now = wheel.now();
-        Span left = asked.patience().minus(now.since(asked.heardAt()).least(Span.ZERO));
-        one.lastWord = wheel.at(LastWord.of(now, left.plus(terms.answerSlack())), () -> lastWord(one));
+        Span left = asked.patience().minus(now.since(asked.receivedAt()).atLeast(Span.ZERO));
+        one.lastWord =
+                wheel.scheduleAt(AnswerDeadline.forContact(now, left.plus(terms.answerSlack())), () -> lastWord(one));
         Contact contact = new Contact(
                 one.id,
                 asked.skill(),
@@ -149,71 +151,71 @@
                 asked.destination(),
                 asked.hint(),
                 asked.width(),
-                left.least(Span.ZERO),
+                left.atLeast(Span.ZERO),
                 false,
                 asked.transit(),
-                asked.again());
-        tell(to -> to.offered(wheel.now(), contact));
+                asked.redial());
+        notifyController(to -> to.contactOffered(wheel.now(), contact));
     }
 
     /** A contact that stands already at a switch, as its caller says; no answer is expected. */
-    public void stoodBefore(SetUp asked, long target) {
-        out.settled(asked.line(), asked.tag());
+    public void establishedElsewhere(SetUpRequest asked, long target) {
+        out.contactAnswered(asked.connectionId(), asked.tag());
         if (byTag.containsKey(asked.tag())) {
             return;
         }
-        Taken one = new Taken(++ids, asked);
+        TrackedContact one = new TrackedContact(++ids, asked);
         one.open = false;
         one.acknowledged = true;
-        one.attempt = new Taken.Attempt(-1, target, null, wheel.now());
+        one.attempt = new TrackedContact.Attempt(-1, target, null, wheel.now());
         byTag.put(one.tag, one);
-        standing.add(one, wheel.now());
-        counts.inherited++;
+        establishedCount.add(one, wheel.now());
+        counters.inherited++;
     }
 
     /** One that names a switch that is nowhere: what it named is over. */
-    public void stoodNowhere(SetUp asked) {
-        out.settled(asked.line(), asked.tag());
+    public void establishedAtUnknownSwitch(SetUpRequest asked) {
+        out.contactAnswered(asked.connectionId(), asked.tag());
         if (!byTag.containsKey(asked.tag())) {
-            releases.release(asked.tag(), asked.key(), Ended.CUT, asked.line());
+            releases.release(asked.tag(), asked.calledNumber(), EndCause.CUT, asked.connectionId());
         }
     }
 
-    public void withdrawn(long line, Request cancel) {
-        Taken one = byTag.get(cancel.callId());
+    public void cancelReceived(long line, Request cancel) {
+        TrackedContact one = byTag.get(cancel.callId());
         if (one == null || one.line != line) {
-            out.toCaller(line, Replies.plain(cancel, 481, "Call/Transaction Does Not Exist"));
+            out.sendToCaller(line, CallerMessages.response(cancel, 481, "Call/Transaction Does Not Exist"));
             return;
         }
-        out.toCaller(line, Replies.plain(cancel, 200, "OK"));
+        out.sendToCaller(line, CallerMessages.response(cancel, 200, "OK"));
         leaves(one);
     }
 
     /** Its caller has cancelled, or is known to have gone before that was told here. */
-    private void leaves(Taken one) {
+    private void leaves(TrackedContact one) {
         if (one.open) {
-            out.toCaller(one.line, Replies.plain(one.asked.invite(), 487, "Request Terminated"));
+            out.sendToCaller(one.line, CallerMessages.response(one.asked.invite(), 487, "Request Terminated"));
             callerGone(one);
         }
     }
 
-    private void callerGone(Taken one) {
-        counts.callerGone++;
+    private void callerGone(TrackedContact one) {
+        counters.callerGone++;
         closed(one);
-        tell(to -> to.callerGone(wheel.now(), one.id));
+        notifyController(to -> to.callerGone(wheel.now(), one.id));
     }
 
-    public void released(long line, Request bye) {
-        Taken early = byTag.get(bye.callId());
+    public void byeReceived(long line, Request bye) {
+        TrackedContact early = byTag.get(bye.callId());
         boolean open = early != null && early.open && early.line == line;
         boolean stands = early != null && early.stands;
-        out.toCaller(
+        out.sendToCaller(
                 line,
                 open || stands
-                        ? Replies.plain(bye, 200, "OK")
-                        : Replies.plain(bye, 481, "Call/Transaction Does Not Exist"));
+                        ? CallerMessages.response(bye, 200, "OK")
+                        : CallerMessages.response(bye, 481, "Call/Transaction Does Not Exist"));
         if (stands) {
-            standing.releasedByCaller(early);
+            establishedCount.releasedByCaller(early);
         } else if (open) {
             // RFC 3261 15.1.2: what is pending is still answered.
             leaves(early);
@@ -221,33 +223,33 @@
     }
 
     /** The caller has the good answer. */
-    public void acknowledged(String tag) {
-        standing.acknowledged(tag);
+    public void ackReceived(String tag) {
+        establishedCount.acknowledged(tag);
     }
 
     /** The caller has taken a release, or knows nothing of it. */
-    public void releaseHeard(String tag) {
+    public void releaseAcknowledged(String tag) {
         releases.heard(tag);
     }
 
-    public void lineOver(long line) {
+    public void callerConnectionEnded(long line) {
         releases.lineOver(line);
-        for (Taken one : List.copyOf(byId.values())) {
+        for (TrackedContact one : List.copyOf(byId.values())) {
             if (one.line == line) {
                 callerGone(one);
             }
         }
-        standing.connectionOver(line);
+        establishedCount.connectionOver(line);
     }
 
     // ---- what switches say
 
     public void started(long target, long connection, String tag, String description) {
-        Taken one = byTag.get(tag);
+        TrackedContact one = byTag.get(tag);
         if (one == null || one.stands || !out(one, target)) {
             return;
         }
-        if (one.open && one.asked.caller().made()) {
+        if (one.open && one.asked.cancellation().isCancelled()) {
             // Known to have gone, though the news of it is still on its way: it takes no answer as good any more.
             leaves(one);
         }
@@ -256,7 +258,7 @@
             return;
         }
         if (description == null || !one.open) {
-            giveUp(one, description == null ? Cause.CUT : Cause.CALLED_OFF);
+            giveUp(one, description == null ? RingEndCause.CUT : RingEndCause.CALLED_OFF);
             return;
         }
         Request invite = one.asked.invite();
@@ -265,47 +267,48 @@
         one.attempt.limit.cancel();
         underWay.remove(one.id);
         closed(one);
-        standing.add(one, wheel.now());
-        counts.stood++;
-        boolean said = out.toCaller(one.line, Replies.stands(invite, description.getBytes(StandardCharsets.UTF_8)));
-        tell(to -> to.stands(wheel.now(), one.id, number, target, took));
+        establishedCount.add(one, wheel.now());
+        counters.stood++;
+        boolean said =
+                out.sendToCaller(one.line, CallerMessages.stands(invite, description.getBytes(StandardCharsets.UTF_8)));
+        notifyController(to -> to.established(wheel.now(), one.id, number, target, took));
         if (!said) {
-            lineOver(one.line);
+            callerConnectionEnded(one.line);
         }
     }
 
     public void ended(long target, long connection, String tag, int cause, String note, float[] report) {
-        out.finished(target, connection, tag);
-        Taken one = byTag.get(tag);
+        out.sendFinished(target, connection, tag);
+        TrackedContact one = byTag.get(tag);
         if (one == null || !out(one, target)) {
             return;
         }
         if (one.attempt.givenUp && !one.stands) {
             // It crossed the end that is on its way there, which counts; what it says of circuits is true all the same.
             if (report.length > 0) {
-                load(target, report);
+                loadReported(target, report);
             }
             return;
         }
         if (one.stands) {
-            standing.releasedBySwitch(one, cause, report);
+            establishedCount.releasedBySwitch(one, cause, report);
         } else {
-            Ended end = Ended.ofRing(cause, note);
+            EndCause end = EndCause.ofRing(cause, note);
             told(target, report);
             attemptOver(one, end.cause(), end.blame(), state(one, end, report));
         }
     }
 
     /** An answer counts for the attempt that is out; to one that was never written there is none. */
-    private static boolean out(Taken one, long target) {
+    private static boolean out(TrackedContact one, long target) {
         return one.attempt != null
                 && one.attempt.target == target
-                && (one.attempt.queued == null || one.attempt.queued.message().written());
+                && (one.attempt.queued == null || one.attempt.queued.message().isWritten());
     }
 
-    public void load(long target, float[] report) {
+    public void loadReported(long target, float[] report) {
         told(target, report);
-        tell(to -> to.reported(wheel.now(), target, true, Span.ZERO, report));
+        notifyController(to -> to.switchReported(wheel.now(), target, true, Span.ZERO, report));
     }
 
     private void told(long target, float[] report) {
@@ -318,100 +321,104 @@
      * A set-up that found too few circuits says so without a report: that few are free is a state of the group all
      * the same, and where the switch told none when they were taken, it is the only word of it.
      */
-    private float[] state(Taken one, Ended end, float[] report) {
-        boolean full = end.cause() == Cause.NOT_SENT && end.blame() == Blame.NO_CIRCUIT;
+    private float[] state(TrackedContact one, EndCause end, float[] report) {
+        boolean full = end.cause() == RingEndCause.NOT_SENT && end.blame() == RejectionReason.NO_CIRCUIT;
         Integer size = sizes.get(one.attempt.target);
         return full && report.length == 0 && size != null ? new float[] {one.asked.width() - 1, size} : report;
     }
 
     /** A switch that has left the list for good; its number does not come again. */
-    public void forget(long target) {
+    public void switchRemoved(long target) {
         sizes.remove(target);
     }
 
     /** A connection is over; the rings that went by it are given up, what stands is not touched. */
-    public void connectionOver(long target, long connection, boolean everUp) {
-        for (Taken one : List.copyOf(underWay.values())) {
+    public void switchConnectionEnded(long target, long connection, boolean everUp) {
+        for (TrackedContact one : List.copyOf(underWay.values())) {
             if (one.attempt.connection() == connection) {
                 boolean never = one.attempt.revoked();
                 attemptOver(
-                        one, !everUp ? Cause.UNREACHABLE : never ? Cause.NOT_SENT : Cause.CUT, Blame.NONE, NO_REPORT);
+                        one,
+                        !everUp ? RingEndCause.UNREACHABLE : never ? RingEndCause.NOT_SENT : RingEndCause.CUT,
+                        RejectionReason.NONE,
+                        NO_REPORT);
             }
         }
     }
 
     /** The process behind a switch has ended: what stood there before a moment is over, and no release will come. */
-    public void switchOver(long target, Moment before) {
-        standing.processOver(target, before);
+    public void switchProcessEnded(long target, Moment before) {
+        establishedCount.processOver(target, before);
     }
 
     // ---- ends
 
-    private void closed(Taken one) {
+    private void closed(TrackedContact one) {
         one.open = false;
         one.lastWord.cancel();
         byId.remove(one.id);
-        out.settled(one.line, one.tag);
+        out.contactAnswered(one.line, one.tag);
         if (one.attempt == null) {
             byTag.remove(one.tag);
         }
     }
 
-    private void standingOver(Taken one, Cause cause, float[] report) {
+    private void standingOver(TrackedContact one, RingEndCause cause, float[] report) {
         byTag.remove(one.tag);
-        Taken.Attempt was = one.attempt;
+        TrackedContact.Attempt was = one.attempt;
         if (was.number < 0) {
             // The module never knew it: the report still tells of circuits.
             if (report.length > 0) {
-                load(was.target, report);
+                loadReported(was.target, report);
             }
             return;
         }
         Span took = wheel.now().since(was.begun);
-        tell(to -> to.ringEnded(
-                wheel.now(), new RingEnd(one.id, was.number, was.target, cause, Blame.NONE, took, true, report)));
+        notifyController(to -> to.ringEnded(
+                wheel.now(),
+                new RingEnd(one.id, was.number, was.target, cause, RejectionReason.NONE, took, true, report)));
     }
 
     /**
      * Gives an attempt up toward its switch. One whose write has not begun is taken back: it was never sent, and the
      * switch hears nothing of it. Of one that was, the end counts once it is written, as the release after it does.
      */
-    private void giveUp(Taken one, Cause cause) {
-        Taken.Attempt attempt = one.attempt;
+    private void giveUp(TrackedContact one, RingEndCause cause) {
+        TrackedContact.Attempt attempt = one.attempt;
         if (attempt.revoked()) {
-            attemptOver(one, Cause.NOT_SENT, Blame.NONE, NO_REPORT);
+            attemptOver(one, RingEndCause.NOT_SENT, RejectionReason.NONE, NO_REPORT);
             return;
         }
         attempt.limit.cancel();
         attempt.givenUp = true;
-        out.finish(attempt.target, attempt.connection(), one.tag, Ended.NORMAL, () -> {
+        out.sendFinish(attempt.target, attempt.connection(), one.tag, EndCause.NORMAL, () -> {
             if (one.attempt == attempt) {
-                attemptOver(one, cause, Blame.NONE, NO_REPORT);
+                attemptOver(one, cause, RejectionReason.NONE, NO_REPORT);
             }
         });
     }
 
-    private void attemptOver(Taken one, Cause cause, Blame blame, float[] report) {
-        Taken.Attempt attempt = one.attempt;
+    private void attemptOver(TrackedContact one, RingEndCause cause, RejectionReason blame, float[] report) {
+        TrackedContact.Attempt attempt = one.attempt;
         attempt.limit.cancel();
         underWay.remove(one.id);
         one.attempt = null;
         if (!one.open) {
             byTag.remove(one.tag);
         }
-        counts.ended(cause, blame);
+        counters.ended(cause, blame);
         Span took = wheel.now().since(attempt.begun);
-        tell(to -> to.ringEnded(
+        notifyController(to -> to.ringEnded(
                 wheel.now(),
                 new RingEnd(one.id, attempt.number, attempt.target, cause, blame, took, !one.open, report)));
     }
 
-    private void lastWord(Taken one) {
+    private void lastWord(TrackedContact one) {
         if (!one.open) {
             return;
         }
         out.log("last-word", "the module left a contact without an answer");
-        out.toCaller(one.line, Replies.plain(one.asked.invite(), 500, "Server Internal Error"));
+        out.sendToCaller(one.line, CallerMessages.response(one.asked.invite(), 500, "Server Internal Error"));
         callerGone(one);
     }
 
@@ -419,95 +426,99 @@
 
     @Override
     public void ring(long contact, long target, Span limit) {
-        Taken one = byId.get(contact);
+        TrackedContact one = byId.get(contact);
         if (one == null || one.attempt != null) {
             out.log("fault", "an attempt for a contact that is over or has one out");
             return;
         }
         int number = one.attempts++;
-        counts.rings++;
-        SetUp asked = one.asked;
+        counters.rings++;
+        SetUpRequest asked = one.asked;
         Moment until = wheel.now().plus(limit);
-        Queued queued = asked.caller().made()
+        QueuedMessage queued = asked.cancellation().isCancelled()
                 ? null
-                : out.start(
+                : out.sendStart(
                         target,
-                        new Start(
+                        new SwitchStartRequest(
                                 one.tag,
                                 terms.skills().get(asked.skill()),
                                 one.key,
                                 asked.description(),
                                 until,
-                                asked.caller()),
+                                asked.cancellation()),
                         () -> unsent(one, number));
-        Taken.Attempt attempt = new Taken.Attempt(number, target, queued, wheel.now());
+        TrackedContact.Attempt attempt = new TrackedContact.Attempt(number, target, queued, wheel.now());
         one.attempt = attempt;
         underWay.put(one.id, one);
-        attempt.limit = wheel.at(until, () -> {
+        attempt.limit = wheel.scheduleAt(until, () -> {
             if (one.attempt == attempt) {
-                giveUp(one, Cause.TIMED_OUT);
+                giveUp(one, RingEndCause.TIMED_OUT);
             }
         });
-        if (asked.caller().made()) {
+        if (asked.cancellation().isCancelled()) {
             news.add(to -> leaves(one));
         } else if (queued == null) {
             news.add(to -> {
                 if (one.attempt == attempt) {
-                    attemptOver(one, Cause.UNREACHABLE, Blame.NONE, NO_REPORT);
+                    attemptOver(one, RingEndCause.UNREACHABLE, RejectionReason.NONE, NO_REPORT);
                 }
             });
         }
     }
 
     /** An attempt's reason no longer held when its turn to be written came. */
-    private void unsent(Taken one, int number) {
+    private void unsent(TrackedContact one, int number) {
         if (one.attempt != null && one.attempt.number == number) {
-            attemptOver(one, Cause.NOT_SENT, Blame.NONE, NO_REPORT);
+            attemptOver(one, RingEndCause.NOT_SENT, RejectionReason.NONE, NO_REPORT);
         }
     }
 
     @Override
-    public void callOff(long contact, int number) {
-        Taken one = underWay.get(contact);
+    public void cancel(long contact, int number) {
+        TrackedContact one = underWay.get(contact);
         if (one == null || one.attempt.number != number || one.attempt.givenUp) {
             return;
         }
-        Taken.Attempt attempt = one.attempt;
+        TrackedContact.Attempt attempt = one.attempt;
         if (!attempt.revoked()) {
-            out.finish(attempt.target, attempt.connection(), one.tag, Ended.NORMAL, () -> {});
+            out.sendFinish(attempt.target, attempt.connection(), one.tag, EndCause.NORMAL, () -> {});
         }
         attempt.givenUp = true;
         // Called within the module: how it ended is told after, when it is known whether the contact is over.
         news.add(to -> {
             if (one.attempt == attempt) {
-                attemptOver(one, attempt.revoked() ? Cause.NOT_SENT : Cause.CALLED_OFF, Blame.NONE, NO_REPORT);
+                attemptOver(
+                        one,
+                        attempt.revoked() ? RingEndCause.NOT_SENT : RingEndCause.CALLED_OFF,
+                        RejectionReason.NONE,
+                        NO_REPORT);
             }
         });
     }
 
     @Override
     public void defer(long contact, Span comeBack) {
-        Taken one = byId.get(contact);
+        TrackedContact one = byId.get(contact);
         if (one != null) {
-            counts.deferred++;
-            out.toCaller(one.line, Replies.deferred(one.asked.invite(), comeBack));
+            counters.deferred++;
+            out.sendToCaller(one.line, CallerMessages.deferred(one.asked.invite(), comeBack));
             closed(one);
         }
     }
 
     @Override
     public void abandon(long contact) {
-        Taken one = byId.get(contact);
+        TrackedContact one = byId.get(contact);
         if (one != null) {
-            counts.abandoned++;
-            out.toCaller(one.line, Replies.plain(one.asked.invite(), 500, "Server Internal Error"));
+            counters.abandoned++;
+            out.sendToCaller(one.line, CallerMessages.response(one.asked.invite(), 500, "Server Internal Error"));
             closed(one);
         }
     }
 
     @Override
-    public void clock(Span delay, long token) {
-        wheel.after(delay, () -> tell(to -> to.clockRung(wheel.now(), token)));
+    public void startTimer(Span delay, long token) {
+        wheel.scheduleAfter(delay, () -> notifyController(to -> to.timerExpired(wheel.now(), token)));
     }
 
     @Override
@@ -516,12 +527,12 @@
     }
 
     @Override
-    public void note(int peer, byte[] note) {
-        out.note(peer, note);
+    public void sendNote(int peer, byte[] note) {
+        out.sendNote(peer, note);
     }
 
     @Override
-    public void watchList(boolean on) {
+    public void watchSwitchList(boolean on) {
         // The journal service tells unasked; there is nothing to subscribe to.
     }
 
--- a/src/main/java/martenslip/platform/desk/Releases.java
+++ b/src/main/java/martenslip/platform/contact/ReleaseSender.java
@@ -1,16 +1,16 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import martenslip.control.Span;
-import martenslip.wheel.Wheel;
+import martenslip.eventloop.TimerWheel;
 
 /**
  * Releases toward callers of what stood and is over: said on the connection of the set-up, else on any caller's, and
  * again until they are heard. The deciding thread's.
  */
-final class Releases {
+final class ReleaseSender {
     /** How often releases are said again to callers who were not heard to take them, and how often at most. */
     private static final Span AGAIN = Span.ofMillis(400);
 
@@ -18,7 +18,7 @@
     private static final int MOST_RELEASES = 4096;
 
     /** A release that a caller has not been heard to take. */
-    private static final class Release {
+    private static final class PendingRelease {
         final String tag;
         final byte[] message;
         /** The connection that it was said on last; the next time another is taken, where there is one. */
@@ -26,18 +26,18 @@
 
         int said;
 
-        Release(String tag, byte[] message, long line) {
+        PendingRelease(String tag, byte[] message, long line) {
             this.tag = tag;
             this.message = message;
             this.line = line;
         }
     }
 
-    private final Wheel wheel;
-    private final Outward out;
-    private final Map<String, Release> unheard = new LinkedHashMap<>();
+    private final TimerWheel wheel;
+    private final OutboundMessages out;
+    private final Map<String, PendingRelease> unheard = new LinkedHashMap<>();
 
-    Releases(Wheel wheel, Outward out) {
+    ReleaseSender(TimerWheel wheel, OutboundMessages out) {
         this.wheel = wheel;
         this.out = out;
     }
@@ -56,21 +56,21 @@
             out.log("releases", "too many releases unheard, the oldest is dropped");
             unheard.remove(unheard.keySet().iterator().next());
         }
-        Release one = new Release(tag, Replies.release(tag, key, cause), line);
+        PendingRelease one = new PendingRelease(tag, CallerMessages.release(tag, key, cause), line);
         unheard.put(tag, one);
         say(one);
     }
 
     /** A connection is over: what was said on it last, and not heard, may never have come through. */
     void lineOver(long line) {
-        for (Release one : List.copyOf(unheard.values())) {
+        for (PendingRelease one : List.copyOf(unheard.values())) {
             if (one.line == line && one.said > 0) {
                 again(one);
             }
         }
     }
 
-    private void say(Release one) {
+    private void say(PendingRelease one) {
         if (unheard.get(one.tag) != one) {
             return;
         }
@@ -80,16 +80,16 @@
             unheard.remove(one.tag);
             return;
         }
-        wheel.after(AGAIN, () -> say(one));
+        wheel.scheduleAfter(AGAIN, () -> say(one));
     }
 
-    private void again(Release one) {
-        if (one.said == 0 && out.toCaller(one.line, one.message)) {
+    private void again(PendingRelease one) {
+        if (one.said == 0 && out.sendToCaller(one.line, one.message)) {
             one.said++;
             return;
         }
-        long other = out.anyLine(one.line);
-        if (other != 0 && out.toCaller(other, one.message)) {
+        long other = out.anyConnection(one.line);
+        if (other != 0 && out.sendToCaller(other, one.message)) {
             one.line = other;
             one.said++;
         }
--- a/src/main/java/martenslip/platform/desk/SetUp.java
+++ b/src/main/java/martenslip/platform/contact/SetUpRequest.java
@@ -1,4 +1,4 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import martenslip.control.Moment;
 import martenslip.control.Span;
@@ -9,23 +9,23 @@
  * {@code key} the number called as it was written, {@code standsAt} the switch where it stands already, or null,
  * {@code caller} whether it still waits for the answer.
  */
-public record SetUp(
-        long line,
+public record SetUpRequest(
+        long connectionId,
         Request invite,
         String tag,
-        String key,
+        String calledNumber,
         int skill,
-        Moment heardAt,
+        Moment receivedAt,
         Span patience,
         int destination,
         int hint,
         int width,
         boolean transit,
-        boolean again,
-        String standsAt,
+        boolean redial,
+        String establishedSwitch,
         String description,
-        Withdrawal caller) {
+        CallerCancellation cancellation) {
     long dialled() {
-        return Long.parseUnsignedLong(key, 16);
+        return Long.parseUnsignedLong(calledNumber, 16);
     }
 }
--- a/src/main/java/martenslip/platform/desk/Taken.java
+++ b/src/main/java/martenslip/platform/contact/TrackedContact.java
@@ -1,24 +1,24 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import martenslip.control.Moment;
-import martenslip.sip.transport.Queued;
-import martenslip.wheel.Wheel;
+import martenslip.eventloop.TimerWheel;
+import martenslip.sip.transport.QueuedMessage;
 
 /**
  * A contact from its set-up until nothing of it is left: open until its final answer, then standing where that was
  * good. It may outlast its answer with an attempt still out.
  */
-final class Taken {
+final class TrackedContact {
     /** An attempt that is out; {@code queued} is null where no connection could be had, or none is known. */
     static final class Attempt {
         final int number;
         final long target;
-        final Queued queued;
+        final QueuedMessage queued;
         final Moment begun;
-        Wheel.Timer limit;
+        TimerWheel.Timer limit;
         boolean givenUp;
 
-        Attempt(int number, long target, Queued queued, Moment begun) {
+        Attempt(int number, long target, QueuedMessage queued, Moment begun) {
             this.number = number;
             this.target = target;
             this.queued = queued;
@@ -26,7 +26,7 @@
         }
 
         long connection() {
-            return queued == null ? 0 : queued.connection();
+            return queued == null ? 0 : queued.connectionId();
         }
 
         /** Takes it back; true where not a byte of it has been or will be written. */
@@ -39,8 +39,8 @@
     final String tag;
     final String key;
     final long line;
-    SetUp asked;
-    Wheel.Timer lastWord;
+    SetUpRequest asked;
+    TimerWheel.Timer lastWord;
     int attempts;
     Attempt attempt;
     boolean open = true;
@@ -48,11 +48,11 @@
     boolean acknowledged;
     Moment stoodAt;
 
-    Taken(long id, SetUp asked) {
+    TrackedContact(long id, SetUpRequest asked) {
         this.id = id;
         this.asked = asked;
         tag = asked.tag();
-        key = asked.key();
-        line = asked.line();
+        key = asked.calledNumber();
+        line = asked.connectionId();
     }
 }
--- a/src/main/java/martenslip/platform/journal/Journal.java
+++ b/src/main/java/martenslip/platform/journal/Journal.java
@@ -12,25 +12,25 @@
  */
 public final class Journal implements AutoCloseable {
     /** Takes events in the order of their numbers; called by a feed's thread. */
-    public interface Heard {
-        void event(ListEvent event) throws InterruptedException;
+    public interface Listener {
+        void eventReceived(SwitchListEvent event) throws InterruptedException;
 
-        void broken(String why);
+        void connectionLost(String why);
     }
 
-    private final Heard heard;
-    private Feed newest;
+    private final Listener heard;
+    private JournalConnection newest;
     /** The one before, as long as the newest has not talked; or null. */
-    private Feed before;
+    private JournalConnection before;
 
     private boolean newestTalked;
     private boolean closing;
     private volatile long position;
 
-    public Journal(InetSocketAddress at, long position, Heard heard) {
+    public Journal(InetSocketAddress at, long position, Listener heard) {
         this.position = position;
         this.heard = heard;
-        newest = new Feed(at, tells);
+        newest = new JournalConnection(at, tells);
     }
 
     public synchronized void start() {
@@ -42,7 +42,7 @@
     }
 
     /** From now on the feed is read elsewhere; positions go on. Any thread. */
-    public synchronized void moved(InetSocketAddress to) {
+    public synchronized void moveTo(InetSocketAddress to) {
         if (closing || to.equals(newest.at)) {
             return;
         }
@@ -51,19 +51,19 @@
             // Its address takes nobody any more: what it has still to tell is welcome.
             before = newest;
         }
-        newest = new Feed(to, tells);
+        newest = new JournalConnection(to, tells);
         newestTalked = false;
         newest.start();
     }
 
-    private final Feed.Tells tells = new Feed.Tells() {
+    private final JournalConnection.Listener tells = new JournalConnection.Listener() {
         @Override
         public long position() {
             return Journal.this.position();
         }
 
         @Override
-        public boolean talks(Feed by) {
+        public boolean talks(JournalConnection by) {
             synchronized (Journal.this) {
                 if (by == newest && !newestTalked) {
                     newestTalked = true;
@@ -74,23 +74,23 @@
         }
 
         @Override
-        public void event(Feed by, ListEvent event) throws InterruptedException {
+        public void event(JournalConnection by, SwitchListEvent event) throws InterruptedException {
             synchronized (Journal.this) {
                 if (!counts(by) || event.position() <= position) {
                     return;
                 }
-                heard.event(event);
+                heard.eventReceived(event);
                 position = event.position();
             }
         }
 
         @Override
         public void broken(String why) {
-            heard.broken(why);
+            heard.connectionLost(why);
         }
     };
 
-    private boolean counts(Feed by) {
+    private boolean counts(JournalConnection by) {
         return !closing && (by == newest || by == before);
     }
 
--- a/src/main/java/martenslip/platform/journal/Feed.java
+++ b/src/main/java/martenslip/platform/journal/JournalConnection.java
@@ -18,7 +18,7 @@
  * late hits whatever is waited for next. A feed that is no longer heard notices it at its next line, or when it has
  * been silent for too long.
  */
-final class Feed {
+final class JournalConnection {
     private static final int STACK = 256 * 1024;
     private static final int CONNECT_MS = 700;
     /** A comment is due each second. */
@@ -30,22 +30,22 @@
     private static final int LEAST_PAUSE_MS = 10;
 
     /** What a feed tells; called by its thread. */
-    interface Tells {
+    interface Listener {
         long position();
 
         /** False where it is no longer to be heard. */
-        boolean talks(Feed by);
+        boolean talks(JournalConnection by);
 
-        void event(Feed by, ListEvent event) throws InterruptedException;
+        void event(JournalConnection by, SwitchListEvent event) throws InterruptedException;
 
         void broken(String why);
     }
 
     final InetSocketAddress at;
-    private final Tells tells;
+    private final Listener tells;
     private boolean ended;
 
-    Feed(InetSocketAddress at, Tells tells) {
+    JournalConnection(InetSocketAddress at, Listener tells) {
         this.at = at;
         this.tells = tells;
     }
@@ -56,7 +56,7 @@
         thread.start();
     }
 
-    /** Not asked for again once it breaks. Whether it is heard until then is settled by {@link Tells#talks}. */
+    /** Not asked for again once it breaks. Whether it is heard until then is settled by {@link Listener#talks}. */
     synchronized void end() {
         ended = true;
         notifyAll();
@@ -76,7 +76,7 @@
                 return;
             }
             boolean told = talked || tells.position() != before;
-            pause = told ? Span.ZERO : pause.times(2).least(FIRST_PAUSE).most(LONGEST_PAUSE);
+            pause = told ? Span.ZERO : pause.times(2).atLeast(FIRST_PAUSE).atMost(LONGEST_PAUSE);
         } while (goesOnAfter(Math.max(LEAST_PAUSE_MS, pause.ns() / 1_000_000)));
     }
 
@@ -136,7 +136,9 @@
                 text = text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
                 if (text.isEmpty()) {
                     if (data.length() > 0) {
-                        tells.event(this, ListEvent.of(Json.read(data.toString().getBytes(StandardCharsets.UTF_8))));
+                        tells.event(
+                                this,
+                                SwitchListEvent.parse(Json.read(data.toString().getBytes(StandardCharsets.UTF_8))));
                         data.setLength(0);
                     }
                 } else if (text.startsWith("data:")) {
--- a/src/main/java/martenslip/platform/json/Addresses.java
+++ b/src/main/java/martenslip/platform/json/AddressParser.java
@@ -5,10 +5,10 @@
 import java.net.InetSocketAddress;
 
 /** Addresses as the platform writes them: IPv4 and a port; names are never looked up. */
-public final class Addresses {
-    private Addresses() {}
+public final class AddressParser {
+    private AddressParser() {}
 
-    public static InetSocketAddress of(Object value, String where) throws IOException {
+    public static InetSocketAddress parse(Object value, String where) throws IOException {
         String text = value instanceof String given ? given : "";
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
--- a/src/main/java/martenslip/platform/json/Json.java
+++ b/src/main/java/martenslip/platform/json/Json.java
@@ -57,7 +57,7 @@
                 yield list;
             }
             case VALUE_STRING -> in.getText();
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> new Figure(in.getText());
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> new JsonNumber(in.getText());
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
@@ -67,15 +67,15 @@
     }
 
     /** The value where it is a number; else the message names its place. */
-    public static double figure(Object value, String where) throws IOException {
-        if (value instanceof Figure figure) {
+    public static double number(Object value, String where) throws IOException {
+        if (value instanceof JsonNumber figure) {
             return figure.value();
         }
         throw new IOException(where + " is missing or no number");
     }
 
     /** A number as it was written, so that the module's settings get the text and lose nothing. */
-    public record Figure(String text) {
+    public record JsonNumber(String text) {
         public double value() {
             return Double.parseDouble(text);
         }
--- a/src/main/java/martenslip/platform/peer/Peers.java
+++ b/src/main/java/martenslip/platform/peer/PeerNoteTransport.java
@@ -9,16 +9,16 @@
 import java.util.List;
 import java.util.Map;
 import martenslip.control.Orders;
-import martenslip.sip.transport.Drops;
+import martenslip.sip.transport.DropCounter;
 
 /** Notes between controllers, a datagram each; they may be late or lost. Only listed senders are heard. */
-public final class Peers implements AutoCloseable {
-    public static final int MOST_BYTES = 256;
+public final class PeerNoteTransport implements AutoCloseable {
+    public static final int MAX_NOTE_BYTES = 256;
     private static final int STACK = 128 * 1024;
 
     /** Called by the reading thread; says no where there is no room, and the note is lost. */
-    public interface Heard {
-        boolean note(int peer, byte[] note);
+    public interface Listener {
+        boolean noteReceived(int peer, byte[] note);
     }
 
     private final DatagramSocket socket;
@@ -26,16 +26,16 @@
     private final InetSocketAddress all;
     private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
     private final int own;
-    private final Drops drops;
-    private final Heard heard;
+    private final DropCounter drops;
+    private final Listener heard;
 
-    public Peers(
+    public PeerNoteTransport(
             InetSocketAddress at,
             List<InetSocketAddress> peers,
             InetSocketAddress all,
             int own,
-            Drops drops,
-            Heard heard)
+            DropCounter drops,
+            Listener heard)
             throws IOException {
         this.peers = peers;
         this.all = all;
@@ -55,31 +55,31 @@
     public void send(int peer, byte[] note) {
         InetSocketAddress to =
                 peer == Orders.ALL_PEERS ? all : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
-        if (to == null || note.length > MOST_BYTES || note.length == 0) {
-            drops.count("note not sent");
+        if (to == null || note.length > MAX_NOTE_BYTES || note.length == 0) {
+            drops.increment("note not sent");
             return;
         }
         try {
             socket.send(new DatagramPacket(note, note.length, to));
         } catch (IOException e) {
-            drops.count("note not sent");
+            drops.increment("note not sent");
         }
     }
 
     private void read() {
-        byte[] room = new byte[MOST_BYTES + 1];
+        byte[] room = new byte[MAX_NOTE_BYTES + 1];
         while (!socket.isClosed()) {
             try {
                 DatagramPacket packet = new DatagramPacket(room, room.length);
                 socket.receive(packet);
                 Integer from = numbers.get(packet.getSocketAddress());
-                if (from == null || from == own || packet.getLength() > MOST_BYTES) {
-                    drops.count("note of a stranger, of oneself or too long");
-                } else if (!heard.note(from, Arrays.copyOf(room, packet.getLength()))) {
-                    drops.count("note without room");
+                if (from == null || from == own || packet.getLength() > MAX_NOTE_BYTES) {
+                    drops.increment("note of a stranger, of oneself or too long");
+                } else if (!heard.noteReceived(from, Arrays.copyOf(room, packet.getLength()))) {
+                    drops.increment("note without room");
                 }
             } catch (IOException | RuntimeException e) {
-                drops.count("note read fault");
+                drops.increment("note read fault");
             }
         }
     }
--- a/src/main/java/martenslip/platform/switchconnection/Load.java
+++ b/src/main/java/martenslip/platform/switchconnection/LoadReportParser.java
@@ -8,7 +8,7 @@
  * Reads a load report into the order of the settings' fields; what is absent or no number is told as such,
  * never as 0. The wire may name a field by the simulator's word where the settings have the platform's.
  */
-public final class Load {
+public final class LoadReportParser {
     private static final Map<String, String> OTHER = Map.of(
             "spare",
             "x0",
@@ -30,7 +30,7 @@
     private final Map<String, Integer> places = new HashMap<>();
     private final int count;
 
-    public Load(List<String> fields) {
+    public LoadReportParser(List<String> fields) {
         count = fields.size();
         for (int i = 0; i < count; i++) {
             places.put(fields.get(i), i);
--- a/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
@@ -14,21 +14,21 @@
 import java.util.function.Supplier;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.platform.desk.Start;
-import martenslip.pulse.Pulse;
-import martenslip.sip.transport.Bounds;
+import martenslip.eventloop.TimerWheel;
+import martenslip.liveness.LivenessMonitor;
+import martenslip.platform.contact.SwitchStartRequest;
 import martenslip.sip.transport.Connection;
-import martenslip.sip.transport.Drops;
-import martenslip.sip.transport.Outgoing;
-import martenslip.sip.transport.Queued;
-import martenslip.sip.transport.Revocable;
-import martenslip.sip.transport.Writers;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.ConnectionThreadPool;
+import martenslip.sip.transport.DropCounter;
+import martenslip.sip.transport.OutgoingMessage;
+import martenslip.sip.transport.QueuedMessage;
+import martenslip.sip.transport.RevocableMessage;
+import martenslip.sip.transport.TransportLimits;
 
 /**
  * Connections to the switches: so many to each that a spoilt one takes only a part down, opened at once when a switch
  * is listed and again after each loss, with bounded pauses. All state belongs to the deciding thread; reading threads
- * hand in what they read through {@link Turn}.
+ * hand in what they read through {@link DecisionExecutor}.
  *
  * <p>States of a group are taken from one connection of a switch, the first, and set-ups go by that one while it is up:
  * what comes by two connections overtakes each other by milliseconds, and a release's report that is older than the
@@ -36,24 +36,24 @@
  */
 public final class SwitchConnections {
     /** Runs something on the deciding thread; waits for room. */
-    public interface Turn {
+    public interface DecisionExecutor {
         void run(Runnable what) throws InterruptedException;
     }
 
     /** What the lines tell; called on the deciding thread. */
-    public interface Heard {
+    public interface Listener {
         void started(long target, long connection, String tag, String description);
 
         void ended(long target, long connection, String tag, int cause, String note, float[] report);
 
-        void load(long target, float[] report);
+        void loadReported(long target, float[] report);
 
-        void connectionOver(long target, long connection, boolean everUp);
+        void connectionEnded(long target, long connection, boolean everUp);
 
         /** The process there has ended: what stood on it is over. */
-        void processOver(long target);
+        void processEnded(long target);
 
-        boolean standsAt(long target);
+        boolean hasEstablishedAt(long target);
 
         void log(String line);
     }
@@ -70,9 +70,9 @@
 
     private static final int MOST_UNHEARD = 2048;
 
-    private static final class Link {
+    private static final class SwitchConnection {
         final Connection connection;
-        final Far far;
+        final SwitchEndpoint far;
         /** Opened for a sign of life only, and ended once it has come up. */
         boolean asks;
 
@@ -86,19 +86,19 @@
 
         volatile long readAt;
 
-        Link(Connection connection, Far far) {
+        SwitchConnection(Connection connection, SwitchEndpoint far) {
             this.connection = connection;
             this.far = far;
         }
     }
 
-    private record Unheard(int cause, Moment at) {}
+    private record PendingFinish(int cause, Moment at) {}
 
-    private static final class Far {
+    private static final class SwitchEndpoint {
         final long id;
         final InetSocketAddress at;
-        final List<Link> links = new ArrayList<>();
-        final Map<String, Unheard> releases = new LinkedHashMap<>();
+        final List<SwitchConnection> links = new ArrayList<>();
+        final Map<String, PendingFinish> releases = new LinkedHashMap<>();
         boolean listed = true;
         boolean drains;
         /** Listed and not draining; who writes looks at it. */
@@ -107,39 +107,39 @@
         Span pause = Span.ZERO;
         boolean waiting;
         boolean failed;
-        final Pulse pulse;
+        final LivenessMonitor pulse;
         long readAt;
 
-        Far(long id, InetSocketAddress at, Moment now) {
+        SwitchEndpoint(long id, InetSocketAddress at, Moment now) {
             this.id = id;
             this.at = at;
-            pulse = new Pulse(now);
+            pulse = new LivenessMonitor(now);
         }
     }
 
-    private final Bounds bounds;
+    private final TransportLimits bounds;
     private final Supplier<Socket> sockets;
-    private final Writers writers;
-    private final Wheel wheel;
-    private final Turn turn;
-    private final Heard heard;
-    private final Load loads;
-    private final Drops drops;
-    private final Map<Long, Far> fars = new LinkedHashMap<>();
-    private final Map<Long, Link> links = new ConcurrentHashMap<>();
+    private final ConnectionThreadPool writers;
+    private final TimerWheel wheel;
+    private final DecisionExecutor turn;
+    private final Listener heard;
+    private final LoadReportParser loads;
+    private final DropCounter drops;
+    private final Map<Long, SwitchEndpoint> fars = new LinkedHashMap<>();
+    private final Map<Long, SwitchConnection> links = new ConcurrentHashMap<>();
     private long numbers;
     private boolean closing;
 
     /** {@code sockets} makes one not yet connected for each connection. */
     public SwitchConnections(
-            Bounds bounds,
+            TransportLimits bounds,
             Supplier<Socket> sockets,
-            Writers writers,
-            Wheel wheel,
-            Load loads,
-            Drops drops,
-            Turn turn,
-            Heard heard) {
+            ConnectionThreadPool writers,
+            TimerWheel wheel,
+            LoadReportParser loads,
+            DropCounter drops,
+            DecisionExecutor turn,
+            Listener heard) {
         this.bounds = bounds;
         this.sockets = sockets;
         this.writers = writers;
@@ -152,60 +152,62 @@
 
     /** A switch is on the list, or still is. One that drains may take no further connection and lives all the same. */
     public void listed(long id, InetSocketAddress at, boolean drains) {
-        Far far = fars.get(id);
+        SwitchEndpoint far = fars.get(id);
         if (far == null) {
-            far = new Far(id, at, wheel.now());
+            far = new SwitchEndpoint(id, at, wheel.now());
             fars.put(id, far);
             look(far);
         }
         far.listed = true;
         far.drains = drains;
         far.takesNew = !drains;
-        far.pulse.listed(true);
+        far.pulse.setListed(true);
         fill(far);
     }
 
     /** A switch has left the list: no further connection is opened to it, and it is forgotten once it is quiet. */
     public void unlisted(long id) {
-        Far far = fars.get(id);
+        SwitchEndpoint far = fars.get(id);
         if (far != null) {
             far.listed = false;
             far.takesNew = false;
-            far.pulse.listed(false);
+            far.pulse.setListed(false);
         }
     }
 
-    private void look(Far far) {
+    private void look(SwitchEndpoint far) {
         if (fars.get(far.id) != far || closing) {
             return;
         }
-        for (Link link : far.links) {
+        for (SwitchConnection link : far.links) {
             if (link.readAt - far.readAt > 0 || far.readAt == 0 && link.readAt != 0) {
                 far.readAt = link.readAt;
-                far.pulse.heard(new Moment(link.readAt));
+                far.pulse.signalReceived(new Moment(link.readAt));
             }
         }
         // Where nothing stands, nothing is owed, and silence is no matter.
-        Pulse.Sign sign = far.listed && !heard.standsAt(far.id) ? Pulse.Sign.WELL : far.pulse.look(wheel.now());
-        if (sign == Pulse.Sign.OVER || !far.listed && far.links.isEmpty()) {
+        LivenessMonitor.Action sign = far.listed && !heard.hasEstablishedAt(far.id)
+                ? LivenessMonitor.Action.NONE
+                : far.pulse.check(wheel.now());
+        if (sign == LivenessMonitor.Action.DECLARE_DEAD || !far.listed && far.links.isEmpty()) {
             heard.log("switch " + far.id + " at " + far.at + " says nothing any more, listed: " + far.listed);
             List.copyOf(far.links).forEach(link -> link.connection.close("silent"));
-            heard.processOver(far.id);
+            heard.processEnded(far.id);
             if (!far.listed) {
                 fars.remove(far.id);
                 return;
             }
-        } else if (sign == Pulse.Sign.ASK && open(far)) {
+        } else if (sign == LivenessMonitor.Action.PROBE && open(far)) {
             far.links.get(far.links.size() - 1).asks = true;
         }
-        wheel.after(LOOK, () -> look(far));
+        wheel.scheduleAfter(LOOK, () -> look(far));
     }
 
     /**
      * True once each listed switch has told the state of its group, or has been connected for long enough to have told
      * it: the own exchange's switch has no group and says nothing. One that can't be reached is not waited for.
      */
-    public boolean allTold() {
+    public boolean allGroupStatesReported() {
         return fars.values().stream()
                 .allMatch(far -> !far.listed
                         || far.failed
@@ -215,12 +217,12 @@
                                                 && wheel.now().since(link.upAt).longerThan(TELLS)));
     }
 
-    public int count() {
+    public int connectionCount() {
         return links.size();
     }
 
     /** Connections that the switches of the list may need: to each, to one that takes its place, and one that asks. */
-    public int needs() {
+    public int requiredConnections() {
         return (2 * EACH + 1)
                         * (int) fars.values().stream()
                                 .filter(far -> far.listed && !far.drains)
@@ -231,7 +233,7 @@
                                 .count();
     }
 
-    private void fill(Far far) {
+    private void fill(SwitchEndpoint far) {
         while (far.listed && !closing && !far.waiting && far.links.size() < EACH) {
             if (!open(far)) {
                 pause(far);
@@ -239,18 +241,18 @@
         }
     }
 
-    private boolean open(Far far) {
+    private boolean open(SwitchEndpoint far) {
         Connection connection =
-                new Connection(++numbers, sockets.get(), far.at, false, bounds, events, new LineCutter(), writers);
-        Link link = new Link(connection, far);
-        links.put(connection.number(), link);
+                new Connection(++numbers, sockets.get(), far.at, false, bounds, events, new LineFramer(), writers);
+        SwitchConnection link = new SwitchConnection(connection, far);
+        links.put(connection.id(), link);
         far.links.add(link);
         link.first = far.links.get(0) == link;
         try {
             connection.start("switch");
             return true;
         } catch (OutOfMemoryError | RejectedExecutionException e) {
-            links.remove(connection.number());
+            links.remove(connection.id());
             far.links.remove(link);
             connection.close("no thread for a switch");
             return false;
@@ -258,14 +260,14 @@
     }
 
     /** One pause for all connections of a switch: it doubles until one of them comes up. */
-    private void pause(Far far) {
+    private void pause(SwitchEndpoint far) {
         if (!far.waiting && far.listed && !closing) {
             far.waiting = true;
-            wheel.after(far.pause, () -> {
+            wheel.scheduleAfter(far.pause, () -> {
                 far.waiting = false;
                 fill(far);
             });
-            far.pause = far.pause.times(2).least(FIRST_PAUSE).most(LONGEST_PAUSE);
+            far.pause = far.pause.times(2).atLeast(FIRST_PAUSE).atMost(LONGEST_PAUSE);
         }
     }
 
@@ -274,19 +276,21 @@
      * but on either it may wait, so its reason is looked at once more when it is written. {@code unsent} is run by the
      * deciding thread where it no longer held.
      */
-    public Queued start(long target, Start start, Runnable unsent) {
-        Far far = fars.get(target);
+    public QueuedMessage sendStart(long target, SwitchStartRequest start, Runnable unsent) {
+        SwitchEndpoint far = fars.get(target);
         if (far == null) {
             return null;
         }
-        Revocable message = new Revocable(
-                SwitchSays.STARTS_AT_MOST + 2 * start.description().length(), () -> due(far, start), () -> put(unsent));
+        RevocableMessage message = new RevocableMessage(
+                SwitchMessage.STARTS_AT_MOST + 2 * start.description().length(),
+                () -> due(far, start),
+                () -> put(unsent));
         // The end of an earlier attempt must not be said again on a connection that comes up after this one.
         far.releases.remove(start.tag());
         for (boolean up : new boolean[] {true, false}) {
-            for (Link link : far.links) {
+            for (SwitchConnection link : far.links) {
                 if (link.up == up && link.connection.send(message)) {
-                    return new Queued(link.connection.number(), message);
+                    return new QueuedMessage(link.connection.id(), message);
                 }
             }
         }
@@ -294,59 +298,63 @@
     }
 
     /** What a set-up reads as when it is written, or null where there is nothing left to ask for. */
-    private static byte[] due(Far far, Start start) {
+    private static byte[] due(SwitchEndpoint far, SwitchStartRequest start) {
         Moment now = new Moment(System.nanoTime());
-        return far.takesNew && start.due(now)
-                ? SwitchSays.start(
-                        start.tag(), start.skill(), start.left(now).ns() / 1_000_000, start.key(), start.description())
+        return far.takesNew && start.isDue(now)
+                ? SwitchMessage.start(
+                        start.tag(),
+                        start.skill(),
+                        start.remaining(now).ns() / 1_000_000,
+                        start.calledNumber(),
+                        start.description())
                 : null;
     }
 
     /** {@code written} is run by the deciding thread once it has been written, or can't be any more. */
-    public void finish(long target, long connection, String tag, int cause, Runnable written) {
-        Outgoing message = Outgoing.of(SwitchSays.finish(tag, cause), () -> put(written));
-        Far far = fars.get(target);
+    public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
+        OutgoingMessage message = OutgoingMessage.of(SwitchMessage.finish(tag, cause), () -> put(written));
+        SwitchEndpoint far = fars.get(target);
         if (far == null) {
-            message.done();
+            message.completed();
             return;
         }
         // They stand in the order of time.
-        for (Iterator<Unheard> all = far.releases.values().iterator(); all.hasNext(); ) {
+        for (Iterator<PendingFinish> all = far.releases.values().iterator(); all.hasNext(); ) {
             boolean old = wheel.now().since(all.next().at).longerThan(UNHEARD);
             if (!old && far.releases.size() < MOST_UNHEARD) {
                 break;
             }
             all.remove();
         }
-        far.releases.put(tag, new Unheard(cause, wheel.now()));
-        Link own = links.get(connection);
+        far.releases.put(tag, new PendingFinish(cause, wheel.now()));
+        SwitchConnection own = links.get(connection);
         if (own != null && own.connection.send(message)) {
             return;
         }
-        for (Link link : far.links) {
+        for (SwitchConnection link : far.links) {
             if (link.up && link.connection.send(message)) {
                 return;
             }
         }
-        message.done();
+        message.completed();
     }
 
-    public void finished(long target, long connection, String tag) {
-        Link link = links.get(connection);
+    public void sendFinished(long target, long connection, String tag) {
+        SwitchConnection link = links.get(connection);
         if (link != null) {
-            link.connection.send(SwitchSays.finished(tag));
+            link.connection.send(SwitchMessage.finished(tag));
         }
     }
 
-    private final Connection.Events events = new Connection.Events() {
+    private final Connection.Listener events = new Connection.Listener() {
         @Override
-        public void whole(Connection connection, byte[] line) throws InterruptedException {
-            Link link = links.get(connection.number());
+        public void messageReceived(Connection connection, byte[] line) throws InterruptedException {
+            SwitchConnection link = links.get(connection.id());
             if (link == null) {
                 return;
             }
             link.readAt = System.nanoTime();
-            if (SwitchSays.state(line)) {
+            if (SwitchMessage.state(line)) {
                 // States come by the hundred a second and only the newest counts: one waits for its turn at a time,
                 // and those of a further connection stay unread until that one is the first.
                 if (link.newest.getAndSet(line) == null && (link.first || !link.told)) {
@@ -354,25 +362,25 @@
                 }
                 return;
             }
-            SwitchSays says;
+            SwitchMessage says;
             try {
-                says = SwitchSays.read(line);
+                says = SwitchMessage.read(line);
             } catch (IOException | RuntimeException e) {
-                drops.count("a switch's line that can't be read");
+                drops.increment("a switch's line that can't be read");
                 connection.close("unreadable line");
                 return;
             }
-            turn.run(() -> take(connection.number(), says));
+            turn.run(() -> take(connection.id(), says));
         }
 
         @Override
-        public void up(Connection connection) {
-            put(() -> opened(connection.number()));
+        public void connected(Connection connection) {
+            put(() -> opened(connection.id()));
         }
 
         @Override
         public void ended(Connection connection, String why) {
-            drops.count("switch line over", why);
+            drops.increment("switch line over", why);
             put(() -> over(connection, why));
         }
     };
@@ -386,41 +394,41 @@
     }
 
     private void opened(long number) {
-        Link link = links.get(number);
+        SwitchConnection link = links.get(number);
         if (link == null) {
             return;
         }
         link.up = true;
         link.upAt = wheel.now();
         link.far.pause = Span.ZERO;
-        link.far.pulse.heard(wheel.now());
+        link.far.pulse.signalReceived(wheel.now());
         if (link.asks && link.far.links.size() > EACH) {
             link.connection.close("it lives");
             return;
         }
         link.far.releases.values().removeIf(one -> wheel.now().since(one.at).longerThan(UNHEARD));
-        link.far.releases.forEach((tag, one) -> link.connection.send(SwitchSays.finish(tag, one.cause)));
+        link.far.releases.forEach((tag, one) -> link.connection.send(SwitchMessage.finish(tag, one.cause)));
     }
 
     private void over(Connection connection, String why) {
-        Link link = links.remove(connection.number());
+        SwitchConnection link = links.remove(connection.id());
         if (link == null) {
             return;
         }
-        Far far = link.far;
+        SwitchEndpoint far = link.far;
         boolean told = far.links.indexOf(link) == 0;
         far.links.remove(link);
-        heard.log("switch " + far.id + " at " + far.at + (connection.everUp() ? ": " : ", never up: ") + why);
-        if (!connection.everUp()) {
+        heard.log("switch " + far.id + " at " + far.at + (connection.wasEstablished() ? ": " : ", never up: ") + why);
+        if (!connection.wasEstablished()) {
             far.failed = true;
-            far.pulse.neverUp(wheel.now());
+            far.pulse.connectFailed(wheel.now());
         }
-        heard.connectionOver(far.id, connection.number(), connection.everUp());
-        if (connection.refused()
+        heard.connectionEnded(far.id, connection.id(), connection.wasEstablished());
+        if (connection.wasRefused()
                 && far.listed
                 && !far.drains
                 && far.links.stream().noneMatch(other -> other.up)) {
-            heard.processOver(far.id);
+            heard.processEnded(far.id);
         }
         if (told && !far.links.isEmpty()) {
             first(far.links.get(0));
@@ -428,13 +436,13 @@
         pause(far);
     }
 
-    private void first(Link link) {
+    private void first(SwitchConnection link) {
         link.first = true;
         loaded(link);
     }
 
-    private void loaded(Link link) {
-        if (links.get(link.connection.number()) != link) {
+    private void loaded(SwitchConnection link) {
+        if (links.get(link.connection.id()) != link) {
             return;
         }
         link.told = true;
@@ -443,19 +451,20 @@
             return;
         }
         try {
-            heard.load(link.far.id, loads.read(SwitchSays.read(newest).load()));
+            heard.loadReported(
+                    link.far.id, loads.read(SwitchMessage.read(newest).load()));
         } catch (IOException e) {
-            drops.count("a switch's line that can't be read");
+            drops.increment("a switch's line that can't be read");
             link.connection.close("unreadable state");
         }
     }
 
-    private void take(long number, SwitchSays says) {
-        Link link = links.get(number);
+    private void take(long number, SwitchMessage says) {
+        SwitchConnection link = links.get(number);
         if (link == null) {
             return;
         }
-        Far far = link.far;
+        SwitchEndpoint far = link.far;
         switch (says.verb()) {
             case "STARTED" -> heard.started(far.id, number, says.tag(), says.description());
             case "FINISH" ->
@@ -469,7 +478,7 @@
             case "FINISHED" -> far.releases.remove(says.tag());
             case "PENDING", "ECHOED" -> {}
             default -> {
-                drops.count("a switch's line of an unknown type");
+                drops.increment("a switch's line of an unknown type");
                 link.connection.close("unknown type");
             }
         }
@@ -477,8 +486,8 @@
 
     public void close() {
         closing = true;
-        for (Link link : List.copyOf(links.values())) {
-            link.connection.finish("closing", Span.ofMillis(100));
+        for (SwitchConnection link : List.copyOf(links.values())) {
+            link.connection.flushAndClose("closing", Span.ofMillis(100));
         }
     }
 }
--- a/src/main/java/martenslip/platform/switchconnection/SwitchSays.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchMessage.java
@@ -8,7 +8,7 @@
 import martenslip.platform.json.Json;
 
 /** One line of a switch: the type, the id, what it carries of the fields that count here, cause and description. */
-record SwitchSays(String verb, String tag, String load, String note, int cause, String description) {
+record SwitchMessage(String verb, String tag, String load, String note, int cause, String description) {
     /** All of a set-up toward a switch but its description: names of classes are short. */
     static final int STARTS_AT_MOST = 256;
 
@@ -24,7 +24,7 @@
         return false;
     }
 
-    static SwitchSays read(byte[] line) throws IOException {
+    static SwitchMessage read(byte[] line) throws IOException {
         String verb = null;
         String tag = "";
         String[] fields = new String[2];
@@ -50,7 +50,7 @@
                 throw new IOException("no whole object");
             }
         }
-        return new SwitchSays(verb, tag, fields[0], fields[1], cause, description);
+        return new SwitchMessage(verb, tag, fields[0], fields[1], cause, description);
     }
 
     private static String text(JsonParser in, JsonToken value) throws IOException {
@@ -95,11 +95,11 @@
         return line("FINISHED", tag, out -> {}, out -> {});
     }
 
-    private interface Part {
+    private interface JsonPart {
         void write(JsonGenerator out) throws IOException;
     }
 
-    private static byte[] line(String verb, String tag, Part fields, Part rest) {
+    private static byte[] line(String verb, String tag, JsonPart fields, JsonPart rest) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator out = Json.FACTORY.createGenerator(bytes)) {
             out.writeStartObject();
--- a/src/main/java/martenslip/play/Controllers.java
+++ b/src/main/java/martenslip/scenario/ControllerProcesses.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import java.io.BufferedReader;
 import java.io.File;
@@ -14,20 +14,20 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
+import martenslip.configuration.Skill;
+import martenslip.configuration.XmlElement;
 import martenslip.control.Span;
-import martenslip.provision.Node;
-import martenslip.provision.Skill;
 import martenslip.sip.transport.Hop;
 
 /** The controllers of a day, each a process of its own: their files, their start, their end. */
-final class Controllers implements AutoCloseable {
+final class ControllerProcesses implements AutoCloseable {
     /** Figures of the day's rules that only whoever judges them needs. */
     private static final Set<String> JUDGED = Set.of("drain-grace-ms", "fall-ms");
 
     private static final long READY_SECONDS = 20;
 
     private final Day day;
-    private final Plan plan;
+    private final TrafficPlan plan;
     private final Path folder;
     private final List<String> options;
     private final int lanes;
@@ -35,7 +35,7 @@
     private final List<Process> processes = new ArrayList<>();
 
     /** {@code options} go to each controller's virtual machine; {@code lanes} of 0 are as the day says. */
-    Controllers(Day day, Plan plan, Path folder, List<String> options, int lanes) throws IOException {
+    ControllerProcesses(Day day, TrafficPlan plan, Path folder, List<String> options, int lanes) throws IOException {
         this.options = options;
         this.lanes = lanes;
         this.day = day;
@@ -127,7 +127,7 @@
         text.append("  </numbering>\n  <groups trunk-context=\"")
                 .append(day.groups().context())
                 .append("\">\n");
-        for (Plan.Group group : plan.of(exchange)) {
+        for (TrafficPlan.Group group : plan.of(exchange)) {
             int far = group.a() == exchange ? group.b() : group.a();
             text.append("    <group name=\"")
                     .append(group.name())
@@ -138,7 +138,7 @@
                     .append("\"/>\n");
         }
         text.append("  </groups>\n");
-        for (Node node : List.of(day.limits(), day.rules(), day.reports())) {
+        for (XmlElement node : List.of(day.limits(), day.rules(), day.reports())) {
             boolean limits = node == day.limits() && lanes > 0;
             text.append("  <")
                     .append(node.name())
--- a/src/main/java/martenslip/play/CoresBench.java
+++ b/src/main/java/martenslip/scenario/CoresBenchmark.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -12,30 +12,38 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
+import martenslip.control.SwitchEntry;
 import martenslip.sip.transport.Hop;
-import martenslip.standin.Capture;
-import martenslip.standin.Dialler;
-import martenslip.standin.Mirror;
-import martenslip.standin.Network;
-import martenslip.standin.Office;
-import martenslip.standin.Trunks;
+import martenslip.standin.CallGenerator;
+import martenslip.standin.CaptureWriter;
+import martenslip.standin.DirectoryService;
+import martenslip.standin.LightweightSwitch;
+import martenslip.standin.SimulatedNetwork;
+import martenslip.standin.TrunkGroups;
 import org.HdrHistogram.Histogram;
 
 /**
  * One exchange in a process of its own with 1, 2, 4, ... lanes, against stand-ins that cost little: how many contacts a
  * second it carries, what a contact costs, and whether a group that is full gets one ring too many.
  */
-public final class CoresBench {
+public final class CoresBenchmark {
     /** One step: lanes, contacts a second that were dialled, and what came of them. Spans in microseconds. */
-    public record Row(int lanes, double rate, long dialled, long stood, long p50, long p99, long p999, double cpuMs) {
+    public record RateResult(
+            int lanes,
+            double rate,
+            long dialled,
+            long established,
+            long p50Micros,
+            long p99Micros,
+            long p999Micros,
+            double cpuMs) {
         boolean carried(long mostMicros) {
-            return p99 < mostMicros && stood >= dialled * 0.999;
+            return p99Micros < mostMicros && established >= dialled * 0.999;
         }
     }
 
     /** Contacts for groups that are full: {@code tooMany} rings came where no circuit was left. */
-    public record Full(
+    public record FullGroupResult(
             int lanes,
             long dialled,
             long stood,
@@ -59,7 +67,7 @@
     private int runs;
 
     /** {@code options} go to the exchange's virtual machine; each rate is held for {@code seconds}. */
-    public CoresBench(Path folder, List<String> options, int seconds, PrintStream out) {
+    public CoresBenchmark(Path folder, List<String> options, int seconds, PrintStream out) {
         this.folder = folder;
         this.options = options;
         this.seconds = seconds;
@@ -67,25 +75,26 @@
     }
 
     /** Each count of lanes at rising rates until one is not carried. */
-    public List<Row> rates(List<Integer> lanes, List<Integer> rates) throws IOException, InterruptedException {
-        List<Row> rows = new ArrayList<>();
+    public List<RateResult> measureRates(List<Integer> lanes, List<Integer> rates)
+            throws IOException, InterruptedException {
+        List<RateResult> rows = new ArrayList<>();
         out.println("lanes  dialled/s   stood  of       p50-ms  p99-ms  p99.9-ms  CPU-ms-a-contact");
         for (int count : lanes) {
-            try (Bench bench = new Bench(count, 60_000, 0)) {
+            try (BenchmarkRun bench = new BenchmarkRun(count, 60_000, 0)) {
                 bench.dial(1500, 6);
                 for (int rate : rates) {
-                    Row row = bench.row(rate);
+                    RateResult row = bench.row(rate);
                     rows.add(row);
                     out.printf(
                             Locale.ROOT,
                             "%5d %10.0f %7d  %-7d %7.2f %7.2f %9.2f %17.3f%n",
                             row.lanes,
                             row.rate,
-                            row.stood,
+                            row.established,
                             row.dialled,
-                            row.p50 / 1000.0,
-                            row.p99 / 1000.0,
-                            row.p999 / 1000.0,
+                            row.p50Micros / 1000.0,
+                            row.p99Micros / 1000.0,
+                            row.p999Micros / 1000.0,
                             row.cpuMs);
                     out.flush();
                     if (!row.carried(MOST_MICROS)) {
@@ -98,12 +107,12 @@
     }
 
     /** Each count of lanes with more contacts than its groups have circuits, one in eight four circuits wide. */
-    public List<Full> full(List<Integer> lanes) throws IOException, InterruptedException {
-        List<Full> rows = new ArrayList<>();
+    public List<FullGroupResult> measureFullGroups(List<Integer> lanes) throws IOException, InterruptedException {
+        List<FullGroupResult> rows = new ArrayList<>();
         out.println("lanes  dialled   stood  refused  urgent  of-them-refused  rings-too-many  circuits-used");
         for (int count : lanes) {
-            try (Bench bench = new Bench(count, SMALL, 8)) {
-                Full row = bench.full(1.3 * FAR * SMALL / 1.375);
+            try (BenchmarkRun bench = new BenchmarkRun(count, SMALL, 8)) {
+                FullGroupResult row = bench.full(1.3 * FAR * SMALL / 1.375);
                 rows.add(row);
                 out.printf(
                         Locale.ROOT,
@@ -122,33 +131,35 @@
     }
 
     /** One exchange with its surroundings. */
-    private final class Bench implements AutoCloseable {
+    private final class BenchmarkRun implements AutoCloseable {
         private final int lanes;
         private final int urgentEvery;
-        private final Capture capture;
-        private final Network network;
-        private final Trunks trunks = new Trunks();
-        private final Office office;
-        private final List<Mirror> mirrors = new ArrayList<>();
+        private final CaptureWriter capture;
+        private final SimulatedNetwork network;
+        private final TrunkGroups trunks = new TrunkGroups();
+        private final DirectoryService office;
+        private final List<LightweightSwitch> mirrors = new ArrayList<>();
         private final InetSocketAddress at;
         private final Process process;
 
-        Bench(int lanes, int circuits, int urgentEvery) throws IOException, InterruptedException {
+        BenchmarkRun(int lanes, int circuits, int urgentEvery) throws IOException, InterruptedException {
             this.lanes = lanes;
             this.urgentEvery = urgentEvery;
             runs++;
             Files.createDirectories(folder);
-            capture = new Capture(folder.resolve("office-capture"));
-            network = new Network(capture, 1, Span.ZERO, Span.ZERO);
+            capture = new CaptureWriter(folder.resolve("office-capture"));
+            network = new SimulatedNetwork(capture, 1, Span.ZERO, Span.ZERO);
             for (int i = 1; i <= FAR; i++) {
-                trunks.add("b-" + i, 0, i, circuits);
+                trunks.addGroup("b-" + i, 0, i, circuits);
             }
-            office = new Office(network.wire("office", -1), trunks, List.of("here"), 1, Span.ZERO);
+            office = new DirectoryService(network.createLink("office", -1), trunks, List.of("here"), 1, Span.ZERO);
             office.open(address(30));
             for (int i = 1; i <= FAR; i++) {
-                Mirror mirror = new Mirror(new InetSocketAddress(address(40 + i), 0), trunks, Map.of("q735.1", 4));
+                LightweightSwitch mirror =
+                        new LightweightSwitch(new InetSocketAddress(address(40 + i), 0), trunks, Map.of("q735.1", 4));
                 mirrors.add(mirror);
-                office.change(i, 0, mirror.at(), Hop.Kind.UDP, SwitchLine.State.READY, null, Span.ZERO);
+                office.publishChange(
+                        i, 0, mirror.address(), Hop.Protocol.UDP, SwitchEntry.State.READY, null, Span.ZERO);
             }
             Path file = folder.resolve("exchange.xml");
             Files.deleteIfExists(folder.resolve("kept.xml"));
@@ -185,7 +196,7 @@
         }
 
         private String site(int circuits) throws IOException {
-            String service = address(30).getHostAddress() + ":" + office.port(Hop.Kind.UDP);
+            String service = address(30).getHostAddress() + ":" + office.port(Hop.Protocol.UDP);
             StringBuilder prefixes = new StringBuilder();
             StringBuilder groups = new StringBuilder();
             for (int i = 0; i <= FAR; i++) {
@@ -213,10 +224,10 @@
                     + "fall-multiple='3'/><reports fields='allowed depth'/><peers/></exchange>";
         }
 
-        private Dialler dial(double rate, int forSeconds) throws IOException, InterruptedException {
-            Dialler.Plan plan = new Dialler.Plan(
+        private CallGenerator dial(double rate, int forSeconds) throws IOException, InterruptedException {
+            CallGenerator.LoadProfile plan = new CallGenerator.LoadProfile(
                     rate, Span.ofMillis(forSeconds * 1000.0), HOLD, "+9155", FAR, urgentEvery, "q735.1");
-            try (Dialler dialler = new Dialler(
+            try (CallGenerator dialler = new CallGenerator(
                     new InetSocketAddress(address(60), 0),
                     at,
                     plan,
@@ -233,29 +244,29 @@
                     .orElse(0.0);
         }
 
-        Row row(double rate) throws IOException, InterruptedException {
+        RateResult row(double rate) throws IOException, InterruptedException {
             double before = cpu();
-            Dialler done = dial(rate, seconds);
-            Histogram took = done.took();
-            return new Row(
+            CallGenerator done = dial(rate, seconds);
+            Histogram took = done.setUpTimes();
+            return new RateResult(
                     lanes,
                     rate,
                     done.dialled(),
-                    done.stood(),
+                    done.established(),
                     took.getValueAtPercentile(50),
                     took.getValueAtPercentile(99),
                     took.getValueAtPercentile(99.9),
                     (cpu() - before) / Math.max(1, done.dialled()));
         }
 
-        Full full(double rate) throws IOException, InterruptedException {
+        FullGroupResult full(double rate) throws IOException, InterruptedException {
             long[] used = new long[2];
             Thread looks = new Thread(() -> {
                 try {
                     // The first circuits fill while the first contacts hold.
                     TimeUnit.MILLISECONDS.sleep(2000);
                     for (int i = 0; i < 10 * (seconds - 2); i++) {
-                        used[0] += trunks.used();
+                        used[0] += trunks.circuitsInUse();
                         used[1] += FAR * SMALL;
                         TimeUnit.MILLISECONDS.sleep(100);
                     }
@@ -264,13 +275,15 @@
                 }
             });
             looks.start();
-            Dialler done = dial(rate, seconds);
+            CallGenerator done = dial(rate, seconds);
             looks.join();
-            long tooMany = mirrors.stream().mapToLong(Mirror::noCircuit).sum();
-            return new Full(
+            long tooMany = mirrors.stream()
+                    .mapToLong(LightweightSwitch::rejectedForNoCircuit)
+                    .sum();
+            return new FullGroupResult(
                     lanes,
                     done.dialled(),
-                    done.stood(),
+                    done.established(),
                     done.refused(),
                     done.dialled() / urgentEvery,
                     done.urgentRefused(),
@@ -281,7 +294,7 @@
         @Override
         public void close() throws IOException {
             process.destroyForcibly();
-            mirrors.forEach(Mirror::close);
+            mirrors.forEach(LightweightSwitch::close);
             office.close();
             network.close();
             capture.close();
--- a/src/main/java/martenslip/play/Day.java
+++ b/src/main/java/martenslip/scenario/Day.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
+import martenslip.configuration.FileError;
+import martenslip.configuration.InvalidFileException;
+import martenslip.configuration.Skill;
+import martenslip.configuration.XmlElement;
+import martenslip.configuration.XmlFileReader;
 import martenslip.control.Span;
-import martenslip.provision.Fault;
-import martenslip.provision.Node;
-import martenslip.provision.Rejected;
-import martenslip.provision.Sheet;
-import martenslip.provision.Skill;
 
 /** A day file, checked whole. Times of troubles are spans from the first contact. */
 public record Day(
@@ -25,17 +25,17 @@
         List<Double> shares,
         String usual,
         Traffic traffic,
-        GroupPlan groups,
-        Switches switches,
+        GroupSettings groups,
+        SwitchSettings switches,
         Span same,
         Span cross,
         Set<Integer> overTcp,
         Span lag,
         Span silentLag,
-        Node limits,
-        Node rules,
-        Node reports,
-        List<Trouble> troubles) {
+        XmlElement limits,
+        XmlElement rules,
+        XmlElement reports,
+        List<InjectedFault> troubles) {
     public record Traffic(
             double rate,
             int redials,
@@ -46,59 +46,61 @@
             Span driftEvery,
             String prefix) {}
 
-    public record GroupPlan(String context, double spare, double uneven, double unlinked) {}
+    public record GroupSettings(String context, double spare, double uneven, double unlinked) {}
 
-    public record Switches(double use, Span mostWait, double coldFrom, Span warm, Span reportEvery, double noise) {}
+    public record SwitchSettings(
+            double use, Span mostWait, double coldFrom, Span warm, Span reportEvery, double noise) {}
 
     /** {@code span} is zero where it has none; {@code said} has the rest. */
-    public record Trouble(String kind, Span at, Span span, List<Integer> exchanges, int region, Node said) {}
+    public record InjectedFault(
+            String kind, Span at, Span span, List<Integer> exchanges, int region, XmlElement said) {}
 
-    private static final Sheet SHEET = Sheet.of("day.xsd");
+    private static final XmlFileReader SHEET = XmlFileReader.forSchema("day.xsd");
 
-    public static Day read(Path file) throws IOException, Rejected {
-        Node root = SHEET.read(file);
-        List<Fault> faults = new ArrayList<>();
+    public static Day read(Path file) throws IOException, InvalidFileException {
+        XmlElement root = SHEET.read(file);
+        List<FileError> faults = new ArrayList<>();
         Day day = of(root, faults);
         if (!faults.isEmpty()) {
-            throw new Rejected(file.toString(), faults);
+            throw new InvalidFileException(file.toString(), faults);
         }
         return day;
     }
 
-    private static Day of(Node root, List<Fault> faults) {
+    private static Day of(XmlElement root, List<FileError> faults) {
         int exchanges = root.integer("exchanges");
         List<String> regions = root.child("regions").children().stream()
                 .map(one -> one.text("name"))
                 .toList();
         List<Skill> skills = new ArrayList<>();
         List<Double> shares = new ArrayList<>();
-        for (Node node : root.child("skills").children()) {
+        for (XmlElement node : root.child("skills").children()) {
             skills.add(new Skill(
                     node.text("name"),
                     node.decimal("value"),
                     node.integer("width"),
-                    node.ms("answer-target-ms"),
-                    node.ms("patience-ms"),
-                    node.ms("mean-hold-ms"),
+                    node.milliseconds("answer-target-ms"),
+                    node.milliseconds("patience-ms"),
+                    node.milliseconds("mean-hold-ms"),
                     node.text("resource-priority").toLowerCase(java.util.Locale.ROOT)));
             shares.add(node.decimal("share"));
         }
-        Node traffic = root.child("traffic");
-        Node groups = root.child("groups");
-        Node processor = root.child("processor");
-        Node network = root.child("network");
-        List<Trouble> troubles = new ArrayList<>();
-        for (Node node : root.child("troubles").children()) {
+        XmlElement traffic = root.child("traffic");
+        XmlElement groups = root.child("groups");
+        XmlElement processor = root.child("processor");
+        XmlElement network = root.child("network");
+        List<InjectedFault> troubles = new ArrayList<>();
+        for (XmlElement node : root.child("troubles").children()) {
             List<Integer> which = numbers(node, "exchanges", exchanges, faults);
             int region = node.has("region") ? regions.indexOf(node.text("region")) : -1;
             if (node.has("region") && region < 0) {
-                faults.add(node.fault("region", "no region is called " + node.text("region")));
+                faults.add(node.error("region", "no region is called " + node.text("region")));
             }
             need(node, faults);
-            troubles.add(new Trouble(
+            troubles.add(new InjectedFault(
                     node.name(),
-                    node.ms("at").times(1000),
-                    node.has("for") ? node.ms("for").times(1000) : Span.ZERO,
+                    node.milliseconds("at").times(1000),
+                    node.has("for") ? node.milliseconds("for").times(1000) : Span.ZERO,
                     which,
                     region,
                     node));
@@ -106,7 +108,7 @@
         return new Day(
                 root.text("name"),
                 Long.parseLong(root.text("seed")),
-                root.ms("seconds").times(1000),
+                root.milliseconds("seconds").times(1000),
                 exchanges,
                 regions,
                 skills,
@@ -115,36 +117,36 @@
                 new Traffic(
                         traffic.decimal("contacts-per-second"),
                         traffic.integer("redials"),
-                        traffic.ms("redial-after-ms"),
+                        traffic.milliseconds("redial-after-ms"),
                         traffic.decimal("try-part"),
                         traffic.decimal("come-again"),
                         traffic.decimal("drift"),
-                        traffic.ms("drift-every-ms"),
+                        traffic.milliseconds("drift-every-ms"),
                         traffic.text("prefix")),
-                new GroupPlan(
+                new GroupSettings(
                         groups.text("trunk-context"),
                         groups.decimal("spare"),
                         groups.decimal("uneven"),
                         groups.decimal("unlinked")),
-                new Switches(
+                new SwitchSettings(
                         processor.decimal("use"),
-                        processor.ms("most-wait-ms"),
+                        processor.milliseconds("most-wait-ms"),
                         processor.decimal("cold-from"),
-                        processor.ms("warm-ms"),
-                        processor.ms("report-every-ms"),
+                        processor.milliseconds("warm-ms"),
+                        processor.milliseconds("report-every-ms"),
                         processor.decimal("report-noise")),
-                network.ms("same-ms"),
-                network.ms("cross-ms"),
+                network.milliseconds("same-ms"),
+                network.milliseconds("cross-ms"),
                 new TreeSet<>(numbers(network, "tcp-exchanges", exchanges, faults)),
-                root.child("list").ms("lag-ms"),
-                root.child("list").ms("silent-lag-ms"),
+                root.child("list").milliseconds("lag-ms"),
+                root.child("list").milliseconds("silent-lag-ms"),
                 root.child("limits"),
                 root.child("rules"),
                 root.child("reports"),
                 troubles);
     }
 
-    private static List<Integer> numbers(Node node, String attribute, int exchanges, List<Fault> faults) {
+    private static List<Integer> numbers(XmlElement node, String attribute, int exchanges, List<FileError> faults) {
         if (!node.has(attribute) || node.text(attribute).isEmpty()) {
             return List.of();
         }
@@ -153,12 +155,12 @@
                 .toList();
         all.stream()
                 .filter(one -> one >= exchanges)
-                .forEach(one -> faults.add(node.fault(attribute, "there is no exchange " + one)));
+                .forEach(one -> faults.add(node.error(attribute, "there is no exchange " + one)));
         return all;
     }
 
     /** What a kind of trouble can't do without. */
-    private static void need(Node node, List<Fault> faults) {
+    private static void need(XmlElement node, List<FileError> faults) {
         List<String> needed = switch (node.name()) {
             case "burst" -> List.of("for", "times");
             case "hot-caller" -> List.of("for", "exchanges", "part");
@@ -173,6 +175,6 @@
         };
         needed.stream()
                 .filter(one -> !node.has(one))
-                .forEach(one -> faults.add(node.fault("a " + node.name() + " needs " + one)));
+                .forEach(one -> faults.add(node.error("a " + node.name() + " needs " + one)));
     }
 }
