--- a/src/main/java/martenslip/play/Troubles.java
+++ b/src/main/java/martenslip/scenario/FaultSchedule.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -6,58 +6,58 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import martenslip.configuration.XmlElement;
 import martenslip.control.Span;
-import martenslip.provision.Node;
-import martenslip.standin.Network;
+import martenslip.standin.SimulatedNetwork;
 
 /** A day's troubles as deeds on a schedule: each has a beginning and, most, an end. */
-final class Troubles {
-    interface Does {
+final class FaultSchedule {
+    interface Action {
         void run() throws IOException, InterruptedException;
     }
 
     /** One deed; {@code at} counts from the first contact. */
-    record Deed(Span at, String what, Does does) {}
+    record ScheduledAction(Span at, String what, Action does) {}
 
-    private final World world;
-    private final Controllers controllers;
+    private final StandInEnvironment world;
+    private final ControllerProcesses controllers;
     private final List<CompletableFuture<Void>> starting = new ArrayList<>();
-    private final List<Deed> deeds = new ArrayList<>();
+    private final List<ScheduledAction> deeds = new ArrayList<>();
 
-    Troubles(Day day, World world, Controllers controllers) {
+    FaultSchedule(Day day, StandInEnvironment world, ControllerProcesses controllers) {
         this.world = world;
         this.controllers = controllers;
         day.troubles().forEach(this::add);
-        deeds.sort(Comparator.comparing(Deed::at));
+        deeds.sort(Comparator.comparing(ScheduledAction::at));
     }
 
-    List<Deed> deeds() {
+    List<ScheduledAction> deeds() {
         return deeds;
     }
 
-    private void add(Day.Trouble trouble) {
-        Node said = trouble.said();
+    private void add(Day.InjectedFault trouble) {
+        XmlElement said = trouble.said();
         switch (trouble.kind()) {
             case "burst" ->
                 both(
                         trouble,
-                        () -> world.callers().times(said.decimal("times")),
-                        () -> world.callers().times(1));
+                        () -> world.callers().setRateFactor(said.decimal("times")),
+                        () -> world.callers().setRateFactor(1));
             case "hot-caller" ->
                 both(
                         trouble,
-                        () -> world.callers().hot(trouble.exchanges().get(0), said.decimal("part")),
-                        () -> world.callers().hot(0, -1));
+                        () -> world.callers().setHotCaller(trouble.exchanges().get(0), said.decimal("part")),
+                        () -> world.callers().setHotCaller(0, -1));
             case "slow" ->
                 each(
                         trouble,
-                        one -> world.machine(one).slow(said.decimal("times")),
-                        one -> world.machine(one).slow(1));
+                        one -> world.machine(one).setSlowdown(said.decimal("times")),
+                        one -> world.machine(one).setSlowdown(1));
             case "hang" ->
                 each(
                         trouble,
-                        one -> world.machine(one).silent(true),
-                        one -> world.machine(one).silent(false));
+                        one -> world.machine(one).setSilent(true),
+                        one -> world.machine(one).setSilent(false));
             case "circuits-lost" ->
                 both(
                         trouble,
@@ -66,25 +66,25 @@
             case "region-cut" ->
                 both(
                         trouble,
-                        () -> world.network().cut(trouble.region()),
-                        () -> world.network().cut(-1));
+                        () -> world.network().isolateRegion(trouble.region()),
+                        () -> world.network().isolateRegion(-1));
             case "drain" -> each(trouble, world::drain, world::drained);
             case "list-late" ->
                 both(
                         trouble,
-                        () -> world.office().late(said.ms("late-ms")),
-                        () -> world.office().late(Span.ZERO));
+                        () -> world.office().setExtraDelay(said.milliseconds("late-ms")),
+                        () -> world.office().setExtraDelay(Span.ZERO));
             case "restart" -> each(trouble, world::down, world::upCold);
             case "kill" -> each(trouble, this::kill, this::back);
             case "wear" ->
                 both(
                         trouble,
-                        () -> world.network().wear(wear(said)),
-                        () -> world.network().wear(Network.Wear.NONE));
+                        () -> world.network().setImpairments(wear(said)),
+                        () -> world.network().setImpairments(SimulatedNetwork.Impairments.NONE));
             case "reset" -> each(trouble, this::reset, one -> {});
             case "stall" ->
                 trouble.exchanges()
-                        .forEach(one -> deeds.add(new Deed(
+                        .forEach(one -> deeds.add(new ScheduledAction(
                                 trouble.at(),
                                 "stall " + one,
                                 () -> controllers.stall(
@@ -92,13 +92,13 @@
                                         said.integer("lane"),
                                         trouble.span(),
                                         said.has("amid") ? said.text("amid") : ""))));
-            case "cut" -> both(trouble, () -> world.callers().cutSome(said.decimal("part")), () -> {});
+            case "cut" -> both(trouble, () -> world.callers().cutRandomly(said.decimal("part")), () -> {});
             default -> throw new IllegalStateException("a trouble that the schema knows alone: " + trouble.kind());
         }
     }
 
-    private static Network.Wear wear(Node said) {
-        return new Network.Wear(
+    private static SimulatedNetwork.Impairments wear(XmlElement said) {
+        return new SimulatedNetwork.Impairments(
                 said.decimal("part"), said.decimal("copies", 0), Span.ofMillis(said.decimal("reorder-ms", 0)));
     }
 
@@ -132,22 +132,22 @@
         world.fact("reset", "number=" + exchange + " connections=" + broken);
     }
 
-    private void both(Day.Trouble trouble, Does begin, Does end) {
-        deeds.add(new Deed(trouble.at(), trouble.kind() + words(trouble), begin));
+    private void both(Day.InjectedFault trouble, Action begin, Action end) {
+        deeds.add(new ScheduledAction(trouble.at(), trouble.kind() + words(trouble), begin));
         if (trouble.span().longerThan(Span.ZERO)) {
-            deeds.add(new Deed(trouble.at().plus(trouble.span()), trouble.kind() + " ends", end));
+            deeds.add(new ScheduledAction(trouble.at().plus(trouble.span()), trouble.kind() + " ends", end));
         }
     }
 
-    private interface Of {
+    private interface ExchangeAction {
         void run(int exchange) throws IOException, InterruptedException;
     }
 
-    private void each(Day.Trouble trouble, Of begin, Of end) {
+    private void each(Day.InjectedFault trouble, ExchangeAction begin, ExchangeAction end) {
         for (int exchange : trouble.exchanges()) {
-            deeds.add(new Deed(trouble.at(), trouble.kind() + " " + exchange, () -> begin.run(exchange)));
+            deeds.add(new ScheduledAction(trouble.at(), trouble.kind() + " " + exchange, () -> begin.run(exchange)));
             if (trouble.span().longerThan(Span.ZERO)) {
-                deeds.add(new Deed(
+                deeds.add(new ScheduledAction(
                         trouble.at().plus(trouble.span()),
                         trouble.kind() + " " + exchange + " ends",
                         () -> end.run(exchange)));
@@ -155,7 +155,7 @@
         }
     }
 
-    private static String words(Day.Trouble trouble) {
+    private static String words(Day.InjectedFault trouble) {
         return trouble.region() < 0 ? "" : " of region " + trouble.region();
     }
 }
--- a/src/main/java/martenslip/play/Play.java
+++ b/src/main/java/martenslip/scenario/ScenarioRunner.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -12,14 +12,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.proof.CaptureFile;
-import martenslip.proof.Proof;
-import martenslip.proof.Verdict;
-import martenslip.standin.Tally;
+import martenslip.control.SwitchEntry;
+import martenslip.standin.CallerStatistics;
+import martenslip.verification.CaptureReader;
+import martenslip.verification.RuleResult;
+import martenslip.verification.RuleVerifier;
 
 /** Plays a day over real sockets: controllers as processes, all else as stand-ins, troubles on schedule. */
-public final class Play {
+public final class ScenarioRunner {
     private static final long SUBSCRIBE_MS = 2_500;
     private static final long SECOND = 1_000_000_000L;
 
@@ -30,7 +30,7 @@
     private final int lanes;
 
     /** {@code options} go to each controller's virtual machine; {@code lanes} of 0 are as the day says. */
-    public Play(Day day, Path folder, List<String> options, int lanes, PrintStream out) {
+    public ScenarioRunner(Day day, Path folder, List<String> options, int lanes, PrintStream out) {
         this.lanes = lanes;
         this.options = options;
         this.day = day;
@@ -42,15 +42,15 @@
     public boolean run() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Path capture = folder.resolve("capture");
-        Plan plan = new Plan(day);
+        TrafficPlan plan = new TrafficPlan(day);
         int disorderly;
         boolean fell;
-        try (Controllers controllers = new Controllers(day, plan, folder, options, lanes);
-                World world = new World(day, plan, controllers, capture)) {
+        try (ControllerProcesses controllers = new ControllerProcesses(day, plan, folder, options, lanes);
+                StandInEnvironment world = new StandInEnvironment(day, plan, controllers, capture)) {
             begin(controllers, world);
             double before = controllers.cpuSeconds();
-            world.callers().begin();
-            Troubles troubles = new Troubles(day, world, controllers);
+            world.callers().startDialing();
+            FaultSchedule troubles = new FaultSchedule(day, world, controllers);
             schedule(troubles, world);
             troubles.started();
             double cpu = controllers.cpuSeconds() - before;
@@ -65,35 +65,36 @@
         if (disorderly > 0) {
             out.println(disorderly + " controllers did not end in good order");
         }
-        boolean kept = prove(capture, out);
+        boolean kept = verify(capture, out);
         return kept && disorderly == 0 && !fell;
     }
 
-    private void begin(Controllers controllers, World world) throws IOException, InterruptedException {
+    private void begin(ControllerProcesses controllers, StandInEnvironment world)
+            throws IOException, InterruptedException {
         for (int i = 0; i < day.exchanges(); i++) {
             world.build(i, false);
-            world.list(i, world.machine(i), SwitchLine.State.READY, false, Span.ZERO);
+            world.list(i, world.machine(i), SwitchEntry.State.READY, false, Span.ZERO);
             controllers.write(i, world.officeAt());
         }
         for (int i = 0; i < day.exchanges(); i++) {
             controllers.start(i);
             world.controllerUp(i);
         }
-        world.office().lag(day.lag());
+        world.office().setNotificationDelay(day.lag());
         out.println("day " + day.name() + ": " + day.exchanges() + " exchanges, "
                 + day.traffic().rate() + " contacts a second, " + day.length().ns() / SECOND + " s; kept in " + folder);
         TimeUnit.MILLISECONDS.sleep(SUBSCRIBE_MS);
     }
 
-    private void schedule(Troubles troubles, World world) throws IOException, InterruptedException {
-        Deque<Troubles.Deed> left = new ArrayDeque<>(troubles.deeds());
+    private void schedule(FaultSchedule troubles, StandInEnvironment world) throws IOException, InterruptedException {
+        Deque<FaultSchedule.ScheduledAction> left = new ArrayDeque<>(troubles.deeds());
         long start = System.nanoTime();
         long nextLine = start;
         long end = start + day.length().ns();
         while (System.nanoTime() < end) {
             long now = System.nanoTime();
             while (!left.isEmpty() && left.peek().at().ns() <= now - start) {
-                Troubles.Deed deed = left.poll();
+                FaultSchedule.ScheduledAction deed = left.poll();
                 out.printf(Locale.ROOT, "%5.1f s  %s%n", (now - start) / 1e9, deed.what());
                 world.fact("trouble", "what=" + deed.what().replace(' ', '-'));
                 deed.does().run();
@@ -106,13 +107,13 @@
         }
     }
 
-    private void progress(World world, long second) {
-        world.callers().look(tally -> {
+    private void progress(StandInEnvironment world, long second) {
+        world.callers().readStatistics(tally -> {
             long wanted = 0;
             long served = 0;
-            for (Tally.Row row : tally.rows().values()) {
+            for (CallerStatistics.SkillStatistics row : tally.rows().values()) {
                 wanted += row.wanted();
-                served += row.of(Tally.End.IN_TARGET);
+                served += row.count(CallerStatistics.CallOutcome.IN_TARGET);
             }
             out.printf(
                     Locale.ROOT,
@@ -120,25 +121,25 @@
                     second,
                     wanted,
                     served,
-                    world.callers().standing(),
-                    world.trunks().used(),
+                    world.callers().establishedCount(),
+                    world.trunks().circuitsInUse(),
                     world.waits());
         });
     }
 
     /** No more is dialled; what is under way comes to its end. */
-    private void settle(World world) throws InterruptedException {
-        world.callers().end();
+    private void settle(StandInEnvironment world) throws InterruptedException {
+        world.callers().stopDialing();
         Span longest = Span.ZERO;
-        for (martenslip.provision.Skill skill : day.skills()) {
-            longest = longest.least(skill.patience());
+        for (martenslip.configuration.Skill skill : day.skills()) {
+            longest = longest.atLeast(skill.patience());
         }
         TimeUnit.NANOSECONDS.sleep(longest.plus(Span.ofMillis(2000)).ns());
     }
 
-    private void table(World world, double cpu) throws InterruptedException {
+    private void table(StandInEnvironment world, double cpu) throws InterruptedException {
         CompletableFuture<Void> printed = new CompletableFuture<>();
-        world.callers().look(tally -> {
+        world.callers().readStatistics(tally -> {
             out.printf(
                     Locale.ROOT,
                     "%-14s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s%n",
@@ -155,27 +156,29 @@
                     "p50-ms",
                     "p99-ms",
                     "p99.9-ms");
-            for (Map.Entry<String, Tally.Row> one : tally.rows().entrySet()) {
-                Tally.Row row = one.getValue();
+            for (Map.Entry<String, CallerStatistics.SkillStatistics> one :
+                    tally.rows().entrySet()) {
+                CallerStatistics.SkillStatistics row = one.getValue();
                 out.printf(
                         Locale.ROOT,
                         "%-14s %8d %8d %8d %8d %8d %8d %8d %8d %8d %8.1f %8.1f %8.1f%n",
                         one.getKey(),
                         row.wanted(),
                         row.tries(),
-                        row.of(Tally.End.IN_TARGET),
-                        row.of(Tally.End.LATE),
-                        row.of(Tally.End.DEFERRED),
-                        row.of(Tally.End.ABANDONED),
-                        row.of(Tally.End.GAVE_UP),
-                        row.of(Tally.End.NO_ANSWER),
-                        row.of(Tally.End.CUT),
+                        row.count(CallerStatistics.CallOutcome.IN_TARGET),
+                        row.count(CallerStatistics.CallOutcome.LATE),
+                        row.count(CallerStatistics.CallOutcome.DEFERRED),
+                        row.count(CallerStatistics.CallOutcome.ABANDONED),
+                        row.count(CallerStatistics.CallOutcome.GAVE_UP),
+                        row.count(CallerStatistics.CallOutcome.NO_ANSWER),
+                        row.count(CallerStatistics.CallOutcome.CUT),
                         row.setUpMs(50),
                         row.setUpMs(99),
                         row.setUpMs(99.9));
             }
-            long tries =
-                    tally.rows().values().stream().mapToLong(Tally.Row::tries).sum();
+            long tries = tally.rows().values().stream()
+                    .mapToLong(CallerStatistics.SkillStatistics::tries)
+                    .sum();
             out.printf(
                     Locale.ROOT,
                     "controllers: %.1f s of CPU since the first contact, %.3f ms a try%n",
@@ -191,13 +194,13 @@
     }
 
     /** Prints the rules; true where all were kept. */
-    public static boolean prove(Path capture, PrintStream out) throws IOException {
-        Proof proof = new Proof();
-        CaptureFile.read(capture, proof);
+    public static boolean verify(Path capture, PrintStream out) throws IOException {
+        RuleVerifier proof = new RuleVerifier();
+        CaptureReader.read(capture, proof);
         boolean kept = true;
-        for (Verdict verdict : proof.verdicts()) {
+        for (RuleResult verdict : proof.verdicts()) {
             verdict.print(out);
-            kept &= verdict.kept();
+            kept &= verdict.passed();
         }
         return kept;
     }
--- a/src/main/java/martenslip/play/World.java
+++ b/src/main/java/martenslip/scenario/StandInEnvironment.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -11,53 +11,55 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReferenceArray;
+import martenslip.configuration.Skill;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.provision.Skill;
+import martenslip.control.SwitchEntry;
 import martenslip.sip.transport.Hop;
-import martenslip.standin.Callers;
-import martenslip.standin.Capture;
-import martenslip.standin.Machine;
-import martenslip.standin.Network;
-import martenslip.standin.Office;
-import martenslip.standin.Processor;
-import martenslip.standin.Trunks;
+import martenslip.standin.CaptureWriter;
+import martenslip.standin.DirectoryService;
+import martenslip.standin.ProcessorModel;
+import martenslip.standin.SimulatedCallers;
+import martenslip.standin.SimulatedNetwork;
+import martenslip.standin.SimulatedSwitch;
+import martenslip.standin.TrunkGroups;
 
 /** All stand-ins of a day in this process, and the verbs that its troubles use. */
-final class World implements AutoCloseable {
+final class StandInEnvironment implements AutoCloseable {
     private final Day day;
-    private final Plan plan;
-    private final Controllers controllers;
-    private final Capture capture;
-    private final Network network;
-    private final Trunks trunks = new Trunks();
-    private final Office office;
-    private final Callers callers;
-    private final AtomicReferenceArray<Machine> machines;
-    private final AtomicReferenceArray<Network.Wire> wires;
-    private final List<Machine> replaced = new CopyOnWriteArrayList<>();
+    private final TrafficPlan plan;
+    private final ControllerProcesses controllers;
+    private final CaptureWriter capture;
+    private final SimulatedNetwork network;
+    private final TrunkGroups trunks = new TrunkGroups();
+    private final DirectoryService office;
+    private final SimulatedCallers callers;
+    private final AtomicReferenceArray<SimulatedSwitch> machines;
+    private final AtomicReferenceArray<SimulatedNetwork.NetworkLink> wires;
+    private final List<SimulatedSwitch> replaced = new CopyOnWriteArrayList<>();
     private final AtomicInteger built = new AtomicInteger();
-    private final martenslip.provision.Prefixes numbering = new martenslip.provision.Prefixes();
+    private final martenslip.configuration.PrefixTable numbering = new martenslip.configuration.PrefixTable();
 
-    World(Day day, Plan plan, Controllers controllers, Path captureFile) throws IOException {
+    StandInEnvironment(Day day, TrafficPlan plan, ControllerProcesses controllers, Path captureFile)
+            throws IOException {
         this.day = day;
         this.plan = plan;
         this.controllers = controllers;
-        capture = new Capture(captureFile);
-        network = new Network(capture, day.seed() ^ 0x9e3779b9L, day.same(), day.cross());
+        capture = new CaptureWriter(captureFile);
+        network = new SimulatedNetwork(capture, day.seed() ^ 0x9e3779b9L, day.same(), day.cross());
         machines = new AtomicReferenceArray<>(day.exchanges());
         wires = new AtomicReferenceArray<>(day.exchanges());
-        plan.groups().forEach(group -> trunks.add(group.name(), group.a(), group.b(), group.circuits()));
+        plan.groups().forEach(group -> trunks.addGroup(group.name(), group.a(), group.b(), group.circuits()));
         for (int i = 0; i < day.exchanges(); i++) {
             numbering.add(controllers.prefix(i), i);
-            network.place(Controllers.host(i), regionOf(i));
+            network.assignRegion(ControllerProcesses.host(i), regionOf(i));
         }
-        office = new Office(network.wire("office", -1), trunks, day.regions(), day.exchanges(), Span.ZERO);
+        office = new DirectoryService(
+                network.createLink("office", -1), trunks, day.regions(), day.exchanges(), Span.ZERO);
         office.open(address(3, 1));
         Day.Traffic traffic = day.traffic();
-        callers = new Callers(
-                new Callers.Ways(
+        callers = new SimulatedCallers(
+                new SimulatedCallers.CallerBehavior(
                         traffic.rate(),
                         day.skills(),
                         day.shares(),
@@ -70,14 +72,14 @@
                         traffic.prefix()),
                 plan.weights(),
                 this::machineHop,
-                martenslip.sip.transport.Gate.OPEN,
+                martenslip.sip.transport.MessageInterceptor.PASS_THROUGH,
                 day.seed() + 5);
         callers.open(address(4, 1));
         rules();
     }
 
     private void rules() {
-        capture.fact(
+        capture.annotation(
                 "rules",
                 "release-ms=" + day.rules().text("release-ms") + " drain-grace-ms="
                         + day.rules().text("drain-grace-ms") + " fall-multiple="
@@ -94,33 +96,33 @@
     }
 
     InetSocketAddress officeAt() throws IOException {
-        return new InetSocketAddress(address(3, 1), office.port(Hop.Kind.UDP));
+        return new InetSocketAddress(address(3, 1), office.port(Hop.Protocol.UDP));
     }
 
-    private Hop.Kind kind(int exchange) {
-        return day.overTcp().contains(exchange) ? Hop.Kind.TCP : Hop.Kind.UDP;
+    private Hop.Protocol kind(int exchange) {
+        return day.overTcp().contains(exchange) ? Hop.Protocol.TCP : Hop.Protocol.UDP;
     }
 
     private Hop machineHop(int exchange) {
-        return Hop.udp(machines.get(exchange).at(Hop.Kind.UDP));
+        return Hop.udp(machines.get(exchange).address(Hop.Protocol.UDP));
     }
 
     /** Builds a machine for the exchange and puts it in its place; one that was there is returned. */
-    Machine build(int exchange, boolean cold) throws IOException {
+    SimulatedSwitch build(int exchange, boolean cold) throws IOException {
         int number = built.incrementAndGet();
         Map<String, Integer> widths = new HashMap<>();
         for (Skill skill : day.skills()) {
             widths.put(skill.priority(), skill.width());
         }
-        Day.Switches switches = day.switches();
-        Processor.Make processor = new Processor.Make(
+        Day.SwitchSettings switches = day.switches();
+        ProcessorModel.Settings processor = new ProcessorModel.Settings(
                 plan.unit(),
                 switches.mostWait(),
                 switches.coldFrom(),
                 switches.warm(),
                 day.rules().decimal("fall-multiple"),
-                day.rules().ms("fall-ms"));
-        Machine.Make make = new Machine.Make(
+                day.rules().milliseconds("fall-ms"));
+        SimulatedSwitch.Settings make = new SimulatedSwitch.Settings(
                 exchange,
                 regionOf(exchange),
                 processor,
@@ -130,15 +132,15 @@
                 widths,
                 day.seed() * 31 + number,
                 day.reports().text("fields").contains("allowed"));
-        Network.Wire wire = network.wire("switch-" + exchange + "-" + number, regionOf(exchange));
-        Machine machine = new Machine(make, trunks, wire, controllers.hop(exchange), cold);
+        SimulatedNetwork.NetworkLink wire = network.createLink("switch-" + exchange + "-" + number, regionOf(exchange));
+        SimulatedSwitch machine = new SimulatedSwitch(make, trunks, wire, controllers.hop(exchange), cold);
         machine.open(address(2, number));
-        InetSocketAddress at = machine.at(kind(exchange));
-        capture.fact(
+        InetSocketAddress at = machine.address(kind(exchange));
+        capture.annotation(
                 "machine",
                 "local=switch-" + exchange + "-" + number + " number=" + exchange + " at="
                         + at.getAddress().getHostAddress() + ":" + at.getPort());
-        Machine before = machines.getAndSet(exchange, machine);
+        SimulatedSwitch before = machines.getAndSet(exchange, machine);
         wires.set(exchange, wire);
         if (cold) {
             coldFact(exchange);
@@ -147,20 +149,20 @@
     }
 
     private void coldFact(int exchange) {
-        Machine machine = machines.get(exchange);
-        InetSocketAddress at = machine.at(kind(exchange));
-        capture.fact(
+        SimulatedSwitch machine = machines.get(exchange);
+        InetSocketAddress at = machine.address(kind(exchange));
+        capture.annotation(
                 "cold",
                 "at=" + at.getAddress().getHostAddress() + ":" + at.getPort() + " capacity="
                         + machine.capacity() + " from=" + day.switches().coldFrom() + " warm-ms="
                         + day.switches().warm().ns() / 1e6);
     }
 
-    void list(int exchange, Machine machine, SwitchLine.State state, boolean started, Span further) {
-        office.change(
+    void list(int exchange, SimulatedSwitch machine, SwitchEntry.State state, boolean started, Span further) {
+        office.publishChange(
                 exchange,
                 regionOf(exchange),
-                machine.at(kind(exchange)),
+                machine.address(kind(exchange)),
                 kind(exchange),
                 state,
                 started ? new Moment(System.nanoTime()) : null,
@@ -168,75 +170,76 @@
     }
 
     void controllerUp(int exchange) throws IOException {
-        capture.fact(
+        capture.annotation(
                 "controller",
-                "number=" + exchange + " host=" + Controllers.host(exchange).getHostAddress() + " state=up");
+                "number=" + exchange + " host="
+                        + ControllerProcesses.host(exchange).getHostAddress() + " state=up");
     }
 
     /** The controller has been killed: what it held goes with it. */
     void controllerKilled(int exchange) throws IOException {
-        InetAddress host = Controllers.host(exchange);
-        capture.fact("controller", "number=" + exchange + " host=" + host.getHostAddress() + " state=killed");
+        InetAddress host = ControllerProcesses.host(exchange);
+        capture.annotation("controller", "number=" + exchange + " host=" + host.getHostAddress() + " state=killed");
         for (int i = 0; i < day.exchanges(); i++) {
-            machines.get(i).controllerDied(host, callers::cut);
+            machines.get(i).controllerFailed(host, callers::sessionsLost);
         }
     }
 
     void drain(int exchange) throws IOException {
-        Machine before = build(exchange, true);
+        SimulatedSwitch before = build(exchange, true);
         replaced.add(before);
-        list(exchange, before, SwitchLine.State.DRAINING, false, Span.ZERO);
-        list(exchange, machines.get(exchange), SwitchLine.State.READY, true, Span.ZERO);
+        list(exchange, before, SwitchEntry.State.DRAINING, false, Span.ZERO);
+        list(exchange, machines.get(exchange), SwitchEntry.State.READY, true, Span.ZERO);
     }
 
     void drained(int exchange) {
-        for (Machine machine : replaced) {
+        for (SimulatedSwitch machine : replaced) {
             if (machine.number() == exchange) {
-                list(exchange, machine, SwitchLine.State.GONE, false, Span.ZERO);
+                list(exchange, machine, SwitchEntry.State.GONE, false, Span.ZERO);
             }
         }
     }
 
     void down(int exchange) {
-        wires.get(exchange).silent(true);
-        machines.get(exchange).restart(callers::cut);
-        list(exchange, machines.get(exchange), SwitchLine.State.GONE, false, day.silentLag());
+        wires.get(exchange).setSilent(true);
+        machines.get(exchange).restart(callers::sessionsLost);
+        list(exchange, machines.get(exchange), SwitchEntry.State.GONE, false, day.silentLag());
     }
 
     void upCold(int exchange) {
-        machines.get(exchange).restart(callers::cut);
-        wires.get(exchange).silent(false);
+        machines.get(exchange).restart(callers::sessionsLost);
+        wires.get(exchange).setSilent(false);
         coldFact(exchange);
-        list(exchange, machines.get(exchange), SwitchLine.State.READY, true, Span.ZERO);
+        list(exchange, machines.get(exchange), SwitchEntry.State.READY, true, Span.ZERO);
     }
 
     void circuits(int region, double part) {
-        for (String name : trunks.between((a, b) -> (regionOf(a) == region) != (regionOf(b) == region))) {
-            callers.cut(trunks.keep(name, part));
+        for (String name : trunks.groupsMatching((a, b) -> (regionOf(a) == region) != (regionOf(b) == region))) {
+            callers.sessionsLost(trunks.reduceCircuits(name, part));
         }
     }
 
     void fact(String kind, String words) {
-        capture.fact(kind, words);
+        capture.annotation(kind, words);
     }
 
-    Callers callers() {
+    SimulatedCallers callers() {
         return callers;
     }
 
-    Network network() {
+    SimulatedNetwork network() {
         return network;
     }
 
-    Office office() {
+    DirectoryService office() {
         return office;
     }
 
-    Trunks trunks() {
+    TrunkGroups trunks() {
         return trunks;
     }
 
-    Machine machine(int exchange) {
+    SimulatedSwitch machine(int exchange) {
         return machines.get(exchange);
     }
 
@@ -244,7 +247,7 @@
     String waits() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < day.exchanges(); i++) {
-            text.append(' ').append(machines.get(i).waitMs());
+            text.append(' ').append(machines.get(i).queueWaitMs());
         }
         return text.toString();
     }
@@ -253,7 +256,7 @@
     List<Integer> fallen() {
         List<Integer> fallen = new ArrayList<>();
         for (int i = 0; i < day.exchanges(); i++) {
-            if (machines.get(i).fallen()) {
+            if (machines.get(i).overloaded()) {
                 fallen.add(i);
             }
         }
@@ -269,7 +272,7 @@
                 machines.get(i).close();
             }
         }
-        replaced.forEach(Machine::close);
+        replaced.forEach(SimulatedSwitch::close);
         network.close();
         capture.close();
     }
--- a/src/main/java/martenslip/play/Plan.java
+++ b/src/main/java/martenslip/scenario/TrafficPlan.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import martenslip.configuration.Skill;
 import martenslip.control.Span;
-import martenslip.provision.Skill;
-import martenslip.standin.Processor;
+import martenslip.standin.ProcessorModel;
 
 /** Where contacts go and how large the groups are, drawn for a day from its seed. */
-public final class Plan {
+public final class TrafficPlan {
     /** A group between two exchanges, {@code a} the lower number. */
     public record Group(String name, int a, int b, int circuits) {}
 
@@ -19,7 +19,7 @@
     private final List<Group> groups = new ArrayList<>();
     private final Span unit;
 
-    public Plan(Day day) {
+    public TrafficPlan(Day day) {
         int n = day.exchanges();
         SplittableRandom chance = new SplittableRandom(day.seed());
         weights = new double[n][n];
@@ -89,7 +89,7 @@
     private static Span unit(Day day) {
         double own = day.traffic().rate() / day.exchanges();
         // As many end here as begin here, and about a tenth passes through.
-        double units = own * (1.1 * Processor.HANDED_ON + Processor.ENDS_HERE);
+        double units = own * (1.1 * ProcessorModel.FORWARDING_COST_SETUPS + ProcessorModel.TERMINATING_COST_SETUPS);
         return Span.ofMillis(1000 * day.switches().use() / units);
     }
 
--- a/src/main/java/martenslip/drill/MalformedWire.java
+++ b/src/main/java/martenslip/simulatorprotocol/MalformedInputException.java
@@ -1,10 +1,10 @@
-package martenslip.drill;
+package martenslip.simulatorprotocol;
 
 /** Input that does not follow the wire, with the place where it was noticed. */
-public final class MalformedWire extends Exception {
+public final class MalformedInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public MalformedWire(String what, long batch, int position) {
+    public MalformedInputException(String what, long batch, int position) {
         super("malformed input: " + what + " (batch " + batch + ", byte " + position + " of its records)");
     }
 }
--- a/src/main/java/martenslip/drill/Reply.java
+++ b/src/main/java/martenslip/simulatorprotocol/ReplyWriter.java
@@ -1,4 +1,4 @@
-package martenslip.drill;
+package martenslip.simulatorprotocol;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -7,7 +7,7 @@
 import martenslip.control.Span;
 
 /** Writes the records of one reply. */
-final class Reply {
+final class ReplyWriter {
     private static final int HEADER = 12;
     private static final int MOST_TEXT = 0xffff;
     private ByteBuffer out = ByteBuffer.allocate(1 << 16);
@@ -56,7 +56,7 @@
             }
 
             @Override
-            public void callOff(long contact, int ring) {
+            public void cancel(long contact, int ring) {
                 record(1030, instance, 10).putLong(contact).putShort((short) ring);
             }
 
@@ -71,7 +71,7 @@
             }
 
             @Override
-            public void clock(Span delay, long token) {
+            public void startTimer(Span delay, long token) {
                 record(1040, instance, 16).putLong(delay.ns()).putLong(token);
             }
 
@@ -81,7 +81,7 @@
             }
 
             @Override
-            public void note(int peer, byte[] note) {
+            public void sendNote(int peer, byte[] note) {
                 record(1070, instance, 4 + note.length)
                         .putShort((short) peer)
                         .putShort((short) note.length)
@@ -89,7 +89,7 @@
             }
 
             @Override
-            public void watchList(boolean on) {
+            public void watchSwitchList(boolean on) {
                 record(1100, instance, 1).put((byte) (on ? 1 : 0));
             }
 
--- a/src/main/java/martenslip/drill/Drill.java
+++ b/src/main/java/martenslip/simulatorprotocol/SimulatorProtocol.java
@@ -1,4 +1,4 @@
-package martenslip.drill;
+package martenslip.simulatorprotocol;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -12,19 +12,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
 import martenslip.control.Contact;
 import martenslip.control.Controller;
 import martenslip.control.Controller.ListKind;
-import martenslip.control.Maker;
+import martenslip.control.ControllerFactory;
 import martenslip.control.Moment;
+import martenslip.control.RejectionReason;
 import martenslip.control.RingEnd;
+import martenslip.control.RingEndCause;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
+import martenslip.control.SwitchEntry;
 
 /** Feeds modules from the wire and writes down what they order; it judges nothing. */
-public final class Drill {
+public final class SimulatorProtocol {
     private static final class Instance {
         final Controller controller;
         boolean failed;
@@ -41,14 +41,14 @@
 
     private final DataInputStream in;
     private final OutputStream out;
-    private final Maker maker;
-    private final Reply reply = new Reply();
+    private final ControllerFactory maker;
+    private final ReplyWriter reply = new ReplyWriter();
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<SwitchLine>> lists = new ArrayList<>();
+    private final List<List<SwitchEntry>> lists = new ArrayList<>();
     private long batch;
     private ByteBuffer records = ByteBuffer.allocate(0);
 
-    public Drill(InputStream in, OutputStream out, Maker maker) {
+    public SimulatorProtocol(InputStream in, OutputStream out, ControllerFactory maker) {
         this.in = new DataInputStream(in);
         this.out = out;
         this.maker = maker;
@@ -57,7 +57,7 @@
         }
     }
 
-    public void run() throws IOException, MalformedWire {
+    public void run() throws IOException, MalformedInputException {
         byte[] header = new byte[16];
         while (true) {
             int got = in.readNBytes(header, 0, header.length);
@@ -65,14 +65,14 @@
                 return;
             }
             if (got < header.length) {
-                throw new MalformedWire("the batch header ends after " + got + " bytes", batch, 0);
+                throw new MalformedInputException("the batch header ends after " + got + " bytes", batch, 0);
             }
             ByteBuffer head = ByteBuffer.wrap(header);
             int number = head.getInt();
             batch = Integer.toUnsignedLong(number);
             long length = Integer.toUnsignedLong(head.getInt());
             if (length > MOST_BATCH) {
-                throw new MalformedWire("a batch of " + length + " bytes", batch, 0);
+                throw new MalformedInputException("a batch of " + length + " bytes", batch, 0);
             }
             records = ByteBuffer.wrap(read((int) length));
             reply.begin();
@@ -82,7 +82,7 @@
                 try {
                     event(now, start);
                 } catch (BufferUnderflowException e) {
-                    throw new MalformedWire("the record does not fit its batch", batch, start);
+                    throw new MalformedInputException("the record does not fit its batch", batch, start);
                 }
             }
             ByteBuffer done = reply.finish(number);
@@ -91,10 +91,10 @@
         }
     }
 
-    private byte[] read(int length) throws IOException, MalformedWire {
+    private byte[] read(int length) throws IOException, MalformedInputException {
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length) {
-            throw new MalformedWire(
+            throw new MalformedInputException(
                     "the input ends inside the batch, after " + bytes.length + " of " + length + " bytes",
                     batch,
                     bytes.length);
@@ -102,7 +102,7 @@
         return bytes;
     }
 
-    private void event(Moment now, int start) throws MalformedWire {
+    private void event(Moment now, int start) throws MalformedInputException {
         int code = Short.toUnsignedInt(records.getShort());
         if (code == 1100) {
             switchList();
@@ -114,14 +114,14 @@
             case 1010 -> listed(now, id, start);
             case 1020 -> {
                 Contact contact = contact();
-                tell(id, c -> c.offered(now, contact));
+                tell(id, c -> c.contactOffered(now, contact));
             }
             case 1030 -> {
                 long contact = records.getLong();
                 int ring = Short.toUnsignedInt(records.getShort());
                 Span took = new Span(records.getLong());
                 long target = target();
-                tell(id, c -> c.stands(now, contact, ring, target, took));
+                tell(id, c -> c.established(now, contact, ring, target, took));
             }
             case 1040 -> ended(now, id, start);
             case 1050 -> {
@@ -130,33 +130,33 @@
             }
             case 1060 -> {
                 long token = records.getLong();
-                tell(id, c -> c.clockRung(now, token));
+                tell(id, c -> c.timerExpired(now, token));
             }
             case 1070 -> {
                 int how = Byte.toUnsignedInt(records.get());
                 long target = target();
                 Span took = new Span(records.getLong());
                 float[] report = report();
-                tell(id, c -> c.reported(now, target, how == 0, took, report));
+                tell(id, c -> c.switchReported(now, target, how == 0, took, report));
             }
             case 1080 -> {
                 int peer = records.getInt();
                 byte[] note = bytes(Short.toUnsignedInt(records.getShort()), start);
-                tell(id, c -> c.peerNote(now, peer, note));
+                tell(id, c -> c.peerNoteReceived(now, peer, note));
             }
             case 1090 -> {
                 tell(id, c -> c.stopped(now));
                 instances.remove(id);
             }
-            default -> throw new MalformedWire("unknown record code " + code, batch, start);
+            default -> throw new MalformedInputException("unknown record code " + code, batch, start);
         }
     }
 
-    private interface Told {
+    private interface EventHandler {
         void to(Controller controller);
     }
 
-    private void tell(int id, Told told) {
+    private void tell(int id, EventHandler told) {
         Instance instance = instances.get(id);
         if (instance == null || instance.failed) {
             return;
@@ -178,7 +178,7 @@
         return text.toString();
     }
 
-    private void started(Moment now, int id, int start) throws MalformedWire {
+    private void started(Moment now, int id, int start) throws MalformedInputException {
         long seed = records.getLong();
         int length = records.getInt();
         int at = records.position();
@@ -189,64 +189,64 @@
             if (equals > 0) {
                 settings.put(line.substring(0, equals), line.substring(equals + 1));
             } else if (!line.isBlank()) {
-                throw new MalformedWire("a settings line that is no path=value: " + line, batch, at);
+                throw new MalformedInputException("a settings line that is no path=value: " + line, batch, at);
             }
             at += line.getBytes(StandardCharsets.UTF_8).length + 1;
         }
         try {
-            Controller made = maker.make(settings, seed, now, reply.orders(id));
+            Controller made = maker.create(settings, seed, now, reply.orders(id));
             instances.put(id, new Instance(made));
         } catch (RuntimeException e) {
             reply.fault(id, trace(e));
         }
     }
 
-    private void switchList() throws MalformedWire {
+    private void switchList() throws MalformedInputException {
         int start = records.position() - 2;
         int number = Short.toUnsignedInt(records.getShort());
         if (number >= LISTS) {
-            throw new MalformedWire("list number " + number + ", the last is " + (LISTS - 1), batch, start);
+            throw new MalformedInputException("list number " + number + ", the last is " + (LISTS - 1), batch, start);
         }
         int count = records.getInt();
         if (count < 0 || (long) count * LINE_BYTES > records.remaining()) {
-            throw new MalformedWire(
+            throw new MalformedInputException(
                     "a list of " + Integer.toUnsignedString(count) + " lines does not fit its batch", batch, start);
         }
-        List<SwitchLine> lines = new ArrayList<>(count);
+        List<SwitchEntry> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             int at = records.position();
             records.getFloat();
             records.get();
-            SwitchLine.State state = switch (records.get()) {
-                case 0 -> SwitchLine.State.DRAINING;
-                case 1 -> SwitchLine.State.GONE;
-                case 2 -> SwitchLine.State.READY;
-                default -> throw new MalformedWire("unknown state of a switch", batch, at);
+            SwitchEntry.State state = switch (records.get()) {
+                case 0 -> SwitchEntry.State.DRAINING;
+                case 1 -> SwitchEntry.State.GONE;
+                case 2 -> SwitchEntry.State.READY;
+                default -> throw new MalformedInputException("unknown state of a switch", batch, at);
             };
             long id = target();
             int zone = Short.toUnsignedInt(records.getShort());
             long started = records.getLong();
             int node = Short.toUnsignedInt(records.getShort());
-            lines.add(new SwitchLine(id, node, state, started == 0 ? null : new Moment(started), zone));
+            lines.add(new SwitchEntry(id, node, state, started == 0 ? null : new Moment(started), zone));
         }
         lists.set(number, List.copyOf(lines));
     }
 
-    private void listed(Moment now, int id, int start) throws MalformedWire {
+    private void listed(Moment now, int id, int start) throws MalformedInputException {
         int number = Short.toUnsignedInt(records.getShort());
         records.getInt();
         ListKind kind = switch (records.get()) {
             case 0 -> ListKind.CHANGES;
-            case 1 -> ListKind.WHOLE;
-            case 2 -> ListKind.REMEMBERED;
+            case 1 -> ListKind.FULL;
+            case 2 -> ListKind.CACHED;
             case 3 -> ListKind.FAILED;
-            default -> throw new MalformedWire("unknown kind of list", batch, start);
+            default -> throw new MalformedInputException("unknown kind of list", batch, start);
         };
-        List<SwitchLine> lines = kind == ListKind.FAILED ? List.of() : number < LISTS ? lists.get(number) : null;
+        List<SwitchEntry> lines = kind == ListKind.FAILED ? List.of() : number < LISTS ? lists.get(number) : null;
         if (lines == null) {
-            throw new MalformedWire("list " + number + " was never given", batch, start);
+            throw new MalformedInputException("list " + number + " was never given", batch, start);
         }
-        tell(id, c -> c.listed(now, kind, lines));
+        tell(id, c -> c.switchListReceived(now, kind, lines));
     }
 
     private Contact contact() {
@@ -273,7 +273,7 @@
                 (bits & 16) != 0);
     }
 
-    private void ended(Moment now, int id, int start) throws MalformedWire {
+    private void ended(Moment now, int id, int start) throws MalformedInputException {
         long contact = records.getLong();
         int how = Byte.toUnsignedInt(records.get());
         int ring = Short.toUnsignedInt(records.getShort());
@@ -282,23 +282,23 @@
         int why = records.getInt();
         boolean answered = records.get() != 0;
         float[] report = report();
-        Cause cause = switch (how) {
-            case 0 -> Cause.CONCLUDED;
-            case 255 -> Cause.BUSY;
-            case 254 -> Cause.TURNED_BACK;
-            case 253 -> Cause.TIMED_OUT;
-            case 252 -> Cause.UNREACHABLE;
-            case 251 -> Cause.CUT;
-            case 250 -> Cause.CALLED_OFF;
-            case 249 -> Cause.NOT_SENT;
-            default -> throw new MalformedWire("unknown outcome " + how, batch, start);
+        RingEndCause cause = switch (how) {
+            case 0 -> RingEndCause.CONCLUDED;
+            case 255 -> RingEndCause.BUSY;
+            case 254 -> RingEndCause.TURNED_BACK;
+            case 253 -> RingEndCause.TIMED_OUT;
+            case 252 -> RingEndCause.UNREACHABLE;
+            case 251 -> RingEndCause.CUT;
+            case 250 -> RingEndCause.CALLED_OFF;
+            case 249 -> RingEndCause.NOT_SENT;
+            default -> throw new MalformedInputException("unknown outcome " + how, batch, start);
         };
-        Blame blame = switch (why & 15) {
-            case 1 -> Blame.NO_CIRCUIT;
-            case 2 -> why >= 16 ? Blame.BEYOND_FULL : Blame.TANDEM;
-            case 3 -> Blame.PROCESSOR;
-            case 4 -> Blame.LINES_BUSY;
-            default -> Blame.NONE;
+        RejectionReason blame = switch (why & 15) {
+            case 1 -> RejectionReason.NO_CIRCUIT;
+            case 2 -> why >= 16 ? RejectionReason.BEYOND_FULL : RejectionReason.TANDEM;
+            case 3 -> RejectionReason.PROCESSOR;
+            case 4 -> RejectionReason.LINES_BUSY;
+            default -> RejectionReason.NONE;
         };
         RingEnd end = new RingEnd(contact, ring, target, cause, blame, took, answered, report);
         tell(id, c -> c.ringEnded(now, end));
@@ -320,9 +320,9 @@
         return values;
     }
 
-    private byte[] bytes(int length, int start) throws MalformedWire {
+    private byte[] bytes(int length, int start) throws MalformedInputException {
         if (length < 0 || length > records.remaining()) {
-            throw new MalformedWire(
+            throw new MalformedInputException(
                     "a text of " + Integer.toUnsignedString(length) + " bytes does not fit its batch", batch, start);
         }
         byte[] bytes = new byte[length];
--- a/src/main/java/martenslip/sip/Endpoint.java
+++ b/src/main/java/martenslip/sip/Endpoint.java
@@ -3,21 +3,21 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
-import martenslip.sip.dialog.CallUser;
-import martenslip.sip.dialog.Calls;
+import martenslip.eventloop.EventLoop;
+import martenslip.eventloop.TimerWheel;
+import martenslip.sip.dialog.DialogLayer;
+import martenslip.sip.dialog.UserAgentCore;
 import martenslip.sip.message.Message;
-import martenslip.sip.transaction.Branches;
-import martenslip.sip.transaction.Outlet;
-import martenslip.sip.transaction.Timers;
-import martenslip.sip.transport.Arrival;
-import martenslip.sip.transport.Bounds;
-import martenslip.sip.transport.Drops;
-import martenslip.sip.transport.Gate;
+import martenslip.sip.transaction.IdGenerator;
+import martenslip.sip.transaction.MessageSender;
+import martenslip.sip.transaction.TransactionTimers;
+import martenslip.sip.transport.DropCounter;
 import martenslip.sip.transport.Hop;
-import martenslip.sip.transport.Sink;
+import martenslip.sip.transport.MessageInterceptor;
 import martenslip.sip.transport.Transport;
-import martenslip.wheel.EventLoop;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.TransportEvent;
+import martenslip.sip.transport.TransportEventSink;
+import martenslip.sip.transport.TransportLimits;
 
 /**
  * Sockets with one thread that owns all transactions, dialogs, timers and their user. It reads the clock once for
@@ -27,32 +27,32 @@
     private static final int INBOX = 16_384;
 
     /** Sees a message before the transactions do; true where it dealt with it, as a stateless proxy does. */
-    public interface First {
-        boolean takes(Message message, Hop from);
+    public interface MessageFilter {
+        boolean handles(Message message, Hop from);
     }
 
     private final EventLoop loop;
     private final Transport transport;
     private final Consumer<Throwable> faults;
-    private Calls calls;
-    private First first = (message, from) -> false;
+    private DialogLayer dialogLayer;
+    private MessageFilter first = (message, from) -> false;
     private Runnable after = () -> {};
 
-    public Endpoint(String name, Bounds bounds, Gate gate, Consumer<Throwable> faults) {
+    public Endpoint(String name, TransportLimits bounds, MessageInterceptor gate, Consumer<Throwable> faults) {
         this.faults = faults;
         loop = new EventLoop(name, INBOX);
         transport = new Transport(
                 name,
                 bounds,
-                new Sink() {
+                new TransportEventSink() {
                     @Override
-                    public boolean offer(Arrival arrival) {
+                    public boolean offer(TransportEvent arrival) {
                         return loop.offer(arrival);
                     }
 
                     @Override
-                    public void put(Arrival arrival) throws InterruptedException {
-                        loop.put(arrival, () -> drops().count("waited for the inbox"));
+                    public void put(TransportEvent arrival) throws InterruptedException {
+                        loop.put(arrival, () -> dropCounter().increment("waited for the inbox"));
                     }
                 },
                 gate);
@@ -62,16 +62,16 @@
         return transport;
     }
 
-    public Drops drops() {
-        return transport.drops();
+    public DropCounter dropCounter() {
+        return transport.dropCounter();
     }
 
-    public Wheel wheel() {
-        return loop.wheel();
+    public TimerWheel timerWheel() {
+        return loop.timerWheel();
     }
 
-    public Calls calls() {
-        return calls;
+    public DialogLayer dialogLayer() {
+        return dialogLayer;
     }
 
     /** Opens the sockets; each may be null. Ports are told by {@link Transport#port}. */
@@ -85,55 +85,62 @@
     }
 
     /** Starts the thread. {@code after} runs at the end of each turn. Once, after {@link #open}. */
-    public void start(CallUser user, First before, Runnable afterTurn, Timers timers, long seed, int most) {
+    public void start(
+            UserAgentCore user,
+            MessageFilter before,
+            Runnable afterTurn,
+            TransactionTimers timers,
+            long seed,
+            int most) {
         first = before;
         after = afterTurn;
-        calls = new Calls(loop.wheel(), timers, outlet(), new Branches(seed), user, drops(), most);
+        dialogLayer =
+                new DialogLayer(loop.timerWheel(), timers, outlet(), new IdGenerator(seed), user, dropCounter(), most);
         loop.start(duty(), () -> {});
     }
 
-    private Outlet outlet() {
-        return new Outlet() {
+    private MessageSender outlet() {
+        return new MessageSender() {
             @Override
             public boolean send(byte[] bytes, Hop to) {
                 return transport.send(bytes, to);
             }
 
             @Override
-            public String sentBy(Hop.Kind kind) {
+            public String sentBy(Hop.Protocol kind) {
                 return transport.sentBy(kind);
             }
         };
     }
 
     /** Runs on the endpoint's thread in its next turn; waits while the inbox is full. Any other thread. */
-    public void run(Runnable what) {
+    public void execute(Runnable what) {
         try {
-            loop.put(what, () -> drops().count("waited for the inbox"));
+            loop.put(what, () -> dropCounter().increment("waited for the inbox"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private EventLoop.Duty duty() {
-        return new EventLoop.Duty() {
+    private EventLoop.Handler duty() {
+        return new EventLoop.Handler() {
             @Override
-            public void take(Object next) {
-                boolean taken =
-                        next instanceof Arrival.Received received && first.takes(received.message(), received.from());
-                if (!taken && next instanceof Arrival arrival) {
-                    calls.transactions().arrived(arrival);
+            public void handle(Object next) {
+                boolean taken = next instanceof TransportEvent.MessageReceived received
+                        && first.handles(received.message(), received.from());
+                if (!taken && next instanceof TransportEvent arrival) {
+                    dialogLayer.transactionLayer().handleEvent(arrival);
                 }
             }
 
             @Override
-            public void after() {
+            public void afterTurn() {
                 after.run();
             }
 
             @Override
-            public void fault(Throwable fault) {
-                drops().count("fault");
+            public void onFailure(Throwable fault) {
+                dropCounter().increment("fault");
                 faults.accept(fault);
             }
         };
--- a/src/main/java/martenslip/sip/dialog/Dialog.java
+++ b/src/main/java/martenslip/sip/dialog/Dialog.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import martenslip.sip.message.BadValue;
 import martenslip.sip.message.Headers;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.NameAddr;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.message.SipUri;
 import martenslip.sip.transport.Hop;
-import martenslip.sip.transport.Hops;
+import martenslip.sip.transport.HopResolver;
 
-/** The state that two user agents share (RFC 3261 12). Owned by the thread of its {@link Calls}. */
+/** The state that two user agents share (RFC 3261 12). Owned by the thread of its {@link DialogLayer}. */
 public final class Dialog {
     /** More than one call's own requests here: a BYE alone. */
     private static final int TAKEN_OVER = 100;
@@ -47,7 +47,7 @@
     }
 
     /** RFC 3261 12.1.1. */
-    public static Dialog asServer(Request request, String localTag) throws BadValue {
+    public static Dialog asServer(Request request, String localTag) throws InvalidValueException {
         return new Dialog(
                 request.callId(),
                 request.to().withTag(localTag),
@@ -59,7 +59,7 @@
     }
 
     /** RFC 3261 12.1.2. */
-    public static Dialog asClient(Request request, Response response) throws BadValue {
+    public static Dialog asClient(Request request, Response response) throws InvalidValueException {
         List<String> routes = new ArrayList<>(response.headers().all("Record-Route"));
         Collections.reverse(routes);
         return new Dialog(
@@ -73,7 +73,7 @@
     }
 
     /** Of a 2xx whose INVITE is no longer known, to end it: all that this needs stands in the response. */
-    static Dialog unwanted(Response response) throws BadValue {
+    static Dialog unwanted(Response response) throws InvalidValueException {
         List<String> routes = new ArrayList<>(response.headers().all("Record-Route"));
         Collections.reverse(routes);
         return new Dialog(
@@ -86,10 +86,10 @@
                 -1);
     }
 
-    private static String contact(Headers headers) throws BadValue {
+    private static String contact(Headers headers) throws InvalidValueException {
         String contact = headers.first("Contact");
         if (contact == null) {
-            throw new BadValue("no Contact, so no dialog");
+            throw new InvalidValueException("no Contact, so no dialog");
         }
         String uri = NameAddr.parse(contact).uri();
         SipUri.parse(uri);
@@ -145,8 +145,8 @@
     }
 
     /** Where requests of this dialog go: the first route, else the far side's contact (RFC 3261 12.2.1.1). */
-    Hop hop() throws BadValue {
-        return Hops.of(SipUri.parse(
+    Hop hop() throws InvalidValueException {
+        return HopResolver.resolve(SipUri.parse(
                 routes.isEmpty() ? remoteTarget : NameAddr.parse(routes.get(0)).uri()));
     }
 }
--- a/src/main/java/martenslip/sip/dialog/Calls.java
+++ b/src/main/java/martenslip/sip/dialog/DialogLayer.java
@@ -7,24 +7,24 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import martenslip.sip.message.BadValue;
+import martenslip.eventloop.TimerWheel;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transaction.Asker;
-import martenslip.sip.transaction.Branches;
 import martenslip.sip.transaction.ClientTransaction;
-import martenslip.sip.transaction.Failure;
-import martenslip.sip.transaction.Outlet;
+import martenslip.sip.transaction.ClientTransactionUser;
+import martenslip.sip.transaction.IdGenerator;
+import martenslip.sip.transaction.MessageSender;
+import martenslip.sip.transaction.RequestFailure;
 import martenslip.sip.transaction.ServerTransaction;
-import martenslip.sip.transaction.Timers;
-import martenslip.sip.transaction.Transactions;
-import martenslip.sip.transaction.User;
-import martenslip.sip.transport.Drops;
+import martenslip.sip.transaction.TransactionLayer;
+import martenslip.sip.transaction.TransactionTimers;
+import martenslip.sip.transaction.TransactionUser;
+import martenslip.sip.transport.DropCounter;
 import martenslip.sip.transport.Hop;
-import martenslip.wheel.Wheel;
 
 /** All dialogs of calls of one thread (RFC 3261 12 to 15), and the checks that every request meets (8.2). */
-public final class Calls implements User {
+public final class DialogLayer implements TransactionUser {
     private static final Set<String> OWN = Set.of("INVITE", "ACK", "BYE", "CANCEL");
     private static final Set<String> KNOWN = Set.of(
             "INVITE",
@@ -42,66 +42,73 @@
             "MESSAGE",
             "UPDATE");
 
-    private final Wheel wheel;
-    private final Timers timers;
-    private final Outlet out;
-    private final Branches branches;
-    private final CallUser user;
-    private final Drops drops;
-    private final Transactions transactions;
-    private final Map<String, Leg> legs = new LinkedHashMap<>();
-    private final Map<String, CallIn> merging = new HashMap<>();
+    private final TimerWheel timerWheel;
+    private final TransactionTimers timers;
+    private final MessageSender out;
+    private final IdGenerator idGenerator;
+    private final UserAgentCore user;
+    private final DropCounter drops;
+    private final TransactionLayer transactionLayer;
+    private final Map<String, CallLeg> legs = new LinkedHashMap<>();
+    private final Map<String, UasCall> merging = new HashMap<>();
     private final String allow;
 
-    public Calls(Wheel wheel, Timers timers, Outlet out, Branches branches, CallUser user, Drops drops, int most) {
-        this.wheel = wheel;
+    public DialogLayer(
+            TimerWheel wheel,
+            TransactionTimers timers,
+            MessageSender out,
+            IdGenerator branches,
+            UserAgentCore user,
+            DropCounter drops,
+            int most) {
+        this.timerWheel = wheel;
         this.timers = timers;
         this.out = out;
-        this.branches = branches;
+        this.idGenerator = branches;
         this.user = user;
         this.drops = drops;
-        transactions = new Transactions(wheel, timers, out, branches, this, drops, most);
+        transactionLayer = new TransactionLayer(wheel, timers, out, branches, this, drops, most);
         Set<String> all = new TreeSet<>(OWN);
-        all.addAll(user.methods());
+        all.addAll(user.additionalMethods());
         allow = String.join(", ", all);
     }
 
-    public Transactions transactions() {
-        return transactions;
+    public TransactionLayer transactionLayer() {
+        return transactionLayer;
     }
 
-    public Branches branches() {
-        return branches;
+    public IdGenerator idGenerator() {
+        return idGenerator;
     }
 
-    public Wheel wheel() {
-        return wheel;
+    public TimerWheel timerWheel() {
+        return timerWheel;
     }
 
-    Timers timers() {
+    TransactionTimers timers() {
         return timers;
     }
 
-    Drops drops() {
+    DropCounter drops() {
         return drops;
     }
 
     /** Dialogs that are open, early ones too. */
-    public int open() {
+    public int openDialogCount() {
         return legs.size();
     }
 
     /** The Contact of this endpoint for peers on this transport, in brackets. */
-    public String contact(Hop.Kind kind, String name) {
+    public String contactHeader(Hop.Protocol kind, String name) {
         return "<sip:" + (name == null ? "" : name + "@") + out.sentBy(kind)
-                + (kind == Hop.Kind.TCP ? ";transport=tcp" : "") + ">";
+                + (kind == Hop.Protocol.TCP ? ";transport=tcp" : "") + ">";
     }
 
     /** Sends an INVITE that has all but its Via and, if it has none, its Contact. */
-    public CallOut call(Request invite, Hop to, CallOut.Listener listener) {
-        CallOut call = new CallOut(this, listener);
+    public UacCall startCall(Request invite, Hop to, UacCall.Listener listener) {
+        UacCall call = new UacCall(this, listener);
         if (invite.headers().first("Contact") == null) {
-            invite.headers().add("Contact", contact(to.kind(), null));
+            invite.headers().add("Contact", contactHeader(to.protocol(), null));
         }
         call.start(invite, to);
         return call;
@@ -111,12 +118,12 @@
      * Takes over a call that another thread had taken: INVITE, where it came from and the tag that this side gave it.
      * {@code confirmed} says that its 2xx was acknowledged. Null where the INVITE is known here already.
      */
-    public CallIn takeOver(Request invite, Hop from, String tag, boolean confirmed) throws BadValue {
-        ServerTransaction transaction = transactions.takeOver(invite, from);
+    public UasCall takeOver(Request invite, Hop from, String tag, boolean confirmed) throws InvalidValueException {
+        ServerTransaction transaction = transactionLayer.takeOver(invite, from);
         if (transaction == null) {
             return null;
         }
-        CallIn call = register(transaction, invite, tag);
+        UasCall call = register(transaction, invite, tag);
         if (confirmed) {
             call.standsAlready();
         }
@@ -124,8 +131,9 @@
     }
 
     /** Takes over an INVITE that another thread had sent; {@code stood} is its 2xx, or null while it is out. */
-    public CallOut takeOver(Request invite, Hop to, Response stood, CallOut.Listener listener) throws BadValue {
-        CallOut call = new CallOut(this, listener);
+    public UacCall takeOver(Request invite, Hop to, Response stood, UacCall.Listener listener)
+            throws InvalidValueException {
+        UacCall call = new UacCall(this, listener);
         if (stood == null) {
             call.takeOver(invite, to);
         } else {
@@ -134,20 +142,20 @@
         return call;
     }
 
-    private CallIn register(ServerTransaction transaction, Request invite, String tag) throws BadValue {
-        CallIn call = new CallIn(this, transaction, Dialog.asServer(invite, tag));
+    private UasCall register(ServerTransaction transaction, Request invite, String tag) throws InvalidValueException {
+        UasCall call = new UasCall(this, transaction, Dialog.asServer(invite, tag));
         transaction.attach(call);
         legs.put(call.id(), call);
         merging.put(mergeKey(invite), call);
         return call;
     }
 
-    ClientTransaction send(Request request, Hop to, Asker asker) {
-        return transactions.send(request, to, asker);
+    ClientTransaction send(Request request, Hop to, ClientTransactionUser asker) {
+        return transactionLayer.send(request, to, asker);
     }
 
     void sendCancel(Request cancel, Hop to) {
-        transactions.sendCancel(cancel, to, NOBODY);
+        transactionLayer.sendCancel(cancel, to, NOBODY);
     }
 
     /** Ends a dialog; whatever becomes of the BYE, the dialog is over here. */
@@ -157,65 +165,65 @@
             if (reason != null) {
                 bye.headers().add("Reason", reason);
             }
-            transactions.send(bye, dialog.hop(), NOBODY);
-        } catch (BadValue e) {
-            drops.count("far side of a dialog can't be reached");
+            transactionLayer.send(bye, dialog.hop(), NOBODY);
+        } catch (InvalidValueException e) {
+            drops.increment("far side of a dialog can't be reached");
         }
     }
 
     void sendAck(Dialog dialog, ClientTransaction invite) {
         try {
-            transactions.sendAck(dialog.ack(invite.request().cseq().number()), dialog.hop());
-        } catch (BadValue e) {
-            drops.count("far side of a dialog can't be reached");
+            transactionLayer.sendAck(dialog.ack(invite.request().cseq().number()), dialog.hop());
+        } catch (InvalidValueException e) {
+            drops.increment("far side of a dialog can't be reached");
         }
     }
 
-    private static final Asker NOBODY = new Asker() {
+    private static final ClientTransactionUser NOBODY = new ClientTransactionUser() {
         @Override
-        public void answered(ClientTransaction transaction, Response response) {
+        public void responseReceived(ClientTransaction transaction, Response response) {
             // Nothing hangs on how a CANCEL or BYE is answered (RFC 3261 9.1, 15.1.1).
         }
 
         @Override
-        public void failed(ClientTransaction transaction, Failure why) {
+        public void failed(ClientTransaction transaction, RequestFailure why) {
             // As above.
         }
     };
 
-    void stands(CallOut call, String id) {
+    void stands(UacCall call, String id) {
         legs.put(id, call);
     }
 
-    void over(Leg leg, String id) {
+    void over(CallLeg leg, String id) {
         legs.remove(id, leg);
-        if (leg instanceof CallIn in) {
+        if (leg instanceof UasCall in) {
             merging.remove(mergeKey(in.invite()), in);
         }
     }
 
     /** Answers a request within a dialog; true where it is the BYE that ends it (RFC 3261 12.2.2, 15.1.2). */
-    boolean endedBy(ServerTransaction next, Dialog dialog) throws BadValue {
+    boolean endedBy(ServerTransaction next, Dialog dialog) throws InvalidValueException {
         Request request = next.request();
         if (!dialog.follows(request.cseq().number())) {
-            next.respond(request.answer(500, "CSeq out of order", null));
+            next.respond(request.createResponse(500, "CSeq out of order", null));
             return false;
         }
-        if (!request.is("BYE")) {
+        if (!request.hasMethod("BYE")) {
             refuseInDialog(next);
             return false;
         }
-        next.respond(request.answer(200, "OK", null));
+        next.respond(request.createResponse(200, "OK", null));
         return true;
     }
 
     /** Other requests within a call are refused for now: 488 for a re-INVITE, else 405. */
     void refuseInDialog(ServerTransaction transaction) {
         Request request = transaction.request();
-        boolean change = request.is("INVITE") || request.is("UPDATE");
+        boolean change = request.hasMethod("INVITE") || request.hasMethod("UPDATE");
         Response refusal = change
-                ? request.answer(488, "Sessions are not changed here", null)
-                : request.answer(KNOWN.contains(request.method()) ? 405 : 501, "Not in a call", null);
+                ? request.createResponse(488, "Sessions are not changed here", null)
+                : request.createResponse(KNOWN.contains(request.method()) ? 405 : 501, "Not in a call", null);
         if (!change) {
             refusal.headers().add("Allow", allow);
         }
@@ -223,24 +231,24 @@
     }
 
     @Override
-    public void requested(ServerTransaction transaction) {
+    public void requestReceived(ServerTransaction transaction) {
         Request request = transaction.request();
         try {
             String toTag = request.to().tag();
-            Leg leg = toTag.isEmpty()
+            CallLeg leg = toTag.isEmpty()
                     ? null
                     : legs.get(Dialog.id(request.callId(), toTag, request.from().tag()));
             if (leg != null) {
-                leg.requested(transaction);
+                leg.requestReceived(transaction);
             } else if (!refused(transaction, request, toTag)) {
-                if (request.is("INVITE")) {
+                if (request.hasMethod("INVITE")) {
                     begin(transaction, request);
                 } else {
-                    user.requested(transaction);
+                    user.requestReceived(transaction);
                 }
             }
-        } catch (BadValue e) {
-            transaction.respond(request.answer(400, phrase(e.getMessage()), branches.tag()));
+        } catch (InvalidValueException e) {
+            transaction.respond(request.createResponse(400, phrase(e.getMessage()), idGenerator.nextTag()));
         }
     }
 
@@ -250,29 +258,29 @@
 
     private boolean refused(ServerTransaction transaction, Request request, String toTag) {
         String method = request.method();
-        if (!OWN.contains(method) && !user.methods().contains(method)) {
+        if (!OWN.contains(method) && !user.additionalMethods().contains(method)) {
             boolean known = KNOWN.contains(method);
-            Response refusal =
-                    request.answer(known ? 405 : 501, "Method " + phrase(method) + " is not served", branches.tag());
+            Response refusal = request.createResponse(
+                    known ? 405 : 501, "Method " + phrase(method) + " is not served", idGenerator.nextTag());
             refusal.headers().add("Allow", allow);
             return transaction.respond(refusal);
         }
         List<String> required = request.headers().all("Require");
         if (!required.isEmpty()) {
-            Response refusal = request.answer(420, "Extension not supported", branches.tag());
+            Response refusal = request.createResponse(420, "Extension not supported", idGenerator.nextTag());
             required.forEach(one -> refusal.headers().add("Unsupported", one));
             return transaction.respond(refusal);
         }
         boolean inCall = OWN.contains(method) && !toTag.isEmpty() || method.equals("BYE");
         if (inCall) {
-            return transaction.respond(request.answer(481, "No such call", branches.tag()));
+            return transaction.respond(request.createResponse(481, "No such call", idGenerator.nextTag()));
         }
         return false;
     }
 
     private static void trying(ServerTransaction transaction) {
-        if (transaction.silent()) {
-            transaction.respond(transaction.request().answer(100, "Trying", null));
+        if (transaction.isUnanswered()) {
+            transaction.respond(transaction.request().createResponse(100, "Trying", null));
         }
     }
 
@@ -284,26 +292,26 @@
                 + request.headers().first("CSeq");
     }
 
-    private void begin(ServerTransaction transaction, Request request) throws BadValue {
-        CallIn same = merging.get(mergeKey(request));
+    private void begin(ServerTransaction transaction, Request request) throws InvalidValueException {
+        UasCall same = merging.get(mergeKey(request));
         if (same != null) {
             // The same request by another way (RFC 3261 8.2.2.2).
-            transaction.respond(request.answer(482, "Merged request", branches.tag()));
+            transaction.respond(request.createResponse(482, "Merged request", idGenerator.nextTag()));
             return;
         }
         String hops = request.headers().first("Max-Forwards");
         if (hops != null && hops.equals("0")) {
-            transaction.respond(request.answer(483, "Too many hops", branches.tag()));
+            transaction.respond(request.createResponse(483, "Too many hops", idGenerator.nextTag()));
             return;
         }
-        CallIn call = register(transaction, request, branches.tag());
-        if (timers.trying().ns() == 0) {
+        UasCall call = register(transaction, request, idGenerator.nextTag());
+        if (timers.tryingDelay().ns() == 0) {
             trying(transaction);
         } else {
-            wheel.after(timers.trying(), () -> trying(transaction));
+            timerWheel.scheduleAfter(timers.tryingDelay(), () -> trying(transaction));
         }
         try {
-            user.incoming(call);
+            user.inviteReceived(call);
         } catch (RuntimeException e) {
             // Whatever it was, the caller is owed an answer, and nobody else would give it.
             call.refuse(call.response(500, "Fault"));
@@ -313,36 +321,36 @@
 
     @Override
     public void cancelled(ServerTransaction invite, Request cancel) {
-        if (invite.attached() instanceof CallIn call) {
+        if (invite.attached() instanceof UasCall call) {
             call.cancelled();
         }
     }
 
     @Override
-    public void acked(Request ack, Hop from) {
+    public void ackReceived(Request ack, Hop from) {
         try {
-            Leg leg =
+            CallLeg leg =
                     legs.get(Dialog.id(ack.callId(), ack.to().tag(), ack.from().tag()));
-            if (leg instanceof CallIn call) {
+            if (leg instanceof UasCall call) {
                 call.acked();
             }
-        } catch (BadValue e) {
-            drops.count("unreadable ACK");
+        } catch (InvalidValueException e) {
+            drops.increment("unreadable ACK");
         }
     }
 
     @Override
-    public void over(ServerTransaction transaction) {
-        if (transaction.attached() instanceof CallIn call) {
+    public void transactionEnded(ServerTransaction transaction) {
+        if (transaction.attached() instanceof UasCall call) {
             call.transactionOver();
         }
     }
 
     @Override
-    public void stray(Response response, Hop from) {
-        drops.count("response without a transaction");
+    public void unmatchedResponse(Response response, Hop from) {
+        drops.increment("response without a transaction");
         try {
-            if (response.success()
+            if (response.isSuccess()
                     && response.cseq().method().equals("INVITE")
                     && !legs.containsKey(Dialog.id(
                             response.callId(),
@@ -350,25 +358,25 @@
                             response.to().tag()))) {
                 // Nobody here wants the call any more, but the far side holds it until it hears so (13.2.2.4).
                 Dialog unwanted = Dialog.unwanted(response);
-                transactions.sendAck(unwanted.ack(response.cseq().number()), unwanted.hop());
+                transactionLayer.sendAck(unwanted.ack(response.cseq().number()), unwanted.hop());
                 sendBye(unwanted, null);
             }
-        } catch (BadValue e) {
-            drops.count("2xx that makes no dialog");
+        } catch (InvalidValueException e) {
+            drops.increment("2xx that makes no dialog");
         }
     }
 
     @Override
-    public void broken(Hop hop, boolean everUp) {
+    public void connectionLost(Hop hop, boolean everUp) {
         if (everUp) {
-            for (Leg leg : new ArrayList<>(legs.values())) {
-                if (leg instanceof CallOut call
-                        && call.hop().reliable()
+            for (CallLeg leg : new ArrayList<>(legs.values())) {
+                if (leg instanceof UacCall call
+                        && call.hop().isReliable()
                         && call.hop().address().equals(hop.address())) {
                     call.broken();
                 }
             }
         }
-        user.broken(hop, everUp);
+        user.connectionLost(hop, everUp);
     }
 }
--- a/src/main/java/martenslip/sip/dialog/Watch.java
+++ b/src/main/java/martenslip/sip/dialog/EventSubscriber.java
@@ -1,24 +1,24 @@
 package martenslip.sip.dialog;
 
 import martenslip.control.Span;
-import martenslip.sip.message.BadValue;
+import martenslip.eventloop.TimerWheel;
 import martenslip.sip.message.Headers;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.NameAddr;
-import martenslip.sip.message.Params;
+import martenslip.sip.message.Parameters;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transaction.Asker;
 import martenslip.sip.transaction.ClientTransaction;
-import martenslip.sip.transaction.Failure;
+import martenslip.sip.transaction.ClientTransactionUser;
+import martenslip.sip.transaction.RequestFailure;
 import martenslip.sip.transaction.ServerTransaction;
 import martenslip.sip.transport.Hop;
-import martenslip.wheel.Wheel;
 
 /**
  * A subscriber (RFC 6665 4.1). It refreshes at half of the time it was granted; once it has failed it says so and
- * waits to be started anew. Owned by the thread of its {@link Calls}.
+ * waits to be started anew. Owned by the thread of its {@link DialogLayer}.
  */
-public final class Watch implements Asker {
+public final class EventSubscriber implements ClientTransactionUser {
     /** Hears what the watch brings. */
     public interface Listener {
         /** A body of the package; the NOTIFY has been answered. */
@@ -30,7 +30,7 @@
 
     private static final int ASKED_SECONDS = 30;
 
-    private final Calls calls;
+    private final DialogLayer calls;
     private final String uri;
     private final Hop hop;
     private final String event;
@@ -42,10 +42,10 @@
     private String target;
     private long number;
     private long remoteNumber;
-    private boolean on;
-    private Wheel.Timer refresh;
+    private boolean isActive;
+    private TimerWheel.Timer refresh;
 
-    public Watch(Calls calls, String uri, Hop hop, String event, String accept, Listener listener) {
+    public EventSubscriber(DialogLayer calls, String uri, Hop hop, String event, String accept, Listener listener) {
         this.calls = calls;
         this.uri = uri;
         this.hop = hop;
@@ -54,26 +54,26 @@
         this.listener = listener;
     }
 
-    public boolean on() {
-        return on;
+    public boolean isActive() {
+        return isActive;
     }
 
     /** Subscribes anew, which brings the whole state; a subscription that stands is left to run out. */
     public void start() {
         stopTimer();
-        callId = calls.branches().callId("watch");
-        tag = calls.branches().tag();
+        callId = calls.idGenerator().nextCallId("watch");
+        tag = calls.idGenerator().nextTag();
         remote = "<" + uri + ">";
         target = uri;
         number = 0;
         remoteNumber = -1;
-        on = true;
+        isActive = true;
         subscribe(ASKED_SECONDS);
     }
 
     /** Asks for the whole state within the subscription that stands; without one it does nothing. */
     public void refresh() {
-        if (on) {
+        if (isActive) {
             stopTimer();
             subscribe(ASKED_SECONDS);
         }
@@ -82,9 +82,9 @@
     /** Ends the subscription; nothing more is told. */
     public void stop() {
         stopTimer();
-        if (on) {
+        if (isActive) {
             subscribe(0);
-            on = false;
+            isActive = false;
         }
     }
 
@@ -100,20 +100,20 @@
                 .add("From", "<" + uri + ">;tag=" + tag)
                 .add("To", remote);
         headers.add("Call-ID", callId).add("CSeq", ++number + " SUBSCRIBE").add("Event", event);
-        headers.add("Accept", accept).add("Expires", seconds).add("Contact", calls.contact(hop.kind(), null));
-        calls.transactions().send(new Request("SUBSCRIBE", target, headers), hop, this);
+        headers.add("Accept", accept).add("Expires", seconds).add("Contact", calls.contactHeader(hop.protocol(), null));
+        calls.transactionLayer().send(new Request("SUBSCRIBE", target, headers), hop, this);
     }
 
     @Override
-    public void answered(ClientTransaction transaction, Response response) {
-        if (!on || !transaction.request().callId().equals(callId) || response.provisional()) {
+    public void responseReceived(ClientTransaction transaction, Response response) {
+        if (!isActive || !transaction.request().callId().equals(callId) || response.isProvisional()) {
             return;
         }
         if (overtaken(transaction)) {
             // A refresh that a later one has overtaken on a lossy way may be refused as out of order.
             return;
         }
-        if (!response.success()) {
+        if (!response.isSuccess()) {
             fail("refused with " + response.status());
             return;
         }
@@ -125,15 +125,16 @@
             String granted = response.headers().first("Expires");
             int seconds = granted == null ? ASKED_SECONDS : Integer.parseInt(granted);
             stopTimer();
-            refresh = calls.wheel().after(Span.ofMillis(Math.max(1, seconds) * 500.0), () -> subscribe(ASKED_SECONDS));
-        } catch (BadValue | NumberFormatException e) {
+            refresh = calls.timerWheel()
+                    .scheduleAfter(Span.ofMillis(Math.max(1, seconds) * 500.0), () -> subscribe(ASKED_SECONDS));
+        } catch (InvalidValueException | NumberFormatException e) {
             fail("an answer that can't be read: " + e.getMessage());
         }
     }
 
     @Override
-    public void failed(ClientTransaction transaction, Failure why) {
-        if (on && transaction.request().callId().equals(callId) && !overtaken(transaction)) {
+    public void failed(ClientTransaction transaction, RequestFailure why) {
+        if (isActive && transaction.request().callId().equals(callId) && !overtaken(transaction)) {
             fail(why.toString());
         }
     }
@@ -144,26 +145,26 @@
 
     private void fail(String why) {
         stopTimer();
-        on = false;
+        isActive = false;
         listener.failed(why);
     }
 
     /** Takes a NOTIFY that is of this subscription; false where it is not. */
-    public boolean takes(ServerTransaction transaction) throws BadValue {
+    public boolean handleNotify(ServerTransaction transaction) throws InvalidValueException {
         Request request = transaction.request();
-        if (!on
-                || !request.is("NOTIFY")
+        if (!isActive
+                || !request.hasMethod("NOTIFY")
                 || !request.callId().equals(callId)
                 || !request.to().tag().equals(tag)) {
             return false;
         }
         long sequence = request.cseq().number();
         if (sequence <= remoteNumber) {
-            transaction.respond(request.answer(500, "CSeq out of order", null));
+            transaction.respond(request.createResponse(500, "CSeq out of order", null));
             return true;
         }
         remoteNumber = sequence;
-        transaction.respond(request.answer(200, "OK", null));
+        transaction.respond(request.createResponse(200, "OK", null));
         if (request.body().length > 0) {
             listener.notified(request.body());
         }
@@ -173,7 +174,7 @@
             fail("ended"
                     + (semicolon < 0
                             ? ""
-                            : " " + Params.parse(state.substring(semicolon)).get("reason")));
+                            : " " + Parameters.parse(state.substring(semicolon)).get("reason")));
         }
         return true;
     }
--- a/src/main/java/martenslip/sip/dialog/Notifier.java
+++ b/src/main/java/martenslip/sip/dialog/Notifier.java
@@ -6,31 +6,31 @@
 import java.util.Map;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.sip.message.BadValue;
 import martenslip.sip.message.Headers;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.NameAddr;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transaction.Asker;
 import martenslip.sip.transaction.ClientTransaction;
-import martenslip.sip.transaction.Failure;
+import martenslip.sip.transaction.ClientTransactionUser;
+import martenslip.sip.transaction.RequestFailure;
 import martenslip.sip.transaction.ServerTransaction;
 import martenslip.sip.transport.Hop;
-import martenslip.sip.transport.Hops;
+import martenslip.sip.transport.HopResolver;
 
 /**
  * The notifying side of one event package (RFC 6665 4.2). At {@code most} subscriptions a new one is refused
- * with 503. Owned by the thread of its {@link Calls}.
+ * with 503. Owned by the thread of its {@link DialogLayer}.
  */
 public final class Notifier {
     /** Gives the body for a subscriber. */
-    public interface Source {
+    public interface StateSource {
         /** All that is known, for a new or refreshed subscription. */
-        byte[] whole(Subscriber to);
+        byte[] fullState(Subscription to);
     }
 
     /** One subscription; {@code note} is for the source to remember by what this one has been told. */
-    public static final class Subscriber {
+    public static final class Subscription {
         private final String callId;
         private final String local;
         private final String remote;
@@ -41,9 +41,9 @@
         private Moment until;
         private int waiting;
         /** The version that this one was told last. */
-        public long told;
+        public long lastNotifiedVersion;
 
-        private Subscriber(String callId, String local, String remote, String target, Hop hop) {
+        private Subscription(String callId, String local, String remote, String target, Hop hop) {
             this.callId = callId;
             this.local = local;
             this.remote = remote;
@@ -59,14 +59,14 @@
     private static final int MOST_SECONDS = 60;
     private static final int MOST_WAITING = 64;
 
-    private final Calls calls;
+    private final DialogLayer calls;
     private final String event;
     private final String type;
-    private final Source source;
+    private final StateSource source;
     private final int most;
-    private final Map<String, Subscriber> all = new LinkedHashMap<>();
+    private final Map<String, Subscription> all = new LinkedHashMap<>();
 
-    public Notifier(Calls calls, String event, String type, Source source, int most) {
+    public Notifier(DialogLayer calls, String event, String type, StateSource source, int most) {
         this.calls = calls;
         this.event = event;
         this.type = type;
@@ -74,36 +74,36 @@
         this.most = most;
     }
 
-    public List<Subscriber> subscribers() {
-        all.values().removeIf(one -> one.until.before(calls.wheel().now()));
+    public List<Subscription> subscriptions() {
+        all.values().removeIf(one -> one.until.before(calls.timerWheel().now()));
         return new ArrayList<>(all.values());
     }
 
     /** True where the request belongs to a subscription that stands here. */
-    public boolean knows(Request request) throws BadValue {
+    public boolean hasSubscription(Request request) throws InvalidValueException {
         return all.containsKey(request.callId() + ' ' + request.from().tag());
     }
 
     /** Takes a SUBSCRIBE of the package; false where it is not. */
-    public boolean takes(ServerTransaction transaction) throws BadValue {
+    public boolean handleSubscribe(ServerTransaction transaction) throws InvalidValueException {
         Request request = transaction.request();
-        if (!request.is("SUBSCRIBE") || !event.equals(request.headers().first("Event"))) {
+        if (!request.hasMethod("SUBSCRIBE") || !event.equals(request.headers().first("Event"))) {
             return false;
         }
         String toTag = request.to().tag();
         String key = request.callId() + ' ' + request.from().tag();
-        Subscriber one = all.get(key);
+        Subscription one = all.get(key);
         if (one == null && !toTag.isEmpty()) {
-            transaction.respond(request.answer(481, "No such subscription", null));
+            transaction.respond(request.createResponse(481, "No such subscription", null));
             return true;
         }
         if (one != null && request.cseq().number() <= one.remoteNumber) {
-            transaction.respond(request.answer(500, "CSeq out of order", null));
+            transaction.respond(request.createResponse(500, "CSeq out of order", null));
             return true;
         }
-        if (one == null && subscribers().size() >= most) {
-            transaction.respond(request.answer(
-                    503, "Too many subscriptions", calls.branches().tag()));
+        if (one == null && subscriptions().size() >= most) {
+            transaction.respond(request.createResponse(
+                    503, "Too many subscriptions", calls.idGenerator().nextTag()));
             return true;
         }
         String asked = request.headers().first("Expires");
@@ -113,35 +113,36 @@
             all.put(key, one);
         }
         one.remoteNumber = request.cseq().number();
-        one.until = calls.wheel().now().plus(Span.ofMillis(seconds * 1000.0));
-        Response ok = request.answer(200, "OK", NameAddr.parse(one.local).tag());
+        one.until = calls.timerWheel().now().plus(Span.ofMillis(seconds * 1000.0));
+        Response ok =
+                request.createResponse(200, "OK", NameAddr.parse(one.local).tag());
         ok.headers().add("Expires", seconds);
-        ok.headers().add("Contact", calls.contact(transaction.from().kind(), null));
+        ok.headers().add("Contact", calls.contactHeader(transaction.from().protocol(), null));
         transaction.respond(ok);
-        send(one, source.whole(one), seconds == 0 ? "terminated;reason=timeout" : "active;expires=" + seconds);
+        send(one, source.fullState(one), seconds == 0 ? "terminated;reason=timeout" : "active;expires=" + seconds);
         if (seconds == 0) {
             all.remove(key);
         }
         return true;
     }
 
-    private Subscriber begin(Request request) throws BadValue {
+    private Subscription begin(Request request) throws InvalidValueException {
         String contact = request.headers().first("Contact");
         if (contact == null) {
-            throw new BadValue("no Contact, so no subscription");
+            throw new InvalidValueException("no Contact, so no subscription");
         }
         String target = NameAddr.parse(contact).uri();
-        String local = request.to().withTag(calls.branches().tag()).toString();
-        return new Subscriber(
+        String local = request.to().withTag(calls.idGenerator().nextTag()).toString();
+        return new Subscription(
                 request.callId(),
                 local,
                 request.headers().first("From"),
                 target,
-                Hops.of(martenslip.sip.message.SipUri.parse(target)));
+                HopResolver.resolve(martenslip.sip.message.SipUri.parse(target)));
     }
 
     /** Sends a body; false where this subscriber has too many unanswered ones and must be told later. */
-    public boolean notify(Subscriber one, byte[] body) {
+    public boolean sendNotify(Subscription one, byte[] body) {
         if (one.waiting >= MOST_WAITING) {
             return false;
         }
@@ -149,21 +150,21 @@
         return true;
     }
 
-    private void send(Subscriber one, byte[] body, String state) {
+    private void send(Subscription one, byte[] body, String state) {
         Headers headers = new Headers();
         headers.add("Max-Forwards", "70")
                 .add("From", one.local)
                 .add("To", one.remote)
                 .add("Call-ID", one.callId);
         headers.add("CSeq", ++one.number + " NOTIFY").add("Event", event).add("Subscription-State", state);
-        headers.add("Contact", calls.contact(one.hop.kind(), null));
+        headers.add("Contact", calls.contactHeader(one.hop.protocol(), null));
         Request request = new Request("NOTIFY", one.target, headers);
         request.body(type, body);
         one.waiting++;
-        calls.transactions().send(request, one.hop, new Asker() {
+        calls.transactionLayer().send(request, one.hop, new ClientTransactionUser() {
             @Override
-            public void answered(ClientTransaction transaction, Response response) {
-                if (!response.provisional()) {
+            public void responseReceived(ClientTransaction transaction, Response response) {
+                if (!response.isProvisional()) {
                     one.waiting--;
                 }
                 if (response.status() == 481) {
@@ -172,7 +173,7 @@
             }
 
             @Override
-            public void failed(ClientTransaction transaction, Failure why) {
+            public void failed(ClientTransaction transaction, RequestFailure why) {
                 // RFC 6665 4.2.2: a subscriber that can't be told is taken off.
                 all.values().remove(one);
             }
--- a/src/main/java/martenslip/sip/dialog/CallOut.java
+++ b/src/main/java/martenslip/sip/dialog/UacCall.java
@@ -1,25 +1,25 @@
 package martenslip.sip.dialog;
 
-import martenslip.sip.message.BadValue;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transaction.Asker;
 import martenslip.sip.transaction.ClientTransaction;
-import martenslip.sip.transaction.Failure;
+import martenslip.sip.transaction.ClientTransactionUser;
+import martenslip.sip.transaction.RequestFailure;
 import martenslip.sip.transaction.ServerTransaction;
 import martenslip.sip.transport.Hop;
 
 /**
  * The calling side of an INVITE dialog (RFC 3261 13.2, 9.1, 15). Once taken back it tells its listener nothing
  * more and cleans up alone: a 2xx that crossed the CANCEL gets its ACK and a BYE. Owned by the thread of its
- * {@link Calls}.
+ * {@link DialogLayer}.
  */
-public final class CallOut implements Leg, Asker {
+public final class UacCall implements CallLeg, ClientTransactionUser {
     enum State {
         CALLING,
-        STANDS,
-        TAKEN_BACK,
-        OVER
+        ESTABLISHED,
+        CANCELLED,
+        ENDED
     }
 
     /** Hears of the call until it ends or is taken back. */
@@ -27,36 +27,36 @@
         void progress(Response response);
 
         /** The INVITE is complete and is about to leave. */
-        default void leaving(Request invite, Hop to) {
+        default void beforeSend(Request invite, Hop to) {
             // Most listeners need not know.
         }
 
         /** The first 2xx; its ACK has been sent. */
-        void stood(Response response);
+        void established(Response response);
 
         void refused(Response response);
 
         /** It was taken back before any response; the first one has come now, and only now its CANCEL has left. */
-        default void cancelledLate() {
+        default void delayedCancelSent() {
             // Most listeners need not know.
         }
 
-        void failed(Failure why);
+        void failed(RequestFailure why);
 
         /** A call that stood ended from the far side; {@code bye} is null without one. */
-        void ended(Ending why, Request bye);
+        void ended(CallEndReason why, Request bye);
     }
 
-    private final Calls calls;
+    private final DialogLayer calls;
     private final Listener listener;
     private ClientTransaction transaction;
     private Dialog dialog;
     private State state = State.CALLING;
-    private boolean heard;
+    private boolean hasResponse;
     private boolean cancelSent;
     private String cancelReason;
 
-    CallOut(Calls calls, Listener listener) {
+    UacCall(DialogLayer calls, Listener listener) {
         this.calls = calls;
         this.listener = listener;
     }
@@ -66,32 +66,32 @@
     }
 
     /** Takes over an INVITE that another thread had sent. */
-    void takeOver(Request invite, Hop to) throws BadValue {
-        transaction = calls.transactions().takeOver(invite, to, false, this);
+    void takeOver(Request invite, Hop to) throws InvalidValueException {
+        transaction = calls.transactionLayer().takeOver(invite, to, false, this);
     }
 
     /** Takes over a call that stands. */
-    void takeOver(Request invite, Hop to, Response stood) throws BadValue {
-        heard = true;
-        state = State.STANDS;
-        transaction = calls.transactions().takeOver(invite, to, true, this);
+    void takeOver(Request invite, Hop to, Response stood) throws InvalidValueException {
+        hasResponse = true;
+        state = State.ESTABLISHED;
+        transaction = calls.transactionLayer().takeOver(invite, to, true, this);
         dialog = Dialog.asClient(invite, stood);
         dialog.skip();
         calls.stands(this, dialog.id());
     }
 
     @Override
-    public void leaving(ClientTransaction which) {
-        listener.leaving(which.request(), which.hop());
+    public void beforeSend(ClientTransaction which) {
+        listener.beforeSend(which.request(), which.hop());
     }
 
     /** True once any response has come. */
-    public boolean heard() {
-        return heard;
+    public boolean hasResponse() {
+        return hasResponse;
     }
 
-    public boolean stands() {
-        return state == State.STANDS;
+    public boolean isEstablished() {
+        return state == State.ESTABLISHED;
     }
 
     public Hop hop() {
@@ -100,42 +100,42 @@
 
     /** Takes the INVITE back; where it stands already, ends it. {@code reason} is a Reason value (RFC 3326). */
     public void cancel(String reason) {
-        if (state == State.STANDS) {
+        if (state == State.ESTABLISHED) {
             bye(reason);
         } else if (state == State.CALLING) {
-            state = State.TAKEN_BACK;
+            state = State.CANCELLED;
             cancelReason = reason;
-            transaction.hush();
-            transaction.endLater();
+            transaction.stopRetransmissions();
+            transaction.endAfterTimeout();
             sendCancel();
         }
     }
 
     private void sendCancel() {
         // Before a provisional response no CANCEL may go (RFC 3261 9.1).
-        if (heard && !cancelSent && transaction.state() == ClientTransaction.State.PROCEEDING) {
+        if (hasResponse && !cancelSent && transaction.state() == ClientTransaction.State.PROCEEDING) {
             cancelSent = true;
             calls.sendCancel(transaction.cancel(cancelReason), transaction.hop());
         }
     }
 
     @Override
-    public void answered(ClientTransaction which, Response response) {
-        heard = true;
-        if (response.provisional()) {
+    public void responseReceived(ClientTransaction which, Response response) {
+        hasResponse = true;
+        if (response.isProvisional()) {
             if (state == State.CALLING) {
                 listener.progress(response);
-            } else if (state == State.TAKEN_BACK && !cancelSent) {
+            } else if (state == State.CANCELLED && !cancelSent) {
                 sendCancel();
-                listener.cancelledLate();
+                listener.delayedCancelSent();
             }
-        } else if (response.success()) {
+        } else if (response.isSuccess()) {
             success(response);
         } else if (state == State.CALLING) {
-            state = State.OVER;
+            state = State.ENDED;
             listener.refused(response);
-        } else if (state == State.TAKEN_BACK) {
-            state = State.OVER;
+        } else if (state == State.CANCELLED) {
+            state = State.ENDED;
         }
     }
 
@@ -152,44 +152,44 @@
                 // It crossed the CANCEL, or is another branch's of a fork: one call is wanted, or none.
                 calls.sendBye(begun, cancelReason);
                 dialog = dialog == null ? begun : dialog;
-                state = state == State.STANDS ? State.STANDS : State.OVER;
+                state = state == State.ESTABLISHED ? State.ESTABLISHED : State.ENDED;
                 return;
             }
             dialog = begun;
-            state = State.STANDS;
+            state = State.ESTABLISHED;
             calls.stands(this, dialog.id());
-            listener.stood(response);
-        } catch (BadValue e) {
+            listener.established(response);
+        } catch (InvalidValueException e) {
             // A 2xx without what a dialog needs can't be acknowledged or ended; it counts as a refusal.
-            calls.drops().count("2xx that makes no dialog");
+            calls.drops().increment("2xx that makes no dialog");
             if (state == State.CALLING) {
-                state = State.OVER;
-                listener.failed(Failure.BROKEN);
+                state = State.ENDED;
+                listener.failed(RequestFailure.BROKEN);
             }
         }
     }
 
     @Override
-    public void failed(ClientTransaction which, Failure why) {
+    public void failed(ClientTransaction which, RequestFailure why) {
         if (state == State.CALLING) {
-            state = State.OVER;
+            state = State.ENDED;
             listener.failed(why);
-        } else if (state == State.TAKEN_BACK) {
-            state = State.OVER;
+        } else if (state == State.CANCELLED) {
+            state = State.ENDED;
         }
     }
 
     @Override
-    public void requested(ServerTransaction next) throws BadValue {
-        if (calls.endedBy(next, dialog) && state == State.STANDS) {
+    public void requestReceived(ServerTransaction next) throws InvalidValueException {
+        if (calls.endedBy(next, dialog) && state == State.ESTABLISHED) {
             over();
-            listener.ended(Ending.BYE, next.request());
+            listener.ended(CallEndReason.BYE, next.request());
         }
     }
 
     /** Ends a call that stands. */
     public void bye(String reason) {
-        if (state == State.STANDS) {
+        if (state == State.ESTABLISHED) {
             calls.sendBye(dialog, reason);
             over();
         }
@@ -197,14 +197,14 @@
 
     /** The connection it was set up over broke, and with it the call. */
     void broken() {
-        if (state == State.STANDS) {
+        if (state == State.ESTABLISHED) {
             over();
-            listener.ended(Ending.BROKEN, null);
+            listener.ended(CallEndReason.CONNECTION_LOST, null);
         }
     }
 
     private void over() {
-        state = State.OVER;
+        state = State.ENDED;
         calls.over(this, dialog.id());
     }
 }
--- a/src/main/java/martenslip/sip/dialog/CallIn.java
+++ b/src/main/java/martenslip/sip/dialog/UasCall.java
@@ -1,23 +1,23 @@
 package martenslip.sip.dialog;
 
 import martenslip.control.Span;
-import martenslip.sip.message.BadValue;
+import martenslip.eventloop.TimerWheel;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.message.SipUri;
 import martenslip.sip.transaction.ServerTransaction;
-import martenslip.wheel.Wheel;
 
 /**
  * The called side of an INVITE dialog (RFC 3261 13.3, 15). Exactly one final response leaves it: what comes
- * after the first is refused with false. Owned by the thread of its {@link Calls}.
+ * after the first is refused with false. Owned by the thread of its {@link DialogLayer}.
  */
-public final class CallIn implements Leg {
+public final class UasCall implements CallLeg {
     enum State {
         OPEN,
         ACCEPTED,
         CONFIRMED,
-        OVER
+        ENDED
     }
 
     /** Hears of the call; the moments are those of the thread's wheel. */
@@ -26,10 +26,10 @@
         void cancelled();
 
         /** A call that stood ended from the far side; {@code bye} is null without one. */
-        void ended(Ending why, Request bye);
+        void ended(CallEndReason why, Request bye);
 
         /** A final answer that this side gives by itself is about to leave. */
-        default void leaving(Response last) {
+        default void beforeFinalResponse(Response last) {
             // Most listeners need not know.
         }
 
@@ -39,12 +39,12 @@
         }
 
         /** The INVITE, should it come once more, would now count as a new one. */
-        default void forgotten() {
+        default void transactionEnded() {
             // Most listeners need not know.
         }
     }
 
-    private final Calls calls;
+    private final DialogLayer calls;
     private final ServerTransaction transaction;
     private final Dialog dialog;
     private final String tag;
@@ -52,12 +52,12 @@
     private State state = State.OPEN;
     private Response accepted;
     private Span gap;
-    private Wheel.Timer repeat;
-    private Wheel.Timer giveUp;
+    private TimerWheel.Timer repeat;
+    private TimerWheel.Timer giveUp;
     private boolean byeWanted;
     private String byeReason;
 
-    CallIn(Calls calls, ServerTransaction transaction, Dialog dialog) {
+    UasCall(DialogLayer calls, ServerTransaction transaction, Dialog dialog) {
         this.calls = calls;
         this.transaction = transaction;
         this.dialog = dialog;
@@ -77,23 +77,24 @@
         return tag;
     }
 
-    public void listen(Listener one) {
+    public void setListener(Listener one) {
         listener = one;
     }
 
     /** A response with this dialog's tag, to be completed and sent. */
     public Response response(int status, String reason) {
-        return invite().answer(status, reason, tag);
+        return invite().createResponse(status, reason, tag);
     }
 
     /** True while a final response is owed. */
-    public boolean open() {
+    public boolean isPending() {
         return state == State.OPEN;
     }
 
     public boolean progress(Response response) {
         if (response.status() > 100) {
-            response.headers().add("Contact", calls.contact(transaction.from().kind(), contactUser));
+            response.headers()
+                    .add("Contact", calls.contactHeader(transaction.from().protocol(), contactUser));
         }
         return state == State.OPEN && transaction.respond(response);
     }
@@ -120,45 +121,45 @@
             return false;
         }
         state = State.ACCEPTED;
-        response.headers().add("Contact", calls.contact(transaction.from().kind(), contactUser));
+        response.headers().add("Contact", calls.contactHeader(transaction.from().protocol(), contactUser));
         accepted = response;
         transaction.respond(response);
         gap = calls.timers().t1();
-        repeat = calls.wheel().after(gap, this::again);
-        giveUp = calls.wheel().after(calls.timers().whole(), this::unacknowledged);
+        repeat = calls.timerWheel().scheduleAfter(gap, this::again);
+        giveUp = calls.timerWheel().scheduleAfter(calls.timers().transactionTimeout(), this::unacknowledged);
         return true;
     }
 
     /** Taken over from another thread after its refusal was sent. */
-    public void refusedAlready(Response response) {
+    public void restoreRefused(Response response) {
         over();
-        transaction.refusedAlready(response);
+        transaction.restoreRefused(response);
     }
 
     /** Taken over from another thread after its 2xx was acknowledged: it stands, and nothing is sent. */
     void standsAlready() {
         state = State.CONFIRMED;
-        transaction.acceptedAlready();
+        transaction.restoreAccepted();
     }
 
     void transactionOver() {
         if (listener != null) {
-            listener.forgotten();
+            listener.transactionEnded();
         }
     }
 
     private void again() {
         if (state == State.ACCEPTED) {
             transaction.respond(accepted);
-            gap = calls.timers().next(gap);
-            repeat = calls.wheel().after(gap, this::again);
+            gap = calls.timers().nextInterval(gap);
+            repeat = calls.timerWheel().scheduleAfter(gap, this::again);
         }
     }
 
     private void unacknowledged() {
         if (state == State.ACCEPTED) {
             sendBye("SIP;cause=408;text=\"No ACK\"");
-            end(Ending.NO_ACK, null);
+            end(CallEndReason.NO_ACK, null);
         }
     }
 
@@ -183,13 +184,13 @@
 
     private void terminated() {
         Response last = response(487, "Request Terminated");
-        listener.leaving(last);
+        listener.beforeFinalResponse(last);
         refuse(last);
         listener.cancelled();
     }
 
     @Override
-    public void requested(ServerTransaction next) throws BadValue {
+    public void requestReceived(ServerTransaction next) throws InvalidValueException {
         if (!calls.endedBy(next, dialog)) {
             return;
         }
@@ -197,7 +198,7 @@
             // A BYE of an early dialog ends the INVITE too (RFC 3261 15.1.2).
             terminated();
         } else {
-            end(Ending.BYE, next.request());
+            end(CallEndReason.BYE, next.request());
         }
     }
 
@@ -216,8 +217,8 @@
         calls.sendBye(dialog, reason);
     }
 
-    private void end(Ending why, Request bye) {
-        if (state != State.OVER) {
+    private void end(CallEndReason why, Request bye) {
+        if (state != State.ENDED) {
             boolean told = byeWanted;
             over();
             if (!told) {
@@ -234,7 +235,7 @@
     }
 
     private void over() {
-        state = State.OVER;
+        state = State.ENDED;
         stop();
         calls.over(this, dialog.id());
     }
@@ -242,9 +243,9 @@
     /** The INVITE's To with the tag of this side, for logs. */
     public String number() {
         try {
-            SipUri uri = invite().target();
-            return uri.plainUser() == null ? "" : uri.plainUser();
-        } catch (BadValue e) {
+            SipUri uri = invite().parsedUri();
+            return uri.unescapedUser() == null ? "" : uri.unescapedUser();
+        } catch (InvalidValueException e) {
             return "";
         }
     }
--- a/src/main/java/martenslip/sip/message/CSeq.java
+++ b/src/main/java/martenslip/sip/message/CSeq.java
@@ -4,16 +4,16 @@
 public record CSeq(long number, String method) {
     private static final long MOST = (1L << 31) - 1;
 
-    public static CSeq parse(String text) throws BadValue {
+    public static CSeq parse(String text) throws InvalidValueException {
         String all = text.trim();
         int blank = 0;
         while (blank < all.length() && all.charAt(blank) != ' ' && all.charAt(blank) != '\t') {
             blank++;
         }
         String method = all.substring(blank).trim();
-        long number = Text.number(all.substring(0, blank), MOST);
-        if (number < 0 || !Text.token(method)) {
-            throw new BadValue("no number and method: " + text);
+        long number = HeaderScanner.number(all.substring(0, blank), MOST);
+        if (number < 0 || !HeaderScanner.token(method)) {
+            throw new InvalidValueException("no number and method: " + text);
         }
         return new CSeq(number, method);
     }
--- a/src/main/java/martenslip/sip/message/Digits.java
+++ b/src/main/java/martenslip/sip/message/Digits.java
@@ -5,7 +5,7 @@
     private Digits() {}
 
     /** True for 1 to {@code most} decimal digits and nothing else. */
-    public static boolean only(String text, int most) {
+    public static boolean isDigits(String text, int most) {
         return text != null && within(text, 0, text.length(), most);
     }
 
@@ -23,12 +23,12 @@
     }
 
     /** A telephone number: a plus sign or none, and 1 to 15 digits (E.164). */
-    public static boolean telephone(String text) {
+    public static boolean isTelephoneNumber(String text) {
         return text != null && within(text, text.startsWith("+") ? 1 : 0, text.length(), 15);
     }
 
     /** A number with a fraction or none, up to 9 digits before the point and 6 after it; -1 where it is none. */
-    public static double decimal(String text) {
+    public static double parseDecimal(String text) {
         if (text == null) {
             return -1;
         }
--- a/src/main/java/martenslip/sip/message/Names.java
+++ b/src/main/java/martenslip/sip/message/HeaderNames.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** Names of header fields: compact forms (RFC 3261 7.3.3, 20) and the one spelling that is kept of each. */
-public final class Names {
+public final class HeaderNames {
     /** Those that stand in nearly every message. */
     private static final String[] USUAL = {
         "Via",
@@ -139,7 +139,7 @@
         }
     }
 
-    private Names() {}
+    private HeaderNames() {}
 
     /** The long form in its usual spelling; a name that is not known stays as it was written. */
     public static String canonical(String written) {
--- a/src/main/java/martenslip/sip/message/Text.java
+++ b/src/main/java/martenslip/sip/message/HeaderScanner.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /** Scanning of header values past quoted strings and angle brackets (RFC 3261 25.1). */
-final class Text {
-    private Text() {}
+final class HeaderScanner {
+    private HeaderScanner() {}
 
     /** The first place of {@code wanted} that is neither in a quoted string nor between angle brackets, or -1. */
     static int outside(String text, char wanted, int from) {
--- a/src/main/java/martenslip/sip/message/Headers.java
+++ b/src/main/java/martenslip/sip/message/Headers.java
@@ -40,12 +40,12 @@
     }
 
     public Headers add(String name, Object value) {
-        fields.add(new Field(Names.canonical(name), value.toString()));
+        fields.add(new Field(HeaderNames.canonical(name), value.toString()));
         return this;
     }
 
     /** Before all others of its name, as a Via or a Record-Route is put. */
-    public Headers push(String name, Object value) {
+    public Headers addFirst(String name, Object value) {
         int at = at(name, 0);
         fields.add(Math.max(0, at), new Field(name, value.toString()));
         return this;
@@ -62,7 +62,7 @@
     }
 
     /** Takes the first of the name away. */
-    public Headers pop(String name) {
+    public Headers removeFirst(String name) {
         int at = at(name, 0);
         if (at >= 0) {
             fields.remove(at);
@@ -70,13 +70,13 @@
         return this;
     }
 
-    public Headers remove(String name) {
+    public Headers removeAll(String name) {
         fields.removeIf(field -> field.name.equals(name));
         return this;
     }
 
     /** All of the name of another message, in their order. */
-    public Headers take(Headers other, String name) {
+    public Headers copyFrom(Headers other, String name) {
         other.all(name).forEach(value -> add(name, value));
         return this;
     }
--- a/src/main/java/martenslip/sip/message/Message.java
+++ b/src/main/java/martenslip/sip/message/Message.java
@@ -30,7 +30,7 @@
     /** Sets body and type; without a body the type goes too. */
     public void body(String type, byte[] bytes) {
         body = bytes;
-        headers.remove("Content-Type");
+        headers.removeAll("Content-Type");
         if (bytes.length > 0) {
             headers.add("Content-Type", type);
         }
@@ -41,10 +41,10 @@
     }
 
     /** The topmost Via. */
-    public Via via() throws BadValue {
+    public Via via() throws InvalidValueException {
         String text = headers.first("Via");
         if (text == null) {
-            throw new BadValue("no Via");
+            throw new InvalidValueException("no Via");
         }
         if (!text.equals(viaText)) {
             via = Via.parse(text);
@@ -53,14 +53,14 @@
         return via;
     }
 
-    public CSeq cseq() throws BadValue {
+    public CSeq cseq() throws InvalidValueException {
         if (cseq == null) {
             cseq = CSeq.parse(need("CSeq"));
         }
         return cseq;
     }
 
-    public NameAddr from() throws BadValue {
+    public NameAddr from() throws InvalidValueException {
         String text = need("From");
         if (!text.equals(fromText)) {
             from = NameAddr.parse(text);
@@ -69,7 +69,7 @@
         return from;
     }
 
-    public NameAddr to() throws BadValue {
+    public NameAddr to() throws InvalidValueException {
         String text = need("To");
         if (!text.equals(toText)) {
             to = NameAddr.parse(text);
@@ -82,10 +82,10 @@
         return headers.first("Call-ID");
     }
 
-    private String need(String name) throws BadValue {
+    private String need(String name) throws InvalidValueException {
         String value = headers.first(name);
         if (value == null) {
-            throw new BadValue("no " + name);
+            throw new InvalidValueException("no " + name);
         }
         return value;
     }
@@ -95,9 +95,9 @@
     /** As it goes on the wire, with Content-Length last. */
     public byte[] bytes() {
         StringBuilder text = new StringBuilder(512).append(startLine()).append("\r\n");
-        headers.remove("Content-Length");
+        headers.removeAll("Content-Length");
         headers.write(text);
-        byte[] head = Text.utf8(text.append("Content-Length: ")
+        byte[] head = HeaderScanner.utf8(text.append("Content-Length: ")
                 .append(body.length)
                 .append("\r\n\r\n")
                 .toString());
--- a/src/main/java/martenslip/sip/message/Parser.java
+++ b/src/main/java/martenslip/sip/message/MessageParser.java
@@ -8,10 +8,10 @@
  * Bytes into a message (RFC 3261 7). It reads on after a fault, since an answer needs Via, From, To, Call-ID
  * and CSeq; the first fault found is the one told. Without state; any thread may call.
  */
-public final class Parser {
-    public static final int MOST_BYTES = 64 * 1024;
-    public static final int MOST_LINES = 128;
-    public static final int MOST_LINE = 8 * 1024;
+public final class MessageParser {
+    public static final int MAX_MESSAGE_BYTES = 64 * 1024;
+    public static final int MAX_LINES = 128;
+    public static final int MAX_LINE_BYTES = 8 * 1024;
 
     private static final List<String> ALL = List.of("Via", "From", "To", "Call-ID", "CSeq");
     private static final List<String> LEAN = List.of("Call-ID", "CSeq");
@@ -25,43 +25,43 @@
 
     private final List<String> needed;
 
-    private Parser(byte[] bytes, int length, List<String> needed) {
+    private MessageParser(byte[] bytes, int length, List<String> needed) {
         this.bytes = bytes;
         end = length;
         this.needed = needed;
     }
 
     /** Reads a datagram: its body ends with it, whatever follows the stated length is dropped (18.3). */
-    public static Parsed datagram(byte[] bytes, int length) {
-        return new Parser(bytes, length, ALL).read();
+    public static ParseResult parse(byte[] bytes, int length) {
+        return new MessageParser(bytes, length, ALL).read();
     }
 
     /** For a stream between two machines that match messages by Call-ID and CSeq alone: nothing else is needed. */
-    public static Parsed lean(byte[] bytes, int length) {
-        return new Parser(bytes, length, LEAN).read();
+    public static ParseResult parseMinimal(byte[] bytes, int length) {
+        return new MessageParser(bytes, length, LEAN).read();
     }
 
-    private Parsed read() {
-        if (end > MOST_BYTES) {
-            return new Parsed(null, 513, "message over " + MOST_BYTES + " bytes");
+    private ParseResult read() {
+        if (end > MAX_MESSAGE_BYTES) {
+            return new ParseResult(null, 513, "message over " + MAX_MESSAGE_BYTES + " bytes");
         }
         while (at < end && (bytes[at] == '\r' || bytes[at] == '\n')) {
             at++;
         }
         String start = line();
         if (start == null || start.isEmpty()) {
-            return new Parsed(null, 400, "no start line");
+            return new ParseResult(null, 400, "no start line");
         }
         boolean response = start.startsWith("SIP/");
         Message message = response ? response(start) : request(start);
         if (message == null) {
-            return new Parsed(null, status, fault);
+            return new ParseResult(null, status, fault);
         }
         fields();
         check(message, response);
         body(message);
         boolean usable = needed.stream().allMatch(name -> headers.first(name) != null);
-        return new Parsed(usable ? message : null, status, fault);
+        return new ParseResult(usable ? message : null, status, fault);
     }
 
     private void wrong(int code, String what) {
@@ -79,8 +79,8 @@
         String text = plainLine();
         while (at < end && !text.isEmpty() && (bytes[at] == ' ' || bytes[at] == '\t')) {
             text = text + " " + plainLine().trim();
-            if (text.length() > MOST_LINE) {
-                wrong(400, "a line over " + MOST_LINE + " bytes");
+            if (text.length() > MAX_LINE_BYTES) {
+                wrong(400, "a line over " + MAX_LINE_BYTES + " bytes");
                 text = text.substring(0, 64);
             }
         }
@@ -94,8 +94,8 @@
         }
         int to = at > from && bytes[at - 1] == '\r' ? at - 1 : at;
         at = Math.min(end, at + 1);
-        if (to - from > MOST_LINE) {
-            wrong(400, "a line over " + MOST_LINE + " bytes");
+        if (to - from > MAX_LINE_BYTES) {
+            wrong(400, "a line over " + MAX_LINE_BYTES + " bytes");
             to = from + 64;
         }
         return new String(bytes, from, to - from, StandardCharsets.UTF_8);
@@ -111,7 +111,7 @@
         String method = start.substring(0, first);
         String uri = start.substring(first + 1, last);
         String version = start.substring(last + 1);
-        if (!Text.token(method)) {
+        if (!HeaderScanner.token(method)) {
             wrong(400, "the method is no token");
             return null;
         }
@@ -137,14 +137,14 @@
         }
         try {
             SipUri.parse(uri);
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             wrong(400, "Request-URI: " + e.getMessage());
         }
     }
 
     private Message response(String start) {
         String[] parts = start.split(" ", 3);
-        long code = parts.length > 1 ? Text.number(parts[1], 699) : -1;
+        long code = parts.length > 1 ? HeaderScanner.number(parts[1], 699) : -1;
         if (!parts[0].equalsIgnoreCase("SIP/2.0") || code < 100) {
             wrong(400, "a status line needs SIP/2.0 and a status of 100 to 699");
             return null;
@@ -156,8 +156,8 @@
         int lines = 0;
         while (true) {
             if (plainField()) {
-                if (++lines > MOST_LINES) {
-                    wrong(400, "over " + MOST_LINES + " header lines");
+                if (++lines > MAX_LINES) {
+                    wrong(400, "over " + MAX_LINES + " header lines");
                 }
                 continue;
             }
@@ -165,17 +165,17 @@
             if (line == null || line.isEmpty()) {
                 return;
             }
-            if (++lines > MOST_LINES) {
-                wrong(400, "over " + MOST_LINES + " header lines");
+            if (++lines > MAX_LINES) {
+                wrong(400, "over " + MAX_LINES + " header lines");
                 continue;
             }
             int colon = line.indexOf(':');
             String written = colon < 0 ? "" : line.substring(0, colon).trim();
-            if (!Text.token(written)) {
+            if (!HeaderScanner.token(written)) {
                 wrong(400, "a header line without a name");
                 continue;
             }
-            field(Names.canonical(written), line.substring(colon + 1).trim());
+            field(HeaderNames.canonical(written), line.substring(colon + 1).trim());
         }
     }
 
@@ -189,9 +189,9 @@
         while (stop < end && bytes[stop] != '\n') {
             stop++;
         }
-        String name = colon < stop ? Names.usual(bytes, at, colon) : null;
+        String name = colon < stop ? HeaderNames.usual(bytes, at, colon) : null;
         boolean folded = stop + 1 < end && (bytes[stop + 1] == ' ' || bytes[stop + 1] == '\t');
-        if (name == null || folded || stop >= end || stop - at > MOST_LINE || headers.count() >= MOST_LINES) {
+        if (name == null || folded || stop >= end || stop - at > MAX_LINE_BYTES || headers.count() >= MAX_LINES) {
             return false;
         }
         int from = colon + 1;
@@ -208,15 +208,15 @@
     }
 
     private void field(String name, String value) {
-        if (Names.single(name) && headers.first(name) != null) {
+        if (HeaderNames.single(name) && headers.first(name) != null) {
             wrong(400, "more than one " + name);
             return;
         }
-        if (!Names.list(name)) {
+        if (!HeaderNames.list(name)) {
             headers.add(name, value);
             return;
         }
-        for (String part : Text.split(value, ',')) {
+        for (String part : HeaderScanner.split(value, ',')) {
             if (!part.isEmpty()) {
                 headers.add(name, part);
             } else if (!name.equals("Supported") && !name.equals("Allow")) {
@@ -252,7 +252,7 @@
                     }
                 }
             }
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             wrong(400, e.getMessage());
         }
         number("Max-Forwards", 255);
@@ -261,7 +261,7 @@
 
     private void number(String name, long most) {
         String value = headers.first(name);
-        if (value != null && Text.number(value, most) < 0) {
+        if (value != null && HeaderScanner.number(value, most) < 0) {
             wrong(400, name + " is no number of 0 to " + most);
         }
     }
@@ -273,9 +273,9 @@
             message.received(Arrays.copyOfRange(bytes, at, end));
             return;
         }
-        long length = Text.number(stated, MOST_BYTES);
+        long length = HeaderScanner.number(stated, MAX_MESSAGE_BYTES);
         if (length < 0) {
-            wrong(Text.number(stated, Long.MAX_VALUE) < 0 ? 400 : 413, "Content-Length: " + stated);
+            wrong(HeaderScanner.number(stated, Long.MAX_VALUE) < 0 ? 400 : 413, "Content-Length: " + stated);
         } else if (length > left) {
             wrong(400, "the body ends after " + left + " of " + length + " bytes");
         } else {
--- a/src/main/java/martenslip/sip/message/NameAddr.java
+++ b/src/main/java/martenslip/sip/message/NameAddr.java
@@ -4,29 +4,29 @@
  * A name with an address: From, To, Contact, Route, Record-Route (RFC 3261 20.10). {@code display} keeps its
  * quotes, and is empty where there is none; {@code params} are those of the header, not of the URI.
  */
-public record NameAddr(String display, String uri, Params params) {
-    public static NameAddr parse(String text) throws BadValue {
+public record NameAddr(String display, String uri, Parameters params) {
+    public static NameAddr parse(String text) throws InvalidValueException {
         int open = openAngle(text);
         if (open >= 0) {
             int close = text.indexOf('>', open);
             if (close < 0) {
-                throw new BadValue("an angle bracket is not closed: " + text);
+                throw new InvalidValueException("an angle bracket is not closed: " + text);
             }
             return new NameAddr(
                     text.substring(0, open).trim(),
                     text.substring(open + 1, close).trim(),
-                    Params.parse(text.substring(close + 1)));
+                    Parameters.parse(text.substring(close + 1)));
         }
         // Without brackets all parameters belong to the header (RFC 3261 20.10).
         int semicolon = text.indexOf(';');
         String uri = (semicolon < 0 ? text : text.substring(0, semicolon)).trim();
         if (uri.indexOf(':') <= 0 || uri.indexOf(' ') >= 0 || uri.indexOf('"') >= 0) {
-            throw new BadValue("no address: " + text);
+            throw new InvalidValueException("no address: " + text);
         }
-        return new NameAddr("", uri, semicolon < 0 ? Params.NONE : Params.parse(text.substring(semicolon)));
+        return new NameAddr("", uri, semicolon < 0 ? Parameters.NONE : Parameters.parse(text.substring(semicolon)));
     }
 
-    private static int openAngle(String text) throws BadValue {
+    private static int openAngle(String text) throws InvalidValueException {
         boolean quoted = false;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -39,13 +39,13 @@
             }
         }
         if (quoted) {
-            throw new BadValue("a quoted string is not closed: " + text);
+            throw new InvalidValueException("a quoted string is not closed: " + text);
         }
         return -1;
     }
 
     public static NameAddr of(SipUri uri) {
-        return new NameAddr("", uri.toString(), Params.NONE);
+        return new NameAddr("", uri.toString(), Parameters.NONE);
     }
 
     /** The tag, or an empty text where there is none. */
--- a/src/main/java/martenslip/sip/message/Params.java
+++ b/src/main/java/martenslip/sip/message/Parameters.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /** Parameters behind semicolons, in the order written; names are compared without case. Immutable. */
-public final class Params {
-    public static final Params NONE = new Params(List.of());
+public final class Parameters {
+    public static final Parameters NONE = new Parameters(List.of());
     private static final String[] USUAL = {
         "branch", "tag", "rport", "received", "oc", "oc-algo", "lr", "transport", "tgrp", "trunk-context"
     };
@@ -20,34 +20,34 @@
 
     private final List<One> all;
 
-    private Params(List<One> all) {
+    private Parameters(List<One> all) {
         this.all = all;
     }
 
     /** Reads text that is empty or begins with a semicolon. */
-    public static Params parse(String text) throws BadValue {
+    public static Parameters parse(String text) throws InvalidValueException {
         String rest = text.trim();
         if (rest.isEmpty()) {
             return NONE;
         }
         if (rest.charAt(0) != ';') {
-            throw new BadValue("a parameter must follow a semicolon: " + rest);
+            throw new InvalidValueException("a parameter must follow a semicolon: " + rest);
         }
         List<One> found = new ArrayList<>(4);
         for (int from = 1; from <= rest.length(); ) {
-            int semicolon = Text.outside(rest, ';', from);
+            int semicolon = HeaderScanner.outside(rest, ';', from);
             int end = semicolon < 0 ? rest.length() : semicolon;
             int equals = rest.indexOf('=', from);
             equals = equals >= end ? -1 : equals;
             String name = name(rest, from, equals < 0 ? end : equals);
             if (name.isEmpty()) {
-                throw new BadValue("a parameter without a name: " + text);
+                throw new InvalidValueException("a parameter without a name: " + text);
             }
             found.add(new One(
                     name, equals < 0 ? null : rest.substring(equals + 1, end).trim()));
             from = end + 1;
         }
-        return new Params(found);
+        return new Parameters(found);
     }
 
     /** The usual names are met without a copy: each message has a dozen of them. */
@@ -71,24 +71,24 @@
     }
 
     /** The value without the quotes that may stand around it. */
-    public String unquoted(String name) {
+    public String getUnquoted(String name) {
         String value = get(name);
         boolean quoted = value != null && value.length() >= 2 && value.startsWith("\"") && value.endsWith("\"");
         return quoted ? value.substring(1, value.length() - 1).replaceAll("\\\\(.)", "$1") : value;
     }
 
     /** With this one put in place of an older one of the name, or at the end. */
-    public Params with(String name, String value) {
+    public Parameters with(String name, String value) {
         List<One> next = new ArrayList<>(all);
         One one = new One(name, value);
         for (int i = 0; i < next.size(); i++) {
             if (next.get(i).name.equals(name)) {
                 next.set(i, one);
-                return new Params(next);
+                return new Parameters(next);
             }
         }
         next.add(one);
-        return new Params(next);
+        return new Parameters(next);
     }
 
     private One find(String name) {
@@ -102,7 +102,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Params same && all.equals(same.all);
+        return other instanceof Parameters same && all.equals(same.all);
     }
 
     @Override
--- a/src/main/java/martenslip/sip/message/Parsed.java
+++ b/src/main/java/martenslip/sip/message/ParseResult.java
@@ -4,13 +4,13 @@
  * What was read: a message, a fault, or both where the message is wrong but can still be answered.
  * {@code status} is the answer to it, 0 where there is nothing wrong.
  */
-public record Parsed(Message message, int status, String fault) {
-    public boolean good() {
+public record ParseResult(Message message, int status, String fault) {
+    public boolean isValid() {
         return status == 0 && message != null;
     }
 
     /** A request that is wrong, yet says whom to answer. An ACK is never answered. */
-    public boolean answerable() {
-        return status != 0 && message instanceof Request request && !request.is("ACK");
+    public boolean isAnswerable() {
+        return status != 0 && message instanceof Request request && !request.hasMethod("ACK");
     }
 }
--- a/src/main/java/martenslip/sip/message/Request.java
+++ b/src/main/java/martenslip/sip/message/Request.java
@@ -1,6 +1,6 @@
 package martenslip.sip.message;
 
-/** A request; its URI stays as written until {@link #target} reads it. */
+/** A request; its URI stays as written until {@link #parsedUri} reads it. */
 public final class Request extends Message {
     private final String method;
     private String uri;
@@ -23,11 +23,11 @@
         uri = next;
     }
 
-    public boolean is(String wanted) {
+    public boolean hasMethod(String wanted) {
         return method.equals(wanted);
     }
 
-    public SipUri target() throws BadValue {
+    public SipUri parsedUri() throws InvalidValueException {
         return SipUri.parse(uri);
     }
 
@@ -39,13 +39,13 @@
     }
 
     /** A response as RFC 3261 8.2.6 wants it: Via, From, To, Call-ID and CSeq of the request. */
-    public Response answer(int status, String reason, String toTag) {
+    public Response createResponse(int status, String reason, String toTag) {
         Headers out = new Headers();
         for (String name : new String[] {"Via", "From", "To", "Call-ID", "CSeq"}) {
-            out.take(headers(), name);
+            out.copyFrom(headers(), name);
         }
-        if (status > 100 && status < 300 && is("INVITE")) {
-            out.take(headers(), "Record-Route");
+        if (status > 100 && status < 300 && hasMethod("INVITE")) {
+            out.copyFrom(headers(), "Record-Route");
         }
         if (toTag != null) {
             try {
@@ -53,7 +53,7 @@
                 if (to.tag().isEmpty()) {
                     out.set("To", to.withTag(toTag));
                 }
-            } catch (BadValue e) {
+            } catch (InvalidValueException e) {
                 // What can't be read is given back as it came; the asker knows it.
                 return new Response(status, reason, out);
             }
--- a/src/main/java/martenslip/sip/message/Response.java
+++ b/src/main/java/martenslip/sip/message/Response.java
@@ -19,11 +19,11 @@
         return reason;
     }
 
-    public boolean provisional() {
+    public boolean isProvisional() {
         return status < 200;
     }
 
-    public boolean success() {
+    public boolean isSuccess() {
         return status >= 200 && status < 300;
     }
 
--- a/src/main/java/martenslip/sip/message/SipUri.java
+++ b/src/main/java/martenslip/sip/message/SipUri.java
@@ -4,15 +4,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A SIP or SIPS URI (RFC 3261 19.1). The user part and the headers stay as written; {@link #plainUser}
+ * A SIP or SIPS URI (RFC 3261 19.1). The user part and the headers stay as written; {@link #unescapedUser}
  * takes the escapes out. {@code user} is null where there is none.
  */
-public record SipUri(boolean secure, String user, HostPort at, Params params, String headers) {
-    public static SipUri parse(String text) throws BadValue {
+public record SipUri(boolean secure, String user, HostPort hostPort, Parameters params, String headers) {
+    public static SipUri parse(String text) throws InvalidValueException {
         int colon = text.indexOf(':');
         boolean secure = colon == 4 && text.regionMatches(true, 0, "sips", 0, 4);
         if (!secure && !(colon == 3 && text.regionMatches(true, 0, "sip", 0, 3))) {
-            throw new BadValue("not a SIP URI: " + text);
+            throw new InvalidValueException("not a SIP URI: " + text);
         }
         String rest = text.substring(colon + 1);
         int question = rest.indexOf('?', Math.max(0, rest.indexOf('@')));
@@ -22,25 +22,25 @@
         int sign = rest.indexOf('@');
         String user = sign < 0 ? null : rest.substring(0, sign);
         if (user != null && (user.isEmpty() || user.indexOf(' ') >= 0)) {
-            throw new BadValue("a user part that is empty or has a space: " + text);
+            throw new InvalidValueException("a user part that is empty or has a space: " + text);
         }
         String place = rest.substring(sign + 1);
         int semicolon = place.indexOf(';');
         HostPort at = HostPort.parse(semicolon < 0 ? place : place.substring(0, semicolon));
-        Params params = semicolon < 0 ? Params.NONE : Params.parse(place.substring(semicolon));
+        Parameters params = semicolon < 0 ? Parameters.NONE : Parameters.parse(place.substring(semicolon));
         return new SipUri(secure, user, at, params, headers);
     }
 
     public static SipUri of(String user, String host, int port) {
-        return new SipUri(false, user, new HostPort(host, port), Params.NONE, "");
+        return new SipUri(false, user, new HostPort(host, port), Parameters.NONE, "");
     }
 
     public SipUri with(String param, String value) {
-        return new SipUri(secure, user, at, params.with(param, value), headers);
+        return new SipUri(secure, user, hostPort, params.with(param, value), headers);
     }
 
     /** The user without its parameters (RFC 4904 puts trunk groups there) and with escapes taken out. */
-    public String plainUser() {
+    public String unescapedUser() {
         if (user == null) {
             return null;
         }
@@ -51,12 +51,12 @@
     }
 
     /** A parameter of the user part, as {@code tgrp} and {@code trunk-context} are (RFC 4904 4.3); or null. */
-    public String userParam(String name) {
+    public String userParameter(String name) {
         int from = user == null ? -1 : user.indexOf(';');
         if (from < 0) {
             return null;
         }
-        for (String part : Text.split(user.substring(from + 1), ';')) {
+        for (String part : HeaderScanner.split(user.substring(from + 1), ';')) {
             int equals = part.indexOf('=');
             if (equals > 0 && part.substring(0, equals).equalsIgnoreCase(name)) {
                 return unescape(part.substring(equals + 1));
@@ -87,7 +87,7 @@
     public String toString() {
         return (secure ? "sips:" : "sip:")
                 + (user == null ? "" : user + "@")
-                + at
+                + hostPort
                 + params
                 + (headers.isEmpty() ? "" : "?" + headers);
     }
--- a/src/main/java/martenslip/sip/message/Via.java
+++ b/src/main/java/martenslip/sip/message/Via.java
@@ -3,20 +3,20 @@
 import java.util.Locale;
 
 /** One Via value (RFC 3261 20.42): transport in capitals, the place it was sent by, parameters. */
-public record Via(String transport, HostPort sentBy, Params params) {
+public record Via(String transport, HostPort sentBy, Parameters params) {
     /** Branches of RFC 3261 begin with this; others name no transaction of it (8.1.1.7). */
-    public static final String COOKIE = "z9hG4bK";
+    public static final String MAGIC_COOKIE = "z9hG4bK";
 
     /** Reads one value; the usual form, without blanks around its slashes, costs no more than it must. */
-    public static Via parse(String text) throws BadValue {
+    public static Via parse(String text) throws InvalidValueException {
         int blank = text.startsWith("SIP/2.0/") ? text.indexOf(' ', 8) : -1;
-        if (blank > 8 && Text.token(text.substring(8, blank))) {
+        if (blank > 8 && HeaderScanner.token(text.substring(8, blank))) {
             return rest(text.substring(8, blank), text.substring(blank + 1).trim());
         }
         return spaced(text);
     }
 
-    private static Via spaced(String text) throws BadValue {
+    private static Via spaced(String text) throws InvalidValueException {
         int space = -1;
         int slashes = 0;
         // Blanks may stand around each slash, so the transport ends at the first blank after the second one.
@@ -30,22 +30,22 @@
             space = inside ? i : -1;
         }
         if (space < 0) {
-            throw new BadValue("no protocol and place: " + text);
+            throw new InvalidValueException("no protocol and place: " + text);
         }
         String[] protocol = text.substring(0, space).split("/");
         if (protocol.length != 3
                 || !protocol[0].trim().equalsIgnoreCase("SIP")
                 || !protocol[1].trim().equals("2.0")
-                || !Text.token(protocol[2].trim())) {
-            throw new BadValue("not SIP/2.0 over a transport: " + text);
+                || !HeaderScanner.token(protocol[2].trim())) {
+            throw new InvalidValueException("not SIP/2.0 over a transport: " + text);
         }
         return rest(protocol[2].trim(), text.substring(space).trim());
     }
 
-    private static Via rest(String transport, String rest) throws BadValue {
+    private static Via rest(String transport, String rest) throws InvalidValueException {
         int semicolon = rest.indexOf(';');
         HostPort by = HostPort.parse((semicolon < 0 ? rest : rest.substring(0, semicolon)).trim());
-        Params params = semicolon < 0 ? Params.NONE : Params.parse(rest.substring(semicolon));
+        Parameters params = semicolon < 0 ? Parameters.NONE : Parameters.parse(rest.substring(semicolon));
         return new Via(transport.toUpperCase(Locale.ROOT), by, params);
     }
 
--- a/src/main/java/martenslip/sip/transaction/ClientTransaction.java
+++ b/src/main/java/martenslip/sip/transaction/ClientTransaction.java
@@ -1,17 +1,17 @@
 package martenslip.sip.transaction;
 
 import martenslip.control.Span;
-import martenslip.sip.message.BadValue;
 import martenslip.sip.message.Headers;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.transport.Hop;
 
 /**
  * Client transactions: INVITE (RFC 3261 17.1.1, with the Accepted state of RFC 6026 7.2) and all others
- * (17.1.2). Owned by the thread of its {@link Transactions}.
+ * (17.1.2). Owned by the thread of its {@link TransactionLayer}.
  */
-public final class ClientTransaction extends Timed {
+public final class ClientTransaction extends Transaction {
     public enum State {
         CALLING,
         PROCEEDING,
@@ -21,7 +21,7 @@
     }
 
     private final Request request;
-    private final Asker asker;
+    private final ClientTransactionUser asker;
     private final boolean invite;
     private Hop hop;
     private byte[] bytes;
@@ -34,7 +34,13 @@
     private boolean forSize;
 
     ClientTransaction(
-            Transactions layer, Request request, byte[] bytes, String branch, Hop hop, boolean forSize, Asker asker) {
+            TransactionLayer layer,
+            Request request,
+            byte[] bytes,
+            String branch,
+            Hop hop,
+            boolean forSize,
+            ClientTransactionUser asker) {
         super(layer);
         this.bytes = bytes;
         this.branch = branch;
@@ -42,7 +48,7 @@
         this.request = request;
         this.hop = hop;
         this.asker = asker;
-        invite = request.is("INVITE");
+        invite = request.hasMethod("INVITE");
         gap = layer.timers.t1();
     }
 
@@ -60,17 +66,17 @@
     }
 
     String key() {
-        return Transactions.clientKey(branch, request.method());
+        return TransactionLayer.clientKey(branch, request.method());
     }
 
     void start() {
-        asker.leaving(this);
-        end = layer.wheel.after(layer.timers.whole(), () -> fail(Failure.TIMED_OUT));
+        asker.beforeSend(this);
+        end = layer.wheel.scheduleAfter(layer.timers.transactionTimeout(), () -> fail(RequestFailure.TIMED_OUT));
         if (!layer.out.send(bytes, hop)) {
             // Told by the next turn of the wheel: whoever sent it is still amid its own call.
-            layer.wheel.at(layer.wheel.now(), () -> fail(Failure.NO_CONNECTION));
-        } else if (!hop.reliable()) {
-            repeat = layer.wheel.after(gap, this::again);
+            layer.wheel.scheduleAt(layer.wheel.now(), () -> fail(RequestFailure.NO_CONNECTION));
+        } else if (!hop.isReliable()) {
+            repeat = layer.wheel.scheduleAfter(gap, this::again);
         }
     }
 
@@ -81,35 +87,35 @@
             return;
         }
         layer.out.send(bytes, hop);
-        gap = invite ? gap.times(2) : state == State.PROCEEDING ? layer.timers.t2() : layer.timers.next(gap);
-        repeat = layer.wheel.after(gap, this::again);
+        gap = invite ? gap.times(2) : state == State.PROCEEDING ? layer.timers.t2() : layer.timers.nextInterval(gap);
+        repeat = layer.wheel.scheduleAfter(gap, this::again);
     }
 
     /**
      * Sends no repeats any more, where the asker has given it up before any response came: nothing of it is to
      * go out after that, but a late response is still met as it should be.
      */
-    public void hush() {
+    public void stopRetransmissions() {
         mute = true;
     }
 
     /** After a CANCEL: without a final response it ends when timer B would have passed (RFC 3261 9.1). */
-    public void endLater() {
+    public void endAfterTimeout() {
         if (state == State.CALLING || state == State.PROCEEDING) {
             stop();
-            end = layer.wheel.after(layer.timers.whole(), () -> fail(Failure.TIMED_OUT));
+            end = layer.wheel.scheduleAfter(layer.timers.transactionTimeout(), () -> fail(RequestFailure.TIMED_OUT));
         }
     }
 
     void response(Response response) {
-        if (response.provisional()) {
+        if (response.isProvisional()) {
             if (state == State.CALLING || state == State.PROCEEDING) {
                 state = State.PROCEEDING;
                 if (invite) {
                     // How long an INVITE may ring is its user's to say (RFC 3261 17.1.1.2: B ends here).
                     stop();
                 }
-                asker.answered(this, response);
+                asker.responseReceived(this, response);
             }
             return;
         }
@@ -117,21 +123,21 @@
             finalToInvite(response);
         } else if (state != State.COMPLETED) {
             state = State.COMPLETED;
-            linger(hop.reliable() ? Span.ZERO : layer.timers.t4());
-            asker.answered(this, response);
+            linger(hop.isReliable() ? Span.ZERO : layer.timers.t4());
+            asker.responseReceived(this, response);
         }
     }
 
     private void finalToInvite(Response response) {
-        if (response.success()) {
+        if (response.isSuccess()) {
             if (state == State.COMPLETED) {
                 return;
             }
             if (state != State.ACCEPTED) {
                 state = State.ACCEPTED;
-                linger(layer.timers.whole());
+                linger(layer.timers.transactionTimeout());
             }
-            asker.answered(this, response);
+            asker.responseReceived(this, response);
             return;
         }
         if (state == State.COMPLETED) {
@@ -140,8 +146,8 @@
             state = State.COMPLETED;
             ack = ackFor(response).bytes();
             layer.out.send(ack, hop);
-            linger(hop.reliable() ? Span.ZERO : layer.timers.linger());
-            asker.answered(this, response);
+            linger(hop.isReliable() ? Span.ZERO : layer.timers.timerD());
+            asker.responseReceived(this, response);
         }
     }
 
@@ -149,7 +155,7 @@
     private Request ackFor(Response response) {
         Headers headers = new Headers();
         headers.add("Via", request.headers().first("Via"));
-        headers.take(request.headers(), "Route");
+        headers.copyFrom(request.headers(), "Route");
         headers.add("Max-Forwards", "70").add("From", request.headers().first("From"));
         headers.add("To", response.headers().first("To")).add("Call-ID", request.callId());
         headers.add("CSeq", number() + " ACK");
@@ -160,7 +166,7 @@
     public Request cancel(String reason) {
         Headers headers = new Headers();
         headers.add("Via", request.headers().first("Via"));
-        headers.take(request.headers(), "Route");
+        headers.copyFrom(request.headers(), "Route");
         headers.add("Max-Forwards", "70").add("From", request.headers().first("From"));
         headers.add("To", request.headers().first("To")).add("Call-ID", request.callId());
         headers.add("CSeq", number() + " CANCEL");
@@ -173,16 +179,16 @@
     private long number() {
         try {
             return request.cseq().number();
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             throw new IllegalStateException("a request of our own without CSeq", e);
         }
     }
 
     void broken(boolean everUp, Hop which) {
-        boolean mine = hop.reliable()
-                && (hop.connection() == 0
+        boolean mine = hop.isReliable()
+                && (hop.connectionId() == 0
                         ? hop.address().equals(which.address())
-                        : hop.connection() == which.connection());
+                        : hop.connectionId() == which.connectionId());
         if (!mine || state != State.CALLING && state != State.PROCEEDING) {
             return;
         }
@@ -191,7 +197,7 @@
             layer.shrunk(this);
             return;
         }
-        fail(everUp ? Failure.BROKEN : Failure.NO_CONNECTION);
+        fail(everUp ? RequestFailure.BROKEN : RequestFailure.NO_CONNECTION);
     }
 
     /** Back from TCP, which was taken for the size only, to UDP (RFC 3261 18.1.1). */
@@ -201,16 +207,16 @@
         hop = udp;
         bytes = request.bytes();
         layer.out.send(bytes, hop);
-        repeat = layer.wheel.after(gap, this::again);
+        repeat = layer.wheel.scheduleAfter(gap, this::again);
     }
 
     /** Taken over in its Accepted state: it meets 2xx that come again. */
     void accepted() {
         state = State.ACCEPTED;
-        linger(layer.timers.whole());
+        linger(layer.timers.transactionTimeout());
     }
 
-    void fail(Failure why) {
+    void fail(RequestFailure why) {
         if (state == State.CALLING || state == State.PROCEEDING) {
             terminate();
             asker.failed(this, why);
--- a/src/main/java/martenslip/sip/transaction/Failure.java
+++ b/src/main/java/martenslip/sip/transaction/RequestFailure.java
@@ -1,7 +1,7 @@
 package martenslip.sip.transaction;
 
 /** Why a request has no final response. */
-public enum Failure {
+public enum RequestFailure {
     /** Timer B or F: 64 T1 have passed. */
     TIMED_OUT,
     /** No connection could be had: the request never left. */
--- a/src/main/java/martenslip/sip/transaction/ServerTransaction.java
+++ b/src/main/java/martenslip/sip/transaction/ServerTransaction.java
@@ -8,9 +8,9 @@
 /**
  * Server transactions: INVITE (RFC 3261 17.2.1, with the Accepted state of RFC 6026 7.1) and all others
  * (17.2.2). Repeats of the request are met here and never reach the user. Owned by the thread of its
- * {@link Transactions}.
+ * {@link TransactionLayer}.
  */
-public final class ServerTransaction extends Timed {
+public final class ServerTransaction extends Transaction {
     public enum State {
         TRYING,
         PROCEEDING,
@@ -30,13 +30,13 @@
     private Span gap;
     private Object user;
 
-    ServerTransaction(Transactions layer, String key, Request request, Hop from, Hop back) {
+    ServerTransaction(TransactionLayer layer, String key, Request request, Hop from, Hop back) {
         super(layer);
         this.key = key;
         this.request = request;
         this.from = from;
         this.back = back;
-        invite = request.is("INVITE");
+        invite = request.hasMethod("INVITE");
         state = invite ? State.PROCEEDING : State.TRYING;
         gap = layer.timers.t1();
     }
@@ -55,7 +55,7 @@
     }
 
     /** True while an INVITE has had no response at all. */
-    public boolean silent() {
+    public boolean isUnanswered() {
         return state == State.PROCEEDING && last == null;
     }
 
@@ -71,50 +71,50 @@
     /** Sends a response. A second final one, and any after the end, is not sent: false. */
     public boolean respond(Response response) {
         boolean open = state == State.TRYING || state == State.PROCEEDING;
-        boolean repeatOf200 = state == State.ACCEPTED && response.success();
+        boolean repeatOf200 = state == State.ACCEPTED && response.isSuccess();
         if (!open && !repeatOf200) {
             return false;
         }
         byte[] bytes = response.bytes();
         send(bytes);
-        if (response.provisional()) {
+        if (response.isProvisional()) {
             state = State.PROCEEDING;
             last = bytes;
         } else if (!invite) {
             state = State.COMPLETED;
             last = bytes;
-            linger(from.reliable() ? Span.ZERO : layer.timers.whole());
-        } else if (response.success()) {
+            linger(from.isReliable() ? Span.ZERO : layer.timers.transactionTimeout());
+        } else if (response.isSuccess()) {
             if (state != State.ACCEPTED) {
                 state = State.ACCEPTED;
                 // Kept for 64 T1: what is not sent again need not weigh on the heap for so long.
                 last = null;
-                linger(layer.timers.whole());
+                linger(layer.timers.transactionTimeout());
             }
         } else {
             state = State.COMPLETED;
             last = bytes;
-            end = layer.wheel.loosely(layer.timers.whole(), this::terminate);
-            if (!from.reliable()) {
-                repeat = layer.wheel.after(gap, this::again);
+            end = layer.wheel.scheduleCoarse(layer.timers.transactionTimeout(), this::terminate);
+            if (!from.isReliable()) {
+                repeat = layer.wheel.scheduleAfter(gap, this::again);
             }
         }
         return true;
     }
 
     /** Taken over in its Accepted state: repeats of the INVITE are met, and the 2xx is not sent. */
-    public void acceptedAlready() {
+    public void restoreAccepted() {
         state = State.ACCEPTED;
-        linger(layer.timers.whole());
+        linger(layer.timers.transactionTimeout());
     }
 
     /** Taken over after its refusal was sent: it goes again to whoever asks again, or has not acknowledged it. */
-    public void refusedAlready(Response response) {
+    public void restoreRefused(Response response) {
         state = State.COMPLETED;
         last = response.bytes();
-        end = layer.wheel.loosely(layer.timers.whole(), this::terminate);
-        if (!from.reliable()) {
-            repeat = layer.wheel.after(gap, this::again);
+        end = layer.wheel.scheduleCoarse(layer.timers.transactionTimeout(), this::terminate);
+        if (!from.isReliable()) {
+            repeat = layer.wheel.scheduleAfter(gap, this::again);
         }
     }
 
@@ -122,8 +122,8 @@
     private void again() {
         if (state == State.COMPLETED) {
             send(last);
-            gap = layer.timers.next(gap);
-            repeat = layer.wheel.after(gap, this::again);
+            gap = layer.timers.nextInterval(gap);
+            repeat = layer.wheel.scheduleAfter(gap, this::again);
         }
     }
 
@@ -136,8 +136,8 @@
 
     /** Over the connection that the request came by; where that is over, over a new one (RFC 3261 18.2.2). */
     private void send(byte[] bytes) {
-        if (!layer.out.send(bytes, back) && back.reliable()) {
-            Hop again = Transactions.anew(request, back);
+        if (!layer.out.send(bytes, back) && back.isReliable()) {
+            Hop again = TransactionLayer.anew(request, back);
             if (again != null) {
                 back = again;
                 layer.out.send(bytes, back);
@@ -149,13 +149,13 @@
     void acked() {
         if (state == State.COMPLETED && invite) {
             state = State.CONFIRMED;
-            linger(from.reliable() ? Span.ZERO : layer.timers.t4());
+            linger(from.isReliable() ? Span.ZERO : layer.timers.t4());
         }
     }
 
     /** An answer that nobody has acknowledged may have been lost with the connection; it goes once more. */
     void broken(Hop which) {
-        boolean mine = back.reliable() && back.connection() == which.connection();
+        boolean mine = back.isReliable() && back.connectionId() == which.connectionId();
         if (mine && state == State.COMPLETED && last != null) {
             send(last);
         }
--- a/src/main/java/martenslip/sip/transaction/Timed.java
+++ b/src/main/java/martenslip/sip/transaction/Transaction.java
@@ -1,15 +1,15 @@
 package martenslip.sip.transaction;
 
 import martenslip.control.Span;
-import martenslip.wheel.Wheel;
+import martenslip.eventloop.TimerWheel;
 
 /** The timers of a transaction: one that repeats what was sent, and one that ends what lingers. */
-abstract class Timed {
-    final Transactions layer;
-    Wheel.Timer repeat;
-    Wheel.Timer end;
+abstract class Transaction {
+    final TransactionLayer layer;
+    TimerWheel.Timer repeat;
+    TimerWheel.Timer end;
 
-    Timed(Transactions layer) {
+    Transaction(TransactionLayer layer) {
         this.layer = layer;
     }
 
@@ -28,7 +28,7 @@
         if (span.ns() == 0) {
             terminate();
         } else {
-            end = layer.wheel.loosely(span, this::terminate);
+            end = layer.wheel.scheduleCoarse(span, this::terminate);
         }
     }
 
--- a/src/main/java/martenslip/sip/transaction/Transactions.java
+++ b/src/main/java/martenslip/sip/transaction/TransactionLayer.java
@@ -5,35 +5,42 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import martenslip.sip.message.BadValue;
+import martenslip.eventloop.TimerWheel;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Message;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.message.Via;
-import martenslip.sip.transport.Arrival;
-import martenslip.sip.transport.Drops;
+import martenslip.sip.transport.DropCounter;
 import martenslip.sip.transport.Hop;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.TransportEvent;
 
 /**
  * All transactions of one thread (RFC 3261 17). At {@code most} transactions new requests are answered 503
- * without state, and own requests fail with {@link Failure#TABLE_FULL}.
+ * without state, and own requests fail with {@link RequestFailure#TABLE_FULL}.
  */
-public final class Transactions {
+public final class TransactionLayer {
     /** Requests over this size go by TCP where the path's limit is unknown (RFC 3261 18.1.1). */
-    public static final int LARGE = 1300;
+    public static final int LARGE_REQUEST_BYTES = 1300;
 
-    final Wheel wheel;
-    final Timers timers;
-    final Outlet out;
-    private final Branches branches;
-    private final User user;
-    private final Drops drops;
+    final TimerWheel wheel;
+    final TransactionTimers timers;
+    final MessageSender out;
+    private final IdGenerator branches;
+    private final TransactionUser user;
+    private final DropCounter drops;
     private final int most;
     private final Map<String, ServerTransaction> servers = new HashMap<>();
     private final Map<String, ClientTransaction> clients = new LinkedHashMap<>();
 
-    public Transactions(Wheel wheel, Timers timers, Outlet out, Branches branches, User user, Drops drops, int most) {
+    public TransactionLayer(
+            TimerWheel wheel,
+            TransactionTimers timers,
+            MessageSender out,
+            IdGenerator branches,
+            TransactionUser user,
+            DropCounter drops,
+            int most) {
         this.wheel = wheel;
         this.timers = timers;
         this.out = out;
@@ -43,7 +50,7 @@
         this.most = most;
     }
 
-    public int open() {
+    public int openCount() {
         return servers.size() + clients.size();
     }
 
@@ -52,9 +59,9 @@
     }
 
     /** RFC 3261 17.2.3; without the cookie the older rule's parts stand in for the branch. */
-    static String serverKey(Request request, String method) throws BadValue {
+    static String serverKey(Request request, String method) throws InvalidValueException {
         Via via = request.via();
-        if (via.branch().startsWith(Via.COOKIE)) {
+        if (via.branch().startsWith(Via.MAGIC_COOKIE)) {
             return method + ' ' + via.branch() + ' ' + via.sentBy();
         }
         return method
@@ -70,32 +77,32 @@
     }
 
     /** Sends a request over a transaction of its own; its Via is put here. */
-    public ClientTransaction send(Request request, Hop to, Asker asker) {
-        String branch = branches.branch();
-        request.headers().push("Via", via(to.kind(), branch));
+    public ClientTransaction send(Request request, Hop to, ClientTransactionUser asker) {
+        String branch = branches.nextBranch();
+        request.headers().addFirst("Via", via(to.protocol(), branch));
         byte[] bytes = request.bytes();
-        if (to.kind() != Hop.Kind.UDP || bytes.length <= LARGE) {
+        if (to.protocol() != Hop.Protocol.UDP || bytes.length <= LARGE_REQUEST_BYTES) {
             return start(request, bytes, branch, to, false, asker);
         }
-        request.headers().set("Via", via(Hop.Kind.TCP, branch));
+        request.headers().set("Via", via(Hop.Protocol.TCP, branch));
         return start(request, request.bytes(), branch, Hop.tcp(to.address()), true, asker);
     }
 
     /** Sends a CANCEL, which bears the Via of what it cancels. */
-    public ClientTransaction sendCancel(Request cancel, Hop to, Asker asker) {
+    public ClientTransaction sendCancel(Request cancel, Hop to, ClientTransactionUser asker) {
         try {
             return start(cancel, cancel.bytes(), cancel.via().branch(), to, false, asker);
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             throw new IllegalStateException("a CANCEL without the Via of its INVITE", e);
         }
     }
 
     private ClientTransaction start(
-            Request request, byte[] bytes, String branch, Hop hop, boolean forSize, Asker asker) {
+            Request request, byte[] bytes, String branch, Hop hop, boolean forSize, ClientTransactionUser asker) {
         ClientTransaction transaction = new ClientTransaction(this, request, bytes, branch, hop, forSize, asker);
-        if (open() >= most) {
-            drops.count("transaction table full");
-            wheel.at(wheel.now(), () -> transaction.fail(Failure.TABLE_FULL));
+        if (openCount() >= most) {
+            drops.increment("transaction table full");
+            wheel.scheduleAt(wheel.now(), () -> transaction.fail(RequestFailure.TABLE_FULL));
             return transaction;
         }
         clients.put(transaction.key(), transaction);
@@ -105,26 +112,26 @@
 
     /** Sends a request that has no transaction: the ACK of a 2xx (RFC 3261 13.2.2.4). */
     public void sendAck(Request ack, Hop to) {
-        ack.headers().push("Via", via(to.kind(), branches.branch()));
+        ack.headers().addFirst("Via", via(to.protocol(), branches.nextBranch()));
         out.send(ack.bytes(), to);
     }
 
     /** Asks for overload control too (RFC 7339 4.1), and for the answer to come back here (RFC 3581 3). */
-    private String via(Hop.Kind kind, String branch) {
+    private String via(Hop.Protocol kind, String branch) {
         return "SIP/2.0/" + kind.name() + ' ' + out.sentBy(kind) + ";branch=" + branch
                 + ";rport;oc;oc-algo=\"loss,rate\"";
     }
 
-    public void arrived(Arrival arrival) {
-        if (arrival instanceof Arrival.Received received) {
+    public void handleEvent(TransportEvent arrival) {
+        if (arrival instanceof TransportEvent.MessageReceived received) {
             received(received.message(), received.from());
-        } else if (arrival instanceof Arrival.Wrong wrong) {
-            drops.count("wrong request answered " + wrong.status());
-            refuse(wrong.request(), wrong.status(), wrong.fault(), wrong.from());
-        } else if (arrival instanceof Arrival.Broken broken) {
-            new ArrayList<>(clients.values()).forEach(one -> one.broken(broken.everUp(), broken.hop()));
+        } else if (arrival instanceof TransportEvent.InvalidRequest wrong) {
+            drops.increment("wrong request answered " + wrong.status());
+            refuseStateless(wrong.request(), wrong.status(), wrong.reasonPhrase(), wrong.from());
+        } else if (arrival instanceof TransportEvent.ConnectionLost broken) {
+            new ArrayList<>(clients.values()).forEach(one -> one.broken(broken.wasEstablished(), broken.hop()));
             new ArrayList<>(servers.values()).forEach(one -> one.broken(broken.hop()));
-            user.broken(broken.hop(), broken.everUp());
+            user.connectionLost(broken.hop(), broken.wasEstablished());
         }
     }
 
@@ -135,28 +142,28 @@
             } else if (message instanceof Request request) {
                 request(request, from);
             }
-        } catch (BadValue e) {
-            drops.count("unreadable value");
+        } catch (InvalidValueException e) {
+            drops.increment("unreadable value");
         }
     }
 
-    private void response(Response response, Hop from) throws BadValue {
+    private void response(Response response, Hop from) throws InvalidValueException {
         ClientTransaction transaction =
                 clients.get(clientKey(response.via().branch(), response.cseq().method()));
         if (transaction != null) {
             transaction.response(response);
         } else {
-            user.stray(response, from);
+            user.unmatchedResponse(response, from);
         }
     }
 
-    private void request(Request request, Hop from) throws BadValue {
-        if (request.is("ACK")) {
+    private void request(Request request, Hop from) throws InvalidValueException {
+        if (request.hasMethod("ACK")) {
             ServerTransaction invite = servers.get(serverKey(request, "INVITE"));
             if (invite != null && invite.waitsForAck()) {
                 invite.acked();
             } else {
-                user.acked(request, from);
+                user.ackReceived(request, from);
             }
             return;
         }
@@ -166,48 +173,48 @@
             known.repeated();
             return;
         }
-        if (open() >= most) {
-            drops.count("transaction table full");
-            refuse(request, 503, "Too many transactions", from);
+        if (openCount() >= most) {
+            drops.increment("transaction table full");
+            refuseStateless(request, 503, "Too many transactions", from);
             return;
         }
-        ServerTransaction begun = new ServerTransaction(this, key, request, from, back(request, from));
+        ServerTransaction begun = new ServerTransaction(this, key, request, from, responseDestination(request, from));
         servers.put(key, begun);
-        if (request.is("CANCEL")) {
+        if (request.hasMethod("CANCEL")) {
             cancel(begun);
         } else {
-            user.requested(begun);
+            user.requestReceived(begun);
         }
     }
 
     /** RFC 3261 9.2. */
-    private void cancel(ServerTransaction cancel) throws BadValue {
+    private void cancel(ServerTransaction cancel) throws InvalidValueException {
         ServerTransaction invite = servers.get(serverKey(cancel.request(), "INVITE"));
         if (invite == null) {
-            cancel.respond(cancel.request().answer(481, "No transaction to cancel", branches.tag()));
+            cancel.respond(cancel.request().createResponse(481, "No transaction to cancel", branches.nextTag()));
             return;
         }
-        cancel.respond(cancel.request().answer(200, "OK", branches.tag()));
+        cancel.respond(cancel.request().createResponse(200, "OK", branches.nextTag()));
         if (invite.state() == ServerTransaction.State.PROCEEDING) {
             user.cancelled(invite, cancel.request());
         }
     }
 
     /** Answers without state (RFC 3261 8.2.7); a repeat gets the same answer. */
-    public void refuse(Request request, int status, String reason, Hop from) {
-        if (!request.is("ACK")) {
+    public void refuseStateless(Request request, int status, String reason, Hop from) {
+        if (!request.hasMethod("ACK")) {
             String tag = Integer.toString(request.headers().first("Call-ID").hashCode() & 0x7fffffff, 36);
             try {
-                out.send(request.answer(status, reason, tag).bytes(), back(request, from));
-            } catch (BadValue e) {
-                drops.count("nobody to answer");
+                out.send(request.createResponse(status, reason, tag).bytes(), responseDestination(request, from));
+            } catch (InvalidValueException e) {
+                drops.increment("nobody to answer");
             }
         }
     }
 
     /** Where responses go (RFC 3261 18.2.2, RFC 3581 4). */
-    public static Hop back(Request request, Hop from) throws BadValue {
-        if (from.reliable()) {
+    public static Hop responseDestination(Request request, Hop from) throws InvalidValueException {
+        if (from.isReliable()) {
             return from;
         }
         Via via = request.via();
@@ -223,17 +230,17 @@
         try {
             int port = request.via().sentBy().port();
             return Hop.tcp(new InetSocketAddress(from.address().getAddress(), port < 0 ? 5060 : port));
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             return null;
         }
     }
 
     /** A large request went by TCP only for its size, which was refused; now it goes by UDP after all. */
     void shrunk(ClientTransaction transaction) {
-        String branch = branches.branch();
+        String branch = branches.nextBranch();
         clients.remove(transaction.key());
         transaction.overUdp(
-                via(Hop.Kind.UDP, branch), branch, Hop.udp(transaction.hop().address()));
+                via(Hop.Protocol.UDP, branch), branch, Hop.udp(transaction.hop().address()));
         clients.put(transaction.key(), transaction);
     }
 
@@ -243,19 +250,19 @@
 
     void over(ServerTransaction transaction) {
         servers.remove(transaction.key, transaction);
-        user.over(transaction);
+        user.transactionEnded(transaction);
     }
 
     /**
      * A server transaction of an INVITE that another thread had begun and can't go on with: it stands as if the
      * INVITE had just come and had no response, and the user is not told. Null where it is known here already.
      */
-    public ServerTransaction takeOver(Request invite, Hop from) throws BadValue {
+    public ServerTransaction takeOver(Request invite, Hop from) throws InvalidValueException {
         String key = serverKey(invite, invite.method());
         if (servers.containsKey(key)) {
             return null;
         }
-        ServerTransaction begun = new ServerTransaction(this, key, invite, from, back(invite, from));
+        ServerTransaction begun = new ServerTransaction(this, key, invite, from, responseDestination(invite, from));
         servers.put(key, begun);
         return begun;
     }
@@ -264,7 +271,8 @@
      * A client transaction that another thread had begun. The request bears its Via. It is sent again, which the far
      * side takes for a repeat, or stands as {@code accepted} and only meets what comes again.
      */
-    public ClientTransaction takeOver(Request request, Hop hop, boolean accepted, Asker asker) throws BadValue {
+    public ClientTransaction takeOver(Request request, Hop hop, boolean accepted, ClientTransactionUser asker)
+            throws InvalidValueException {
         ClientTransaction begun = new ClientTransaction(
                 this, request, request.bytes(), request.via().branch(), hop, false, asker);
         clients.put(begun.key(), begun);
--- a/src/main/java/martenslip/sip/transport/Connection.java
+++ b/src/main/java/martenslip/sip/transport/Connection.java
@@ -12,43 +12,44 @@
 import martenslip.control.Span;
 
 /**
- * One TCP connection: a thread that reads and one that writes, the latter its own or one of {@link Writers}. Whoever
+ * One TCP connection: a thread that reads and one that writes, the latter its own or one of {@link ConnectionThreadPool}. Whoever
  * notices its end closes it; the first reason is the one told, once.
  */
 public final class Connection {
     /** Called by the reading thread, the end by any. */
-    public interface Events {
-        void whole(Connection connection, byte[] message) throws InterruptedException;
+    public interface Listener {
+        void messageReceived(Connection connection, byte[] message) throws InterruptedException;
 
         void ended(Connection connection, String why);
 
-        /** One that was asked for has come up; with {@link Writers} only. */
-        default void up(Connection connection) {}
+        /** One that was asked for has come up; with {@link ConnectionThreadPool} only. */
+        default void connected(Connection connection) {}
     }
 
     private static final int STACK = 256 * 1024;
 
-    final long number;
+    final long id;
     private final InetSocketAddress peer;
-    private final Bounds bounds;
-    private final Events events;
+    private final TransportLimits bounds;
+    private final Listener events;
     private final Socket socket;
-    private final Cutter cutter;
-    private final Writers writers;
-    private final ArrayDeque<Outgoing> unsent = new ArrayDeque<>();
+    private final StreamFramer cutter;
+    private final ConnectionThreadPool writers;
+    private final ArrayDeque<OutgoingMessage> unsent = new ArrayDeque<>();
     private int unsentBytes;
     private long writingSince;
     private boolean up;
     private boolean closed;
     private boolean writing;
-    private boolean refused;
+    private boolean wasRefused;
     private long started;
     private boolean saidOne;
     private volatile boolean handling;
     private int timeout;
 
-    Connection(long number, Socket socket, InetSocketAddress peer, boolean up, Bounds bounds, Events events) {
-        this(number, socket, peer, up, bounds, events, new Framer(), null);
+    Connection(
+            long number, Socket socket, InetSocketAddress peer, boolean up, TransportLimits bounds, Listener events) {
+        this(number, socket, peer, up, bounds, events, new ContentLengthFramer(), null);
     }
 
     /** With {@code writers} it has no writing thread of its own. */
@@ -57,11 +58,11 @@
             Socket socket,
             InetSocketAddress peer,
             boolean up,
-            Bounds bounds,
-            Events events,
-            Cutter cutter,
-            Writers writers) {
-        this.number = number;
+            TransportLimits bounds,
+            Listener events,
+            StreamFramer cutter,
+            ConnectionThreadPool writers) {
+        this.id = number;
         this.socket = socket;
         this.peer = peer;
         this.up = up;
@@ -71,20 +72,20 @@
         this.writers = writers;
     }
 
-    public long number() {
-        return number;
+    public long id() {
+        return id;
     }
 
     Hop hop() {
-        return new Hop(Hop.Kind.TCP, peer, number);
+        return new Hop(Hop.Protocol.TCP, peer, id);
     }
 
-    public synchronized boolean everUp() {
+    public synchronized boolean wasEstablished() {
         return up;
     }
 
     /** True where something has arrived that the reading thread has not come to yet, or is amid of. */
-    public boolean unread() {
+    public boolean hasUnreadInput() {
         try {
             return handling || socket.getInputStream().available() > 0;
         } catch (IOException e) {
@@ -93,8 +94,8 @@
     }
 
     /** True where the other side had nobody listening: proof that nothing runs there. */
-    public synchronized boolean refused() {
-        return refused;
+    public synchronized boolean wasRefused() {
+        return wasRefused;
     }
 
     int localPort() {
@@ -107,29 +108,29 @@
             return;
         }
         // Asked before the writer runs: it may connect at once, and then begins to read by itself.
-        boolean accepted = everUp();
-        new Thread(null, this::write, name + "-out-" + number, STACK).start();
+        boolean accepted = wasEstablished();
+        new Thread(null, this::write, name + "-out-" + id, STACK).start();
         if (accepted) {
             startReading(name);
         }
     }
 
     private void startReading(String name) {
-        new Thread(null, this::read, name + "-in-" + number, STACK).start();
+        new Thread(null, this::read, name + "-in-" + id, STACK).start();
     }
 
     private void connectAndRead() {
         try {
-            if (!everUp()) {
+            if (!wasEstablished()) {
                 connect();
                 synchronized (this) {
                     writeIfNeeded();
                 }
-                events.up(this);
+                events.connected(this);
             }
         } catch (IOException e) {
             synchronized (this) {
-                refused = e instanceof ConnectException && !closed;
+                wasRefused = e instanceof ConnectException && !closed;
             }
             close(String.valueOf(e.getMessage()));
             return;
@@ -138,7 +139,7 @@
     }
 
     private void connect() throws IOException {
-        socket.connect(peer, (int) (bounds.connect().ns() / 1_000_000));
+        socket.connect(peer, (int) (bounds.connectTimeout().ns() / 1_000_000));
         socket.setTcpNoDelay(true);
         synchronized (this) {
             up = true;
@@ -146,10 +147,10 @@
     }
 
     /** Writes what these still have to say, in one piece: a turn of the deciding thread says several things to a peer. */
-    private void write(List<Outgoing> next) throws IOException {
+    private void write(List<OutgoingMessage> next) throws IOException {
         // Not under the lock: what an order finds out about its reason may make this thread wait.
         List<byte[]> parts = new ArrayList<>(next.size());
-        for (Outgoing one : next) {
+        for (OutgoingMessage one : next) {
             byte[] part = one.bytes();
             if (part != null) {
                 parts.add(part);
@@ -164,7 +165,7 @@
                 next.forEach(one -> unsentBytes -= one.size());
                 writingSince = 0;
             }
-            next.forEach(Outgoing::done);
+            next.forEach(OutgoingMessage::completed);
         }
     }
 
@@ -190,7 +191,7 @@
 
     private void writeAll() {
         try {
-            for (List<Outgoing> next = all(); !next.isEmpty(); next = all()) {
+            for (List<OutgoingMessage> next = all(); !next.isEmpty(); next = all()) {
                 write(next);
             }
         } catch (IOException e) {
@@ -202,20 +203,20 @@
     }
 
     /** All that is unsent; none where there is nothing, and then this thread no longer writes. */
-    private synchronized List<Outgoing> all() {
+    private synchronized List<OutgoingMessage> all() {
         if (unsent.isEmpty() || closed) {
             writing = false;
             notifyAll();
             return List.of();
         }
         writingSince = System.nanoTime();
-        List<Outgoing> next = List.copyOf(unsent);
+        List<OutgoingMessage> next = List.copyOf(unsent);
         unsent.clear();
         return next;
     }
 
     /** Ends it once all that was queued is written, or after a bounded wait; the caller must be able to wait. */
-    public void finish(String why, Span atMost) {
+    public void flushAndClose(String why, Span atMost) {
         long until = System.nanoTime() + atMost.ns();
         try {
             synchronized (this) {
@@ -235,20 +236,20 @@
     }
 
     public boolean send(byte[] bytes) {
-        return send(Outgoing.of(bytes));
+        return send(OutgoingMessage.of(bytes));
     }
 
     /** Queues a message; false where the connection is over, or now is as its peer doesn't read. */
-    public boolean send(Outgoing message) {
+    public boolean send(OutgoingMessage message) {
         String why = null;
         synchronized (this) {
             if (closed) {
                 return false;
             }
             long stuck = writingSince == 0 ? 0 : System.nanoTime() - writingSince;
-            if (unsentBytes + message.size() > bounds.unsent()) {
+            if (unsentBytes + message.size() > bounds.maxUnsentBytes()) {
                 why = "peer leaves " + unsentBytes + " bytes unread";
-            } else if (up && stuck > bounds.stuck().ns()) {
+            } else if (up && stuck > bounds.writeStallTimeout().ns()) {
                 why = "peer has read nothing for " + stuck / 1_000_000 + " ms";
             } else {
                 unsent.add(message);
@@ -266,7 +267,7 @@
     }
 
     public void close(String why) {
-        List<Outgoing> never;
+        List<OutgoingMessage> never;
         synchronized (this) {
             if (closed) {
                 return;
@@ -282,7 +283,7 @@
             why = why + ", " + e.getMessage();
         }
         events.ended(this, why);
-        never.forEach(Outgoing::done);
+        never.forEach(OutgoingMessage::completed);
     }
 
     /** Ends it with a reset in place of an orderly end, for stand-ins. */
@@ -298,11 +299,11 @@
 
     private void write() {
         try {
-            if (!everUp()) {
+            if (!wasEstablished()) {
                 connect();
                 startReading(Thread.currentThread().getName());
             }
-            for (Outgoing next = take(); next != null; next = take()) {
+            for (OutgoingMessage next = take(); next != null; next = take()) {
                 write(List.of(next));
             }
         } catch (IOException e) {
@@ -312,7 +313,7 @@
         }
     }
 
-    private synchronized Outgoing take() throws InterruptedException {
+    private synchronized OutgoingMessage take() throws InterruptedException {
         while (unsent.isEmpty() && !closed) {
             wait();
         }
@@ -327,25 +328,28 @@
             InputStream in = socket.getInputStream();
             while (true) {
                 allow(begun);
-                byte[] room = cutter.room();
-                int got = in.read(room, cutter.at(), room.length - cutter.at());
+                byte[] room = cutter.buffer();
+                int got = in.read(room, cutter.position(), room.length - cutter.position());
                 if (got < 0) {
-                    close(cutter.amid() ? "ended amid a message" : "ended by the peer");
+                    close(cutter.hasPartialMessage() ? "ended amid a message" : "ended by the peer");
                     return;
                 }
                 handling = true;
-                begun = cutter.amid() ? begun : System.nanoTime();
-                cutter.took(got);
+                begun = cutter.hasPartialMessage() ? begun : System.nanoTime();
+                cutter.advance(got);
                 for (byte[] whole : wholes()) {
-                    events.whole(this, whole);
+                    events.messageReceived(this, whole);
                     begun = System.nanoTime();
                     saidOne = true;
                 }
                 handling = false;
             }
         } catch (SocketTimeoutException e) {
-            close(cutter.amid() ? "a message took too long to arrive" : saidOne ? "idle" : "no message came");
-        } catch (IOException | Cutter.Lost e) {
+            close(
+                    cutter.hasPartialMessage()
+                            ? "a message took too long to arrive"
+                            : saidOne ? "idle" : "no message came");
+        } catch (IOException | StreamFramer.FramingException e) {
             close(String.valueOf(e.getMessage()));
         } catch (InterruptedException e) {
             close("stopped");
@@ -356,13 +360,13 @@
     }
 
     /** All of what was read at once: nothing of it is handed up where its end shows that it was cut wrongly. */
-    private List<byte[]> wholes() throws Cutter.Lost {
-        byte[] one = cutter.next();
+    private List<byte[]> wholes() throws StreamFramer.FramingException {
+        byte[] one = cutter.nextMessage();
         if (one == null) {
             return List.of();
         }
         List<byte[]> all = new ArrayList<>(2);
-        for (; one != null; one = cutter.next()) {
+        for (; one != null; one = cutter.nextMessage()) {
             all.add(one);
         }
         return all;
@@ -370,11 +374,11 @@
 
     private void allow(long begun) throws IOException {
         long now = System.nanoTime();
-        long left = cutter.amid()
-                ? bounds.whole().ns() - (now - begun)
-                : bounds.idle().ns();
+        long left = cutter.hasPartialMessage()
+                ? bounds.messageTimeout().ns() - (now - begun)
+                : bounds.idleTimeout().ns();
         if (!saidOne) {
-            left = Math.min(left, bounds.first().ns() - (now - started));
+            left = Math.min(left, bounds.firstMessageTimeout().ns() - (now - started));
         }
         int ms = (int) Math.max(1, left / 1_000_000);
         // Each setting is a call of the system; the time that is left changes little while messages come whole.
--- a/src/main/java/martenslip/sip/transport/Writers.java
+++ b/src/main/java/martenslip/sip/transport/ConnectionThreadPool.java
@@ -13,7 +13,7 @@
  * <p>It keeps threads that read for a while too: where connections come and go by the hundred a second, making and
  * ending a thread for each is most of what they cost.
  */
-public final class Writers {
+public final class ConnectionThreadPool {
     private static final int STACK = 128 * 1024;
     private static final long LINGER_MS = 2000;
     /** More connections than any process here may hold descriptors. */
@@ -26,7 +26,7 @@
     private int threads;
     private int idle;
 
-    public Writers(String name, int most) {
+    public ConnectionThreadPool(String name, int most) {
         this.name = name;
         this.most = most;
         readers = new ThreadPoolExecutor(
--- a/src/main/java/martenslip/sip/transport/Drops.java
+++ b/src/main/java/martenslip/sip/transport/DropCounter.java
@@ -6,19 +6,19 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Counts of what could not be answered or taken, by cause. Any thread may count and read. */
-public final class Drops {
+public final class DropCounter {
     private static final int MOST_WHY = 40;
 
     /** Causes are phrases of the program, never of a message, so their number is bounded. */
     private final ConcurrentHashMap<String, LongAdder> causes = new ConcurrentHashMap<>();
 
-    public void count(String cause) {
+    public void increment(String cause) {
         causes.computeIfAbsent(cause, any -> new LongAdder()).increment();
     }
 
     /** With why it was as far as a short text tells: reasons come from the system, and long ones would fill the table. */
-    public void count(String cause, String why) {
-        count(cause + ": " + (why.length() <= MOST_WHY ? why : why.substring(0, MOST_WHY)));
+    public void increment(String cause, String why) {
+        increment(cause + ": " + (why.length() <= MOST_WHY ? why : why.substring(0, MOST_WHY)));
     }
 
     public Map<String, Long> counts() {
--- a/src/main/java/martenslip/sip/transport/Hop.java
+++ b/src/main/java/martenslip/sip/transport/Hop.java
@@ -6,28 +6,28 @@
  * A place that messages come from or go to. {@code connection} is the number of a TCP connection, 0 where any
  * connection to the address will do.
  */
-public record Hop(Kind kind, InetSocketAddress address, long connection) {
-    public enum Kind {
+public record Hop(Protocol protocol, InetSocketAddress address, long connectionId) {
+    public enum Protocol {
         UDP,
         TCP
     }
 
     public static Hop udp(InetSocketAddress address) {
-        return new Hop(Kind.UDP, address, 0);
+        return new Hop(Protocol.UDP, address, 0);
     }
 
     public static Hop tcp(InetSocketAddress address) {
-        return new Hop(Kind.TCP, address, 0);
+        return new Hop(Protocol.TCP, address, 0);
     }
 
     /** A transport that carries each message whole once or breaks (RFC 3261 17: no repeats over it). */
-    public boolean reliable() {
-        return kind == Kind.TCP;
+    public boolean isReliable() {
+        return protocol == Protocol.TCP;
     }
 
     @Override
     public String toString() {
         String host = address.getAddress().getHostAddress();
-        return kind.name().toLowerCase(java.util.Locale.ROOT) + ":" + host + ":" + address.getPort();
+        return protocol.name().toLowerCase(java.util.Locale.ROOT) + ":" + host + ":" + address.getPort();
     }
 }
--- a/src/main/java/martenslip/sip/transport/Outgoing.java
+++ b/src/main/java/martenslip/sip/transport/OutgoingMessage.java
@@ -4,7 +4,7 @@
  * What waits on a connection. What has been queued is not yet sent: whether it is said at all is settled when its write
  * begins, by the thread that writes. Nobody looks again between the queue and the socket but here.
  */
-public interface Outgoing {
+public interface OutgoingMessage {
     /** What it counts for against the bound of what is unsent. */
     int size();
 
@@ -12,17 +12,17 @@
     byte[] bytes();
 
     /** Nothing of it is going to be written any more: it has been, it had nothing to say, or the connection is over. */
-    default void done() {
+    default void completed() {
         // Most who queue something don't ask what became of it.
     }
 
-    static Outgoing of(byte[] message) {
+    static OutgoingMessage of(byte[] message) {
         return of(message, () -> {});
     }
 
     /** {@code done} is run by the writing thread, or by whoever ends the connection. */
-    static Outgoing of(byte[] message, Runnable done) {
-        return new Outgoing() {
+    static OutgoingMessage of(byte[] message, Runnable done) {
+        return new OutgoingMessage() {
             @Override
             public int size() {
                 return message.length;
@@ -34,7 +34,7 @@
             }
 
             @Override
-            public void done() {
+            public void completed() {
                 done.run();
             }
         };
--- a/src/main/java/martenslip/sip/transport/Revocable.java
+++ b/src/main/java/martenslip/sip/transport/RevocableMessage.java
@@ -9,7 +9,7 @@
  * more just before, since it may have waited behind others, for a peer that does not read, or for a connection to come
  * up. Whoever finds it revoked knows that not one byte of it is or will be on the wire.
  */
-public final class Revocable implements Outgoing {
+public final class RevocableMessage implements OutgoingMessage {
     private enum State {
         QUEUED,
         WRITTEN,
@@ -25,7 +25,7 @@
      * {@code says} gives the message as it has to read at that moment, or null where its reason no longer holds; it is
      * then revoked and {@code unsaid} is run, by the writing thread.
      */
-    public Revocable(int size, Supplier<byte[]> says, Runnable unsaid) {
+    public RevocableMessage(int size, Supplier<byte[]> says, Runnable unsaid) {
         this.size = size;
         this.says = says;
         this.unsaid = unsaid;
@@ -37,7 +37,7 @@
     }
 
     /** True once its write has begun. */
-    public boolean written() {
+    public boolean isWritten() {
         return state.get() == State.WRITTEN;
     }
 
