--- a/src/main/java/martenslip/sip/transport/Cutter.java
+++ b/src/main/java/martenslip/sip/transport/StreamFramer.java
@@ -1,26 +1,26 @@
 package martenslip.sip.transport;
 
 /** Cuts what a connection brings into messages; bytes are read straight into its room. One thread uses it. */
-public interface Cutter {
+public interface StreamFramer {
     /** A stream that can't be cut any further. */
-    final class Lost extends Exception {
+    final class FramingException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public Lost(String what) {
+        public FramingException(String what) {
             super(what, null, false, false);
         }
     }
 
-    /** Room to read into from {@link #at} on; at least one byte. */
-    byte[] room();
+    /** Room to read into from {@link #position} on; at least one byte. */
+    byte[] buffer();
 
-    int at();
+    int position();
 
-    void took(int bytes);
+    void advance(int bytes);
 
     /** True while a message has begun and not ended. */
-    boolean amid();
+    boolean hasPartialMessage();
 
     /** The next whole message, or null where more must be read. */
-    byte[] next() throws Lost;
+    byte[] nextMessage() throws FramingException;
 }
--- a/src/main/java/martenslip/sip/transport/Transport.java
+++ b/src/main/java/martenslip/sip/transport/Transport.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
-import martenslip.sip.message.BadValue;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Message;
-import martenslip.sip.message.Parsed;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
+import martenslip.sip.message.ParseResult;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Via;
 
@@ -30,12 +30,12 @@
     private static final int BUFFER = 4 << 20;
 
     private final String name;
-    private final Bounds bounds;
-    private final Sink sink;
-    private final Gate gate;
-    private final Drops drops = new Drops();
+    private final TransportLimits bounds;
+    private final TransportEventSink sink;
+    private final MessageInterceptor gate;
+    private final DropCounter dropCounter = new DropCounter();
     private final AtomicLong numbers = new AtomicLong();
-    private final Map<Long, Connection> connections = new ConcurrentHashMap<>();
+    private final Map<Long, Connection> connectionCount = new ConcurrentHashMap<>();
     private final Map<InetSocketAddress, Connection> byPeer = new ConcurrentHashMap<>();
     private final List<AutoCloseable> open = new ArrayList<>();
     private String host = "";
@@ -46,15 +46,15 @@
     private ServerSocket tcp;
     private volatile boolean closing;
 
-    public Transport(String name, Bounds bounds, Sink sink, Gate gate) {
+    public Transport(String name, TransportLimits bounds, TransportEventSink sink, MessageInterceptor gate) {
         this.name = name;
         this.bounds = bounds;
         this.sink = sink;
         this.gate = gate;
     }
 
-    public Drops drops() {
-        return drops;
+    public DropCounter dropCounter() {
+        return dropCounter;
     }
 
     /** Opens the datagram socket; port 0 takes any. The port that was taken is returned. */
@@ -81,13 +81,13 @@
         return tcpPort;
     }
 
-    public boolean has(Hop.Kind kind) {
-        return kind == Hop.Kind.UDP ? udp != null : tcp != null;
+    public boolean isOpen(Hop.Protocol kind) {
+        return kind == Hop.Protocol.UDP ? udp != null : tcp != null;
     }
 
     /** The port that was opened; it stays known after the close. */
-    public int port(Hop.Kind kind) {
-        return kind == Hop.Kind.UDP ? udpPort : tcpPort;
+    public int port(Hop.Protocol kind) {
+        return kind == Hop.Protocol.UDP ? udpPort : tcpPort;
     }
 
     /** The address that was opened, an IPv6 one in brackets; it stays known after the close. */
@@ -96,10 +96,10 @@
     }
 
     /** Host and port that a Via for this kind names. */
-    public String sentBy(Hop.Kind kind) {
+    public String sentBy(Hop.Protocol kind) {
         // Without a listener of its own a connection's peer answers over the connection.
-        Hop.Kind other = kind == Hop.Kind.UDP ? Hop.Kind.TCP : Hop.Kind.UDP;
-        return host + ":" + port(has(kind) ? kind : other);
+        Hop.Protocol other = kind == Hop.Protocol.UDP ? Hop.Protocol.TCP : Hop.Protocol.UDP;
+        return host + ":" + port(isOpen(kind) ? kind : other);
     }
 
     private void opened(InetAddress address) {
@@ -108,24 +108,24 @@
         local = address;
     }
 
-    /** Sends a whole message. False where it is known not to go; later trouble comes as {@link Arrival.Broken}. */
+    /** Sends a whole message. False where it is known not to go; later trouble comes as {@link TransportEvent.ConnectionLost}. */
     public boolean send(byte[] bytes, Hop to) {
-        if (to.kind() == Hop.Kind.UDP) {
-            if (udp == null || bytes.length > Parser.MOST_BYTES) {
-                drops.count("datagram not sendable");
+        if (to.protocol() == Hop.Protocol.UDP) {
+            if (udp == null || bytes.length > MessageParser.MAX_MESSAGE_BYTES) {
+                dropCounter.increment("datagram not sendable");
                 return false;
             }
-            gate.out(udp.getLocalPort(), to, bytes, held -> datagram(held, to));
+            gate.outbound(udp.getLocalPort(), to, bytes, held -> datagram(held, to));
             return true;
         }
         Connection connection = connection(to);
         if (connection == null) {
-            drops.count("no connection to be had");
+            dropCounter.increment("no connection to be had");
             return false;
         }
-        gate.out(tcp == null ? connection.localPort() : tcp.getLocalPort(), connection.hop(), bytes, held -> {
+        gate.outbound(tcp == null ? connection.localPort() : tcp.getLocalPort(), connection.hop(), bytes, held -> {
             if (!connection.send(held)) {
-                drops.count("connection over");
+                dropCounter.increment("connection over");
             }
         });
         return true;
@@ -135,24 +135,24 @@
         try {
             udp.send(new DatagramPacket(bytes, bytes.length, to.address()));
         } catch (IOException e) {
-            drops.count("datagram not sent");
+            dropCounter.increment("datagram not sent");
         }
     }
 
     private Connection connection(Hop to) {
-        Connection known = to.connection() != 0 ? connections.get(to.connection()) : null;
+        Connection known = to.connectionId() != 0 ? connectionCount.get(to.connectionId()) : null;
         if (known != null) {
             return known;
         }
         // A connection that is named is the one meant: its far port may listen to nobody.
-        if (to.connection() != 0 || closing) {
+        if (to.connectionId() != 0 || closing) {
             return null;
         }
         Connection same = byPeer.get(to.address());
         if (same != null) {
             return same;
         }
-        if (connections.size() >= bounds.connections()) {
+        if (connectionCount.size() >= bounds.maxConnections()) {
             return null;
         }
         Socket socket = new Socket();
@@ -160,7 +160,7 @@
             // From the address that is listened on: a peer may know this endpoint by it.
             socket.bind(new InetSocketAddress(local, 0));
         } catch (IOException e) {
-            drops.count("no local port");
+            dropCounter.increment("no local port");
             return null;
         }
         return add(socket, to.address(), false);
@@ -172,19 +172,19 @@
             return same;
         }
         Connection added = new Connection(numbers.incrementAndGet(), socket, peer, up, bounds, events);
-        connections.put(added.number, added);
+        connectionCount.put(added.id, added);
         byPeer.put(peer, added);
         added.start(name);
         return added;
     }
 
-    private final Connection.Events events = new Connection.Events() {
+    private final Connection.Listener events = new Connection.Listener() {
         @Override
-        public void whole(Connection connection, byte[] message) throws InterruptedException {
+        public void messageReceived(Connection connection, byte[] message) throws InterruptedException {
             Hop from = connection.hop();
             int port = tcp == null ? connection.localPort() : tcp.getLocalPort();
-            gate.in(port, from, message, held -> {
-                Arrival arrival = arrival(held, held.length, from);
+            gate.inbound(port, from, message, held -> {
+                TransportEvent arrival = arrival(held, held.length, from);
                 if (arrival != null) {
                     putOrEnd(arrival);
                 }
@@ -193,15 +193,15 @@
 
         @Override
         public void ended(Connection connection, String why) {
-            connections.remove(connection.number, connection);
+            connectionCount.remove(connection.id, connection);
             byPeer.remove(connection.hop().address(), connection);
             if (!closing) {
-                putOrEnd(new Arrival.Broken(connection.hop(), connection.everUp(), why));
+                putOrEnd(new TransportEvent.ConnectionLost(connection.hop(), connection.wasEstablished(), why));
             }
         }
     };
 
-    private void putOrEnd(Arrival arrival) {
+    private void putOrEnd(TransportEvent arrival) {
         try {
             sink.put(arrival);
         } catch (InterruptedException e) {
@@ -210,35 +210,35 @@
     }
 
     private void readDatagrams() {
-        byte[] room = new byte[Parser.MOST_BYTES + 1];
+        byte[] room = new byte[MessageParser.MAX_MESSAGE_BYTES + 1];
         DatagramPacket packet = new DatagramPacket(room, room.length);
         while (!closing) {
             try {
                 packet.setLength(room.length);
                 udp.receive(packet);
                 Hop from = Hop.udp((InetSocketAddress) packet.getSocketAddress());
-                if (gate == Gate.OPEN) {
+                if (gate == MessageInterceptor.PASS_THROUGH) {
                     offer(room, packet.getLength(), from);
                 } else {
                     byte[] bytes = java.util.Arrays.copyOf(room, packet.getLength());
-                    gate.in(udp.getLocalPort(), from, bytes, held -> offer(held, held.length, from));
+                    gate.inbound(udp.getLocalPort(), from, bytes, held -> offer(held, held.length, from));
                 }
             } catch (SocketException e) {
-                drops.count(closing ? "closed" : "datagram socket fault");
+                dropCounter.increment(closing ? "closed" : "datagram socket fault");
                 if (udp.isClosed()) {
                     return;
                 }
             } catch (IOException | RuntimeException e) {
                 // Nothing that arrives ends the thread that reads for all.
-                drops.count("datagram read fault");
+                dropCounter.increment("datagram read fault");
             }
         }
     }
 
     private void offer(byte[] bytes, int length, Hop from) {
-        Arrival arrival = arrival(bytes, length, from);
+        TransportEvent arrival = arrival(bytes, length, from);
         if (arrival != null && !sink.offer(arrival)) {
-            drops.count("inbox full");
+            dropCounter.increment("inbox full");
         }
     }
 
@@ -246,8 +246,8 @@
         while (!closing) {
             try {
                 Socket socket = tcp.accept();
-                if (connections.size() >= bounds.connections()) {
-                    drops.count("too many connections");
+                if (connectionCount.size() >= bounds.maxConnections()) {
+                    dropCounter.increment("too many connections");
                     socket.close();
                     continue;
                 }
@@ -257,26 +257,26 @@
                 if (tcp.isClosed()) {
                     return;
                 }
-                drops.count("accept fault");
+                dropCounter.increment("accept fault");
             }
         }
     }
 
     /** Parses and notes where a request came from (RFC 3261 18.2.1, RFC 3581 4). Null where it can't be used. */
-    private Arrival arrival(byte[] bytes, int length, Hop from) {
-        Parsed parsed = Parser.datagram(bytes, length);
+    private TransportEvent arrival(byte[] bytes, int length, Hop from) {
+        ParseResult parsed = MessageParser.parse(bytes, length);
         Message message = parsed.message();
         if (message instanceof Request request) {
             stamp(request, from);
         }
-        if (parsed.good()) {
-            return new Arrival.Received(message, from);
+        if (parsed.isValid()) {
+            return new TransportEvent.MessageReceived(message, from);
         }
-        if (parsed.answerable()) {
-            return new Arrival.Wrong((Request) message, parsed.status(), parsed.fault(), from);
+        if (parsed.isAnswerable()) {
+            return new TransportEvent.InvalidRequest((Request) message, parsed.status(), parsed.fault(), from);
         }
         boolean blank = length < 5;
-        drops.count(blank ? "keep-alive" : "unusable message");
+        dropCounter.increment(blank ? "keep-alive" : "unusable message");
         return null;
     }
 
@@ -288,24 +288,24 @@
             if (rport) {
                 via = via.with("rport", Integer.toString(from.address().getPort()));
             }
-            if (rport || !via.sentBy().bare().equals(host)) {
+            if (rport || !via.sentBy().hostWithoutBrackets().equals(host)) {
                 request.headers().set("Via", via.with("received", host));
             }
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             // Without a Via that can be read there is nobody to answer; the parser has told so.
             return;
         }
     }
 
     /** Breaks all connections with a reset, for stand-ins. The number broken is returned. */
-    public int resetAll() {
-        List<Connection> all = new ArrayList<>(connections.values());
+    public int resetAllConnections() {
+        List<Connection> all = new ArrayList<>(connectionCount.values());
         all.forEach(Connection::reset);
         return all.size();
     }
 
-    public int connections() {
-        return connections.size();
+    public int connectionCount() {
+        return connectionCount.size();
     }
 
     @Override
@@ -315,9 +315,9 @@
             try {
                 one.close();
             } catch (Exception e) {
-                drops.count("close fault");
+                dropCounter.increment("close fault");
             }
         }
-        new ArrayList<>(connections.values()).forEach(one -> one.close("closing"));
+        new ArrayList<>(connectionCount.values()).forEach(one -> one.close("closing"));
     }
 }
--- a/src/main/java/martenslip/sip/transport/Arrival.java
+++ b/src/main/java/martenslip/sip/transport/TransportEvent.java
@@ -4,13 +4,13 @@
 import martenslip.sip.message.Request;
 
 /** What the sockets hand up. */
-public sealed interface Arrival {
+public sealed interface TransportEvent {
     /** A message that was read whole and is right as far as its grammar goes. */
-    record Received(Message message, Hop from) implements Arrival {}
+    record MessageReceived(Message message, Hop from) implements TransportEvent {}
 
     /** A request that is wrong, with the answer that RFC 3261 has for it and the reason phrase. */
-    record Wrong(Request request, int status, String fault, Hop from) implements Arrival {}
+    record InvalidRequest(Request request, int status, String reasonPhrase, Hop from) implements TransportEvent {}
 
     /** A connection that ended or could not be had; whatever waited on it will not be answered over it. */
-    record Broken(Hop hop, boolean everUp, String why) implements Arrival {}
+    record ConnectionLost(Hop hop, boolean wasEstablished, String reason) implements TransportEvent {}
 }
--- a/src/main/java/martenslip/sip/transport/Bounds.java
+++ b/src/main/java/martenslip/sip/transport/TransportLimits.java
@@ -7,13 +7,20 @@
  * no whole message within {@code first} of its start or nothing for {@code idle}, that needs more than {@code whole} for one message from its first byte, or whose
  * peer leaves more than {@code unsent} bytes unread or reads none for {@code stuck}.
  */
-public record Bounds(int connections, Span first, Span idle, Span whole, int unsent, Span stuck, Span connect) {
+public record TransportLimits(
+        int maxConnections,
+        Span firstMessageTimeout,
+        Span idleTimeout,
+        Span messageTimeout,
+        int maxUnsentBytes,
+        Span writeStallTimeout,
+        Span connectTimeout) {
     /** Starting values: a neighbour exchange needs one or two connections; ten minutes spare a keep-alive. */
-    public static final Bounds USUAL = new Bounds(
+    public static final TransportLimits DEFAULTS = new TransportLimits(
             512, Span.ofMillis(600_000), Span.ofMillis(5_000), 1 << 20, Span.ofMillis(10_000), Span.ofMillis(500));
 
     /** The first message may take as long as any other. */
-    public Bounds(int connections, Span idle, Span whole, int unsent, Span stuck, Span connect) {
+    public TransportLimits(int connections, Span idle, Span whole, int unsent, Span stuck, Span connect) {
         this(connections, idle, idle, whole, unsent, stuck, connect);
     }
 }
--- a/src/main/java/martenslip/standin/Dialler.java
+++ b/src/main/java/martenslip/standin/CallGenerator.java
@@ -18,25 +18,26 @@
  * A caller that costs little: it dials at a steady rate over one datagram socket, holds each contact for the same
  * span and hangs up, without transactions. For measuring controllers only. Two threads; {@link #run} is one of them.
  */
-public final class Dialler implements AutoCloseable {
+public final class CallGenerator implements AutoCloseable {
     /** Every so many a contact is of the urgent skill; 0 for none. */
-    public record Plan(
+    public record LoadProfile(
             double rate, Span length, Span hold, String prefix, int exchanges, int urgentEvery, String urgent) {}
 
     private final DatagramSocket socket;
     private final InetSocketAddress controller;
     private final String host;
     private final String mark;
-    private final Plan plan;
+    private final LoadProfile plan;
     private final int most;
     private final AtomicLongArray sentAt;
     private final AtomicReferenceArray<String> to;
-    private final Histogram took = new ConcurrentHistogram(60_000_000, 3);
-    private final LongAdder stood = new LongAdder();
+    private final Histogram setUpTimes = new ConcurrentHistogram(60_000_000, 3);
+    private final LongAdder established = new LongAdder();
     private final LongAdder refused = new LongAdder();
     private final LongAdder urgentRefused = new LongAdder();
 
-    public Dialler(InetSocketAddress from, InetSocketAddress controller, Plan plan, String mark) throws IOException {
+    public CallGenerator(InetSocketAddress from, InetSocketAddress controller, LoadProfile plan, String mark)
+            throws IOException {
         this.controller = controller;
         this.plan = plan;
         this.mark = mark;
@@ -53,16 +54,16 @@
     }
 
     /** From INVITE to 200, in microseconds. */
-    public Histogram took() {
-        return took;
+    public Histogram setUpTimes() {
+        return setUpTimes;
     }
 
     public int dialled() {
         return most;
     }
 
-    public long stood() {
-        return stood.sum();
+    public long established() {
+        return established.sum();
     }
 
     public long refused() {
@@ -146,7 +147,7 @@
             try {
                 packet.setLength(room.length);
                 socket.receive(packet);
-                response(new Raw(room, packet.getLength()));
+                response(new RawMessage(room, packet.getLength()));
             } catch (IOException e) {
                 if (socket.isClosed()) {
                     return;
@@ -155,7 +156,7 @@
         }
     }
 
-    private void response(Raw message) throws IOException {
+    private void response(RawMessage message) throws IOException {
         if (!message.response()) {
             if (!message.method().equals("ACK")) {
                 send(message.answer("200 OK", "d", ""));
@@ -166,7 +167,7 @@
         if (status < 200 || !message.value("CSeq").endsWith("INVITE")) {
             return;
         }
-        int number = Integer.parseInt(Raw.between(message.value("Call-ID"), "-", "@"));
+        int number = Integer.parseInt(RawMessage.between(message.value("Call-ID"), "-", "@"));
         boolean first = to.compareAndSet(number, null, message.value("To"));
         if (status >= 300) {
             to.set(number, message.value("To"));
@@ -179,8 +180,8 @@
             return;
         }
         if (first) {
-            took.recordValue(Math.min(60_000_000, (System.nanoTime() - sentAt.get(number)) / 1000));
-            stood.increment();
+            setUpTimes.recordValue(Math.min(60_000_000, (System.nanoTime() - sentAt.get(number)) / 1000));
+            established.increment();
         }
         send(within("ACK", number, 1, "ak" + number));
     }
--- a/src/main/java/martenslip/standin/Tally.java
+++ b/src/main/java/martenslip/standin/CallerStatistics.java
@@ -5,9 +5,9 @@
 import org.HdrHistogram.Histogram;
 
 /** What became of the callers' wants, by skill; redials belong to their first try. One thread owns it. */
-public final class Tally {
+public final class CallerStatistics {
     /** How a want ended. */
-    public enum End {
+    public enum CallOutcome {
         IN_TARGET,
         LATE,
         DEFERRED,
@@ -18,8 +18,8 @@
     }
 
     /** Counts of one skill. */
-    public static final class Row {
-        private final long[] ends = new long[End.values().length];
+    public static final class SkillStatistics {
+        private final long[] ends = new long[CallOutcome.values().length];
         private final Histogram setUp = new Histogram(60_000_000, 3);
         private long wanted;
         private long tries;
@@ -32,7 +32,7 @@
             return tries;
         }
 
-        public long of(End end) {
+        public long count(CallOutcome end) {
             return ends[end.ordinal()];
         }
 
@@ -42,14 +42,14 @@
         }
     }
 
-    private final Map<String, Row> rows = new LinkedHashMap<>();
+    private final Map<String, SkillStatistics> rows = new LinkedHashMap<>();
 
-    public Map<String, Row> rows() {
+    public Map<String, SkillStatistics> rows() {
         return rows;
     }
 
-    Row row(String skill) {
-        return rows.computeIfAbsent(skill, any -> new Row());
+    SkillStatistics row(String skill) {
+        return rows.computeIfAbsent(skill, any -> new SkillStatistics());
     }
 
     void wanted(String skill) {
@@ -60,14 +60,14 @@
         row(skill).tries++;
     }
 
-    void ended(String skill, End end) {
+    void ended(String skill, CallOutcome end) {
         row(skill).ends[end.ordinal()]++;
     }
 
     /** A contact that stood and was cut is served no more. */
-    void cut(String skill, End before) {
+    void cut(String skill, CallOutcome before) {
         row(skill).ends[before.ordinal()]--;
-        row(skill).ends[End.CUT.ordinal()]++;
+        row(skill).ends[CallOutcome.CUT.ordinal()]++;
     }
 
     void stood(String skill, long micros) {
--- a/src/main/java/martenslip/standin/Capture.java
+++ b/src/main/java/martenslip/standin/CaptureWriter.java
@@ -15,7 +15,7 @@
  * head line and, for messages, the bytes as they passed. A queue that is full holds the stand-ins up: a capture
  * with holes would prove nothing. Any thread may call.
  */
-public final class Capture implements AutoCloseable {
+public final class CaptureWriter implements AutoCloseable {
     private static final int QUEUE = 65_536;
     private static final byte[] END = {};
 
@@ -24,7 +24,7 @@
     private final Thread thread;
     private volatile IOException trouble;
 
-    public Capture(Path file) throws IOException {
+    public CaptureWriter(Path file) throws IOException {
         out = new BufferedOutputStream(Files.newOutputStream(file), 1 << 20);
         thread = new Thread(null, this::work, "capture", 256 * 1024);
         thread.start();
@@ -43,7 +43,7 @@
     }
 
     /** A fact: a kind and words of name=value. */
-    public void fact(String kind, String words) {
+    public void annotation(String kind, String words) {
         put(("! " + System.nanoTime() + ' ' + kind + ' ' + words + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/martenslip/standin/Mirror.java
+++ b/src/main/java/martenslip/standin/LightweightSwitch.java
@@ -13,28 +13,29 @@
  * A switch that costs little: it accepts each INVITE at once while its group has circuits, over one datagram socket
  * and thread, without transactions. It counts what it had no circuit for. For measuring controllers only.
  */
-public final class Mirror implements AutoCloseable {
-    private final Trunks trunks;
+public final class LightweightSwitch implements AutoCloseable {
+    private final TrunkGroups trunks;
     private final DatagramSocket socket;
-    private final Map<String, Trunks.Seizure> seized = new ConcurrentHashMap<>();
+    private final Map<String, TrunkGroups.Seizure> seized = new ConcurrentHashMap<>();
     private final Map<String, Integer> widths;
     private final LongAdder accepted = new LongAdder();
-    private final LongAdder noCircuit = new LongAdder();
+    private final LongAdder rejectedForNoCircuit = new LongAdder();
     private final String contact;
 
     /** {@code widths} gives the circuits of a Resource-Priority value; others take one. */
-    public Mirror(InetSocketAddress at, Trunks trunks, Map<String, Integer> widths) throws IOException {
+    public LightweightSwitch(InetSocketAddress at, TrunkGroups trunks, Map<String, Integer> widths) throws IOException {
         this.trunks = trunks;
         this.widths = widths;
         socket = new DatagramSocket(at);
         socket.setReceiveBufferSize(4 << 20);
-        contact = "Contact: <sip:" + at().getAddress().getHostAddress() + ":" + at().getPort() + ">\r\n";
-        Thread thread = new Thread(null, this::work, "mirror-" + at().getPort(), 256 * 1024);
+        contact = "Contact: <sip:" + address().getAddress().getHostAddress() + ":"
+                + address().getPort() + ">\r\n";
+        Thread thread = new Thread(null, this::work, "mirror-" + address().getPort(), 256 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
 
-    public InetSocketAddress at() {
+    public InetSocketAddress address() {
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 
@@ -43,8 +44,8 @@
     }
 
     /** INVITEs that came when their group had no circuit left: each was one too many. */
-    public long noCircuit() {
-        return noCircuit.sum();
+    public long rejectedForNoCircuit() {
+        return rejectedForNoCircuit.sum();
     }
 
     private void work() {
@@ -54,20 +55,20 @@
             try {
                 packet.setLength(room.length);
                 socket.receive(packet);
-                String answer = answer(new Raw(room, packet.getLength()));
+                String answer = answer(new RawMessage(room, packet.getLength()));
                 if (answer != null) {
                     byte[] bytes = answer.getBytes(StandardCharsets.ISO_8859_1);
                     socket.send(new DatagramPacket(bytes, bytes.length, packet.getSocketAddress()));
                 }
             } catch (IOException e) {
                 if (!socket.isClosed()) {
-                    noCircuit.increment();
+                    rejectedForNoCircuit.increment();
                 }
             }
         }
     }
 
-    private String answer(Raw request) {
+    private String answer(RawMessage request) {
         if (request.response()) {
             return null;
         }
@@ -75,9 +76,9 @@
         return switch (request.method()) {
             case "INVITE" -> invite(request, id);
             case "BYE" -> {
-                Trunks.Seizure one = seized.remove(id);
+                TrunkGroups.Seizure one = seized.remove(id);
                 if (one != null) {
-                    trunks.free(one);
+                    trunks.release(one);
                 }
                 yield request.answer("200 OK", "m", "");
             }
@@ -86,13 +87,13 @@
         };
     }
 
-    private String invite(Raw request, String id) {
+    private String invite(RawMessage request, String id) {
         if (!seized.containsKey(id)) {
-            String group = Raw.between(request.startLine(), "tgrp=", ";");
+            String group = RawMessage.between(request.startLine(), "tgrp=", ";");
             int width = widths.getOrDefault(request.value("Resource-Priority"), 1);
-            Trunks.Seizure one = trunks.seize(group, width, id);
+            TrunkGroups.Seizure one = trunks.seize(group, width, id);
             if (one == null) {
-                noCircuit.increment();
+                rejectedForNoCircuit.increment();
                 return request.answer("503 No circuit", "m", "Reason: Q.850;cause=34\r\n");
             }
             seized.put(id, one);
--- a/src/main/java/martenslip/standin/Processor.java
+++ b/src/main/java/martenslip/standin/ProcessorModel.java
@@ -9,9 +9,9 @@
  * A switch's processor as a model: one line, work in the order of its arrival, set-ups and looks turned away once
  * the wait is too long. Time is handed in, so sockets and simulated time can both drive it.
  */
-public final class Processor {
+public final class ProcessorModel {
     /** What a message costs, in parts of a set-up; the front end's own replies and ACKs are next to nothing. */
-    public enum Work {
+    public enum WorkType {
         LOOK(0.25),
         SET_UP(1),
         ANSWER(0.3),
@@ -21,7 +21,7 @@
 
         private final double part;
 
-        Work(double part) {
+        WorkType(double part) {
             this.part = part;
         }
 
@@ -32,28 +32,35 @@
     }
 
     /** {@code unit} is a warm set-up's work; a cold start at {@code coldFrom} is warm after {@code warm}. */
-    public record Make(Span unit, Span mostWait, double coldFrom, Span warm, double fallMultiple, Span fall) {}
+    public record Settings(
+            Span setUpTime,
+            Span maxWait,
+            double coldStartCapacity,
+            Span warmUpTime,
+            double fallMultiple,
+            Span fallWindow) {}
 
     /** Set-ups a second of a warm processor that does nothing else, with their releases. */
-    static double capacity(Make make) {
-        return 1e9 / make.unit().ns() / ENDS_HERE;
+    static double capacity(Settings make) {
+        return 1e9 / make.setUpTime().ns() / TERMINATING_COST_SETUPS;
     }
 
     /** Work of a contact that ends here, and of one that is handed on to the controller, in set-ups. */
-    public static final double ENDS_HERE = Work.SET_UP.part + Work.RELEASE.part;
+    public static final double TERMINATING_COST_SETUPS = WorkType.SET_UP.part + WorkType.RELEASE.part;
 
-    public static final double HANDED_ON = Work.LOOK.part + Work.ANSWER.part + Work.RELEASE.part;
+    public static final double FORWARDING_COST_SETUPS =
+            WorkType.LOOK.part + WorkType.ANSWER.part + WorkType.RELEASE.part;
 
-    private final Make make;
+    private final Settings make;
     private final Moment started;
     private final boolean coldStart;
     private final Deque<Moment> recent = new ArrayDeque<>();
     private final Deque<Moment> pending = new ArrayDeque<>();
     private Moment busyUntil;
     private double slowness = 1;
-    private boolean fallen;
+    private boolean overloaded;
 
-    public Processor(Make make, Moment now, boolean coldStart) {
+    public ProcessorModel(Settings make, Moment now, boolean coldStart) {
         this.make = make;
         started = now;
         busyUntil = now;
@@ -62,12 +69,12 @@
 
     /** Its present capacity as a part of a warm one's. */
     public double part(Moment now) {
-        double warm = coldStart ? now.since(started).over(make.warm()) : 1;
-        return (make.coldFrom() + (1 - make.coldFrom()) * Math.min(1, warm)) / slowness;
+        double warm = coldStart ? now.since(started).ratioTo(make.warmUpTime()) : 1;
+        return (make.coldStartCapacity() + (1 - make.coldStartCapacity()) * Math.min(1, warm)) / slowness;
     }
 
     public boolean cold(Moment now) {
-        return coldStart && make.warm().longerThan(now.since(started));
+        return coldStart && make.warmUpTime().longerThan(now.since(started));
     }
 
     /** From now on work takes this many times as long. */
@@ -76,12 +83,12 @@
     }
 
     /** True once it was pushed over while cold; nothing is done any more. */
-    public boolean fallen() {
-        return fallen;
+    public boolean overloaded() {
+        return overloaded;
     }
 
     public Span wait(Moment now) {
-        return busyUntil.since(now).least(Span.ZERO);
+        return busyUntil.since(now).atLeast(Span.ZERO);
     }
 
     public int depth(Moment now) {
@@ -94,29 +101,32 @@
     /** A set-up was sent here by a controller; too many while it is cold push it over. */
     public void sent(Moment now) {
         recent.add(now);
-        while (now.since(recent.peek()).longerThan(make.fall())) {
+        while (now.since(recent.peek()).longerThan(make.fallWindow())) {
             recent.poll();
         }
-        double most =
-                make.fallMultiple() * capacity(make) * part(now) * make.fall().ns() / 1e9;
+        double most = make.fallMultiple()
+                * capacity(make)
+                * part(now)
+                * make.fallWindow().ns()
+                / 1e9;
         // A few more than the budget are chance, not a push.
-        fallen |= cold(now) && recent.size() > most + 3;
+        overloaded |= cold(now) && recent.size() > most + 3;
     }
 
     /** When the work will be done; null where it is turned away, which costs work too. */
-    public Moment take(Moment now, Work work) {
+    public Moment take(Moment now, WorkType work) {
         if (work.fresh()) {
-            if (wait(now).longerThan(make.mostWait())) {
-                add(now, Work.REJECT);
+            if (wait(now).longerThan(make.maxWait())) {
+                add(now, WorkType.REJECT);
                 return null;
             }
         }
-        return fallen ? now.plus(Span.ofMillis(3.6e6)) : add(now, work);
+        return overloaded ? now.plus(Span.ofMillis(3.6e6)) : add(now, work);
     }
 
-    private Moment add(Moment now, Work work) {
+    private Moment add(Moment now, WorkType work) {
         Moment begins = busyUntil.before(now) ? now : busyUntil;
-        busyUntil = begins.plus(make.unit().times(work.part / part(now)));
+        busyUntil = begins.plus(make.setUpTime().times(work.part / part(now)));
         pending.add(busyUntil);
         return busyUntil;
     }
--- a/src/main/java/martenslip/standin/Raw.java
+++ b/src/main/java/martenslip/standin/RawMessage.java
@@ -3,10 +3,10 @@
 import java.nio.charset.StandardCharsets;
 
 /** Header lines of a message as they stand, for stand-ins that must cost little: they read only what they answer. */
-final class Raw {
+final class RawMessage {
     private final String text;
 
-    Raw(byte[] bytes, int length) {
+    RawMessage(byte[] bytes, int length) {
         text = new String(bytes, 0, length, StandardCharsets.ISO_8859_1);
     }
 
--- a/src/main/java/martenslip/standin/Callers.java
+++ b/src/main/java/martenslip/standin/SimulatedCallers.java
@@ -11,42 +11,42 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
+import martenslip.configuration.Skill;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.provision.Skill;
-import martenslip.signal.Fields;
-import martenslip.signal.Release;
+import martenslip.signaling.ExtensionHeaders;
+import martenslip.signaling.ReleaseCause;
 import martenslip.sip.Endpoint;
-import martenslip.sip.dialog.CallIn;
-import martenslip.sip.dialog.CallOut;
-import martenslip.sip.dialog.CallUser;
-import martenslip.sip.dialog.Ending;
+import martenslip.sip.dialog.CallEndReason;
+import martenslip.sip.dialog.UacCall;
+import martenslip.sip.dialog.UasCall;
+import martenslip.sip.dialog.UserAgentCore;
 import martenslip.sip.message.Headers;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.message.SipUri;
-import martenslip.sip.transaction.Failure;
+import martenslip.sip.transaction.RequestFailure;
 import martenslip.sip.transaction.ServerTransaction;
-import martenslip.sip.transaction.Timers;
-import martenslip.sip.transport.Bounds;
-import martenslip.sip.transport.Gate;
+import martenslip.sip.transaction.TransactionTimers;
 import martenslip.sip.transport.Hop;
-import martenslip.standin.Tally.End;
+import martenslip.sip.transport.MessageInterceptor;
+import martenslip.sip.transport.TransportLimits;
+import martenslip.standin.CallerStatistics.CallOutcome;
 
 /**
  * Callers of all exchanges: they dial at random, have patience, redial, hold, hang up, and dial again where they
  * were cut. Which numbers they dial is drawn from weights that move. Owned by its endpoint's thread.
  */
-public final class Callers implements AutoCloseable {
+public final class SimulatedCallers implements AutoCloseable {
     /** How callers behave. {@code shares} are chances of the skills, {@code rate} first tries a second in all. */
-    public record Ways(
+    public record CallerBehavior(
             double rate,
             List<Skill> skills,
             List<Double> shares,
             int redials,
             Span redialAfter,
-            double tryPart,
-            double comeAgain,
+            double retryProbability,
+            double cutRedialProbability,
             Span driftEvery,
             double drift,
             String prefix) {}
@@ -59,7 +59,7 @@
     private static final String NOBODY_YET = ";remote=" + "0".repeat(32);
 
     /** One wish to be connected, over all its tries. */
-    private final class Want {
+    private final class CallIntent {
         final int from;
         final int to;
         final int skill;
@@ -68,7 +68,7 @@
         final boolean again;
         int tries;
 
-        Want(int from, int to, int skill, String number, boolean again) {
+        CallIntent(int from, int to, int skill, String number, boolean again) {
             this.from = from;
             this.to = to;
             this.skill = skill;
@@ -82,23 +82,24 @@
         }
     }
 
-    private final Ways ways;
+    private final CallerBehavior ways;
     private final double[][] planned;
     private final double[][] weights;
     private final double[] parts;
     private final IntFunction<Hop> machines;
     private final Endpoint endpoint;
     private final SplittableRandom chance;
-    private final Tally tally = new Tally();
-    private final Map<String, Try> standing = new LinkedHashMap<>();
-    private double times = 1;
+    private final CallerStatistics tally = new CallerStatistics();
+    private final Map<String, CallAttempt> establishedCount = new LinkedHashMap<>();
+    private double setRateFactor = 1;
     private boolean dialling;
     private Moment nextAt;
     private Moment beganAt;
     private int open;
 
     /** {@code planned} weighs the destinations of each exchange; {@code machines} gives an exchange's switch. */
-    public Callers(Ways ways, double[][] planned, IntFunction<Hop> machines, Gate gate, long seed) {
+    public SimulatedCallers(
+            CallerBehavior ways, double[][] planned, IntFunction<Hop> machines, MessageInterceptor gate, long seed) {
         this.ways = ways;
         this.planned = planned;
         this.machines = machines;
@@ -109,47 +110,49 @@
             weights[i] = planned[i].clone();
             parts[i] = 1.0 / planned.length;
         }
-        endpoint = new Endpoint("callers", Bounds.USUAL, gate, fault -> fault.printStackTrace());
+        endpoint = new Endpoint("callers", TransportLimits.DEFAULTS, gate, fault -> fault.printStackTrace());
     }
 
     public void open(InetAddress host) throws IOException {
         endpoint.open(new InetSocketAddress(host, 0), new InetSocketAddress(host, 0));
-        endpoint.start(user(), (message, from) -> false, () -> {}, Timers.RFC, chance.nextLong(), 1 << 19);
+        endpoint.start(
+                user(), (message, from) -> false, () -> {}, TransactionTimers.RFC_3261, chance.nextLong(), 1 << 19);
     }
 
     private Moment now() {
-        return endpoint.wheel().now();
+        return endpoint.timerWheel().now();
     }
 
-    private CallUser user() {
-        return new CallUser() {
+    private UserAgentCore user() {
+        return new UserAgentCore() {
             @Override
-            public void incoming(CallIn call) {
+            public void inviteReceived(UasCall call) {
                 call.refuse(call.response(480, "Callers only"));
             }
 
             @Override
-            public void requested(ServerTransaction transaction) {
+            public void requestReceived(ServerTransaction transaction) {
                 transaction.respond(transaction
                         .request()
-                        .answer(200, "OK", endpoint.calls().branches().tag()));
+                        .createResponse(
+                                200, "OK", endpoint.dialogLayer().idGenerator().nextTag()));
             }
 
             @Override
-            public void broken(Hop hop, boolean everUp) {
+            public void connectionLost(Hop hop, boolean everUp) {
                 // The next message opens another connection.
             }
 
             @Override
-            public Set<String> methods() {
+            public Set<String> additionalMethods() {
                 return Set.of("OPTIONS");
             }
         };
     }
 
     /** Begins to dial. */
-    public void begin() {
-        endpoint.run(() -> {
+    public void startDialing() {
+        endpoint.execute(() -> {
             dialling = true;
             nextAt = now();
             beganAt = nextAt;
@@ -159,18 +162,18 @@
     }
 
     /** Dials no more; who holds goes on holding until its time. */
-    public void end() {
-        endpoint.run(() -> dialling = false);
+    public void stopDialing() {
+        endpoint.execute(() -> dialling = false);
     }
 
     /** This many times the usual number of contacts. */
-    public void times(double factor) {
-        endpoint.run(() -> times = factor);
+    public void setRateFactor(double factor) {
+        endpoint.execute(() -> setRateFactor = factor);
     }
 
     /** The exchange gets this part of all contacts; the others share the rest. A negative part makes all alike. */
-    public void hot(int exchange, double part) {
-        endpoint.run(() -> {
+    public void setHotCaller(int exchange, double part) {
+        endpoint.execute(() -> {
             int n = parts.length;
             for (int i = 0; i < n; i++) {
                 parts[i] = part < 0 ? 1.0 / n : i == exchange ? part : (1 - part) / (n - 1);
@@ -185,9 +188,9 @@
         // From the due time and not from now: turns and pauses must not thin the traffic.
         // It rises over the first seconds, as no network is switched on at its full load.
         double risen = Math.min(1, (0.5 + nextAt.since(beganAt).ns() / 1e9) / RISE_SECONDS);
-        double gap = -Math.log(1 - chance.nextDouble()) / (ways.rate() * times * risen);
+        double gap = -Math.log(1 - chance.nextDouble()) / (ways.rate() * setRateFactor * risen);
         nextAt = nextAt.plus(Span.ofMillis(gap * 1000));
-        endpoint.wheel().at(nextAt, () -> {
+        endpoint.timerWheel().scheduleAt(nextAt, () -> {
             dial();
             next();
         });
@@ -204,7 +207,7 @@
                 weights[i][j] = planned[i][j] * Math.exp(ways.drift() * gauss());
             }
         }
-        endpoint.wheel().after(ways.driftEvery(), this::drift);
+        endpoint.timerWheel().scheduleAfter(ways.driftEvery(), this::drift);
     }
 
     private double gauss() {
@@ -239,23 +242,23 @@
 
     private void want(int from, int to, int skill) {
         String number = ways.prefix() + String.format("%02d%05d", to, chance.nextInt(100_000));
-        Want want = new Want(from, to, skill, number, false);
+        CallIntent want = new CallIntent(from, to, skill, number, false);
         tally.wanted(want.name());
-        new Try(want).start();
+        new CallAttempt(want).start();
     }
 
     /** One caller of an exchange dials a number of another. */
     public void dial(int from, int to, int skill) {
-        endpoint.run(() -> want(from, to, skill));
+        endpoint.execute(() -> want(from, to, skill));
     }
 
     /** These sessions lost what carried them: their callers hang up and some dial again. */
-    public void cut(List<String> sessions) {
-        endpoint.run(() -> {
+    public void sessionsLost(List<String> sessions) {
+        endpoint.execute(() -> {
             for (String session : sessions) {
-                Try one = standing.get(session);
+                CallAttempt one = establishedCount.get(session);
                 if (one != null) {
-                    one.call.bye(new Release(Release.TEMPORARY, "").toString());
+                    one.call.bye(new ReleaseCause(ReleaseCause.TEMPORARY_FAILURE, "").toString());
                     one.wasCut();
                 }
             }
@@ -263,36 +266,36 @@
     }
 
     /** Hands out the table on the owning thread. */
-    public void look(Consumer<Tally> at) {
-        endpoint.run(() -> at.accept(tally));
+    public void readStatistics(Consumer<CallerStatistics> at) {
+        endpoint.execute(() -> at.accept(tally));
     }
 
-    public int standing() {
-        return standing.size();
+    public int establishedCount() {
+        return establishedCount.size();
     }
 
     /** A part of the contacts that stand, drawn at random. */
-    public void cutSome(double part) {
-        endpoint.run(() -> {
+    public void cutRandomly(double part) {
+        endpoint.execute(() -> {
             List<String> drawn = new ArrayList<>();
-            standing.keySet().forEach(session -> {
+            establishedCount.keySet().forEach(session -> {
                 if (chance.nextDouble() < part) {
                     drawn.add(session);
                 }
             });
-            cut(drawn);
+            sessionsLost(drawn);
         });
     }
 
     /** One try: an INVITE and what comes of it. */
-    private final class Try implements CallOut.Listener {
-        private final Want want;
+    private final class CallAttempt implements UacCall.Listener {
+        private final CallIntent want;
         private final String session;
-        private CallOut call;
-        private End ended;
+        private UacCall call;
+        private CallOutcome ended;
         private boolean over;
 
-        Try(Want want) {
+        CallAttempt(CallIntent want) {
             this.want = want;
             session = String.format("%016x%016x", chance.nextLong(), chance.nextLong()) + NOBODY_YET;
         }
@@ -303,7 +306,7 @@
             tally.tried(want.name());
             Skill skill = ways.skills().get(want.skill);
             Span left = want.first.plus(skill.patience()).since(now());
-            Span patience = left.most(skill.patience().times(ways.tryPart()));
+            Span patience = left.atMost(skill.patience().times(ways.retryProbability()));
             Hop to = machines.apply(want.from);
             InetSocketAddress at = to.address();
             Headers headers = new Headers();
@@ -311,27 +314,27 @@
             headers.add(
                     "From",
                     "<sip:caller@" + endpoint.transport().host() + ">;tag="
-                            + endpoint.calls().branches().tag());
+                            + endpoint.dialogLayer().idGenerator().nextTag());
             SipUri uri = SipUri.of(want.number, at.getAddress().getHostAddress(), at.getPort());
             headers.add("To", "<" + uri + ">")
-                    .add("Call-ID", endpoint.calls().branches().callId("c"));
+                    .add("Call-ID", endpoint.dialogLayer().idGenerator().nextCallId("c"));
             headers.add("CSeq", "1 INVITE").add("Session-ID", session);
             headers.add("Expires", Math.max(1, patience.ns() / 1_000_000_000));
-            headers.add(Fields.PATIENCE, patience.ns() / 1_000_000);
+            headers.add(ExtensionHeaders.PATIENCE, patience.ns() / 1_000_000);
             if (!skill.priority().isEmpty()) {
                 headers.add("Resource-Priority", skill.priority());
             }
             if (want.again || want.tries > 1) {
-                headers.add(Fields.AGAIN, want.again ? "cut" : "redial");
+                headers.add(ExtensionHeaders.RETRY_KIND, want.again ? "cut" : "redial");
             }
-            call = endpoint.calls().call(new Request("INVITE", uri.toString(), headers), to, this);
-            endpoint.wheel().after(patience, this::impatient);
+            call = endpoint.dialogLayer().startCall(new Request("INVITE", uri.toString(), headers), to, this);
+            endpoint.timerWheel().scheduleAfter(patience, this::impatient);
         }
 
         private void impatient() {
-            if (!over && !call.stands()) {
+            if (!over && !call.isEstablished()) {
                 call.cancel(null);
-                finish(call.heard() ? End.GAVE_UP : End.NO_ANSWER, Span.ZERO);
+                finish(call.hasResponse() ? CallOutcome.GAVE_UP : CallOutcome.NO_ANSWER, Span.ZERO);
             }
         }
 
@@ -341,18 +344,18 @@
         }
 
         @Override
-        public void stood(Response response) {
+        public void established(Response response) {
             over = true;
             open--;
             Skill skill = ways.skills().get(want.skill);
             Span took = now().since(want.first);
-            ended = took.longerThan(skill.answerTarget()) ? End.LATE : End.IN_TARGET;
+            ended = took.longerThan(skill.answerTarget()) ? CallOutcome.LATE : CallOutcome.IN_TARGET;
             tally.ended(want.name(), ended);
             tally.stood(want.name(), took.ns() / 1000);
-            standing.put(session, this);
+            establishedCount.put(session, this);
             double hold = -Math.log(1 - chance.nextDouble()) * skill.meanHold().ns();
-            endpoint.wheel().after(new Span((long) hold), () -> {
-                if (standing.remove(session, this)) {
+            endpoint.timerWheel().scheduleAfter(new Span((long) hold), () -> {
+                if (establishedCount.remove(session, this)) {
                     call.bye(null);
                 }
             });
@@ -362,48 +365,50 @@
         public void refused(Response response) {
             String after = response.headers().first("Retry-After");
             double seconds = after != null && after.matches("[0-9]{1,4}") ? Integer.parseInt(after) : 0;
-            finish(response.status() == 503 ? End.DEFERRED : End.ABANDONED, Span.ofMillis(seconds * 1000));
+            finish(
+                    response.status() == 503 ? CallOutcome.DEFERRED : CallOutcome.ABANDONED,
+                    Span.ofMillis(seconds * 1000));
         }
 
         @Override
-        public void failed(Failure why) {
-            finish(End.NO_ANSWER, Span.ZERO);
+        public void failed(RequestFailure why) {
+            finish(CallOutcome.NO_ANSWER, Span.ZERO);
         }
 
-        private void finish(End end, Span stated) {
+        private void finish(CallOutcome end, Span stated) {
             if (over) {
                 return;
             }
             over = true;
             open--;
             Skill skill = ways.skills().get(want.skill);
-            Span wait = ways.redialAfter().times(0.5 + chance.nextDouble()).least(stated);
+            Span wait = ways.redialAfter().times(0.5 + chance.nextDouble()).atLeast(stated);
             Moment next = now().plus(wait);
             boolean may = want.tries <= ways.redials() && next.plus(LEAST).before(want.first.plus(skill.patience()));
             if (may) {
-                endpoint.wheel().at(next, () -> new Try(want).start());
+                endpoint.timerWheel().scheduleAt(next, () -> new CallAttempt(want).start());
             } else {
                 tally.ended(want.name(), end);
             }
         }
 
         @Override
-        public void ended(Ending why, Request bye) {
-            Release release = bye == null ? null : Release.of(bye);
-            if (bye == null || release != null && release.cause() != Release.NORMAL) {
+        public void ended(CallEndReason why, Request bye) {
+            ReleaseCause release = bye == null ? null : ReleaseCause.of(bye);
+            if (bye == null || release != null && release.cause() != ReleaseCause.NORMAL_CLEARING) {
                 wasCut();
             } else {
-                standing.remove(session, this);
+                establishedCount.remove(session, this);
             }
         }
 
         private void wasCut() {
-            if (standing.remove(session, this)) {
+            if (establishedCount.remove(session, this)) {
                 tally.cut(want.name(), ended);
-                if (dialling && chance.nextDouble() < ways.comeAgain()) {
-                    Want next = new Want(want.from, want.to, want.skill, want.number, true);
+                if (dialling && chance.nextDouble() < ways.cutRedialProbability()) {
+                    CallIntent next = new CallIntent(want.from, want.to, want.skill, want.number, true);
                     tally.wanted(next.name());
-                    new Try(next).start();
+                    new CallAttempt(next).start();
                 }
             }
         }
--- a/src/main/java/martenslip/standin/Network.java
+++ b/src/main/java/martenslip/standin/SimulatedNetwork.java
@@ -10,26 +10,26 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import martenslip.control.Span;
-import martenslip.sip.transport.Gate;
 import martenslip.sip.transport.Hop;
+import martenslip.sip.transport.MessageInterceptor;
 
 /**
  * The wires between the stand-ins and the controllers: delay by region, loss, copies, reordering, silence of one
  * place and a region cut off, drawn from a seed. What passes is captured here. Datagrams suffer all of it; a TCP
  * message is delayed in order, or lost where a place is silent or cut off, as one that is never read.
  */
-public final class Network implements AutoCloseable {
+public final class SimulatedNetwork implements AutoCloseable {
     /** Chances for each datagram, and a further delay that lets one overtake another. */
-    public record Wear(double loss, double copies, Span reorder) {
-        public static final Wear NONE = new Wear(0, 0, Span.ZERO);
+    public record Impairments(double loss, double copies, Span reorder) {
+        public static final Impairments NONE = new Impairments(0, 0, Span.ZERO);
     }
 
-    private static final class Late implements Delayed {
+    private static final class DelayedMessage implements Delayed {
         private final long due;
         private final long order;
         private final Runnable what;
 
-        Late(long due, long order, Runnable what) {
+        DelayedMessage(long due, long order, Runnable what) {
             this.due = due;
             this.order = order;
             this.what = what;
@@ -42,23 +42,23 @@
 
         @Override
         public int compareTo(Delayed other) {
-            Late one = (Late) other;
+            DelayedMessage one = (DelayedMessage) other;
             return due == one.due ? Long.compare(order, one.order) : Long.compare(due, one.due);
         }
     }
 
-    private final Capture capture;
+    private final CaptureWriter capture;
     private final SplittableRandom chance;
     private final Span same;
     private final Span cross;
     private final Map<InetAddress, Integer> regions = new ConcurrentHashMap<>();
-    private final DelayQueue<Late> late = new DelayQueue<>();
+    private final DelayQueue<DelayedMessage> late = new DelayQueue<>();
     private final AtomicLong order = new AtomicLong();
     private final Thread thread;
-    private volatile Wear wear = Wear.NONE;
+    private volatile Impairments setImpairments = Impairments.NONE;
     private volatile int cutRegion = -1;
 
-    public Network(Capture capture, long seed, Span same, Span cross) {
+    public SimulatedNetwork(CaptureWriter capture, long seed, Span same, Span cross) {
         this.capture = capture;
         chance = new SplittableRandom(seed);
         this.same = same;
@@ -68,16 +68,16 @@
     }
 
     /** Says in which region a controller stands; each has a loopback address of its own, whatever port it sends from. */
-    public void place(InetAddress address, int region) {
+    public void assignRegion(InetAddress address, int region) {
         regions.put(address, region);
     }
 
-    public void wear(Wear next) {
-        wear = next;
+    public void setImpairments(Impairments next) {
+        setImpairments = next;
     }
 
     /** Cuts the region off from all others; -1 joins all again. */
-    public void cut(int region) {
+    public void isolateRegion(int region) {
         cutRegion = region;
     }
 
@@ -96,32 +96,32 @@
     }
 
     /** The wire of one stand-in. */
-    public Wire wire(String local, int region) {
-        return new Wire(local, region);
+    public NetworkLink createLink(String local, int region) {
+        return new NetworkLink(local, region);
     }
 
-    public final class Wire implements Gate {
+    public final class NetworkLink implements MessageInterceptor {
         private final String local;
         private final int region;
-        private volatile boolean silent;
+        private volatile boolean setSilent;
 
-        private Wire(String local, int region) {
+        private NetworkLink(String local, int region) {
             this.local = local;
             this.region = region;
         }
 
         /** Neither hears nor says anything while silent. */
-        public void silent(boolean on) {
-            silent = on;
+        public void setSilent(boolean on) {
+            setSilent = on;
         }
 
         @Override
-        public void out(int localPort, Hop to, byte[] bytes, Consumer<byte[]> send) {
+        public void outbound(int localPort, Hop to, byte[] bytes, Consumer<byte[]> send) {
             pass(false, to, bytes, send);
         }
 
         @Override
-        public void in(int localPort, Hop from, byte[] bytes, Consumer<byte[]> deliver) {
+        public void inbound(int localPort, Hop from, byte[] bytes, Consumer<byte[]> deliver) {
             pass(true, from, bytes, deliver);
         }
 
@@ -130,9 +130,9 @@
             boolean apart = region >= 0 && farRegion != null && farRegion != region;
             int cut = cutRegion;
             boolean severed = apart && cut >= 0 && (cut == region || cut == farRegion);
-            Wear now = wear;
-            boolean datagram = !far.reliable();
-            boolean lost = silent || severed || datagram && now.loss() > 0 && draw() < now.loss();
+            Impairments now = setImpairments;
+            boolean datagram = !far.isReliable();
+            boolean lost = setSilent || severed || datagram && now.loss() > 0 && draw() < now.loss();
             if (in || lost) {
                 capture.message(in, local, far, lost, bytes);
             }
@@ -159,7 +159,7 @@
             if (delay.ns() == 0) {
                 go.run();
             } else {
-                late.add(new Late(System.nanoTime() + delay.ns(), order.incrementAndGet(), go));
+                late.add(new DelayedMessage(System.nanoTime() + delay.ns(), order.incrementAndGet(), go));
             }
         }
     }
--- a/src/main/java/martenslip/standin/Machine.java
+++ b/src/main/java/martenslip/standin/SimulatedSwitch.java
@@ -9,25 +9,25 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import martenslip.configuration.PrefixTable;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.provision.Prefixes;
-import martenslip.signal.Load;
-import martenslip.signal.Release;
+import martenslip.signaling.ReleaseCause;
+import martenslip.signaling.SipLoadReport;
 import martenslip.sip.Endpoint;
-import martenslip.sip.dialog.CallIn;
-import martenslip.sip.dialog.CallUser;
-import martenslip.sip.dialog.Ending;
-import martenslip.sip.message.BadValue;
+import martenslip.sip.dialog.CallEndReason;
+import martenslip.sip.dialog.UasCall;
+import martenslip.sip.dialog.UserAgentCore;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Message;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.message.SipUri;
 import martenslip.sip.transaction.ServerTransaction;
-import martenslip.sip.transaction.Timers;
-import martenslip.sip.transport.Bounds;
+import martenslip.sip.transaction.TransactionTimers;
 import martenslip.sip.transport.Hop;
-import martenslip.standin.Processor.Work;
+import martenslip.sip.transport.TransportLimits;
+import martenslip.standin.ProcessorModel.WorkType;
 
 /**
  * A switch as the project plays it: a processor with one line, circuits of its groups, contacts that end at it, and
@@ -35,54 +35,56 @@
  * 100 at once and counts circuits; all else waits for the processor. Owned by its endpoint's thread but for the
  * verbs of the day, which run there too.
  */
-public final class Machine implements AutoCloseable {
+public final class SimulatedSwitch implements AutoCloseable {
     /** What a machine is made with. {@code skillOf} gives the width of a Resource-Priority value. */
-    public record Make(
+    public record Settings(
             int number,
             int region,
-            Processor.Make processor,
+            ProcessorModel.Settings processor,
             Span reportEvery,
-            double noise,
-            Prefixes numbering,
+            double reportNoise,
+            PrefixTable numbering,
             Map<String, Integer> widths,
             long seed,
-            boolean rate) {}
+            boolean rateControl) {}
 
-    private final Make make;
-    private final Trunks trunks;
-    private final Network.Wire wire;
+    private final Settings make;
+    private final TrunkGroups trunks;
+    private final SimulatedNetwork.NetworkLink wire;
     private final Endpoint endpoint;
     private final Hop controller;
     private final SplittableRandom chance;
-    private final Map<CallIn, Trunks.Seizure> ending = new LinkedHashMap<>();
-    private final Passing passing;
-    private Processor processor;
-    private Load said = Load.NONE;
+    private final Map<UasCall, TrunkGroups.Seizure> ending = new LinkedHashMap<>();
+    private final TransitProxy passing;
+    private ProcessorModel processor;
+    private SipLoadReport said = SipLoadReport.NONE;
     private Moment saidAt;
     private long reports;
     private volatile InetSocketAddress udpAt;
     private volatile InetSocketAddress tcpAt;
 
-    public Machine(Make make, Trunks trunks, Network.Wire wire, Hop controller, boolean cold) {
+    public SimulatedSwitch(
+            Settings make, TrunkGroups trunks, SimulatedNetwork.NetworkLink wire, Hop controller, boolean cold) {
         this.make = make;
         this.trunks = trunks;
         this.wire = wire;
         this.controller = controller;
         chance = new SplittableRandom(make.seed());
-        endpoint = new Endpoint("switch-" + make.number(), Bounds.USUAL, wire, fault -> fault.printStackTrace());
-        processor = new Processor(make.processor(), endpoint.wheel().now(), cold);
-        passing = new Passing(this, trunks, controller);
+        endpoint = new Endpoint(
+                "switch-" + make.number(), TransportLimits.DEFAULTS, wire, fault -> fault.printStackTrace());
+        processor = new ProcessorModel(make.processor(), endpoint.timerWheel().now(), cold);
+        passing = new TransitProxy(this, trunks, controller);
     }
 
     public void open(InetAddress host) throws IOException {
         endpoint.open(new InetSocketAddress(host, 0), new InetSocketAddress(host, 0));
-        udpAt = new InetSocketAddress(host, endpoint.transport().port(Hop.Kind.UDP));
-        tcpAt = new InetSocketAddress(host, endpoint.transport().port(Hop.Kind.TCP));
-        endpoint.start(user(), this::takes, () -> {}, Timers.RFC, make.seed() ^ 0x5bd1e995L, 1 << 18);
+        udpAt = new InetSocketAddress(host, endpoint.transport().port(Hop.Protocol.UDP));
+        tcpAt = new InetSocketAddress(host, endpoint.transport().port(Hop.Protocol.TCP));
+        endpoint.start(user(), this::takes, () -> {}, TransactionTimers.RFC_3261, make.seed() ^ 0x5bd1e995L, 1 << 18);
     }
 
-    public InetSocketAddress at(Hop.Kind kind) {
-        return kind == Hop.Kind.UDP ? udpAt : tcpAt;
+    public InetSocketAddress address(Hop.Protocol kind) {
+        return kind == Hop.Protocol.UDP ? udpAt : tcpAt;
     }
 
     public int number() {
@@ -94,7 +96,7 @@
     }
 
     Moment now() {
-        return endpoint.wheel().now();
+        return endpoint.timerWheel().now();
     }
 
     /** A controller sent a set-up here. */
@@ -103,28 +105,28 @@
     }
 
     /** Runs when the processor has done the work; false where it turned it away. */
-    boolean work(Work work, Runnable done) {
+    boolean work(WorkType work, Runnable done) {
         Moment when = processor.take(now(), work);
         if (when == null) {
             return false;
         }
-        endpoint.wheel().at(when, done);
+        endpoint.timerWheel().scheduleAt(when, done);
         return true;
     }
 
     private boolean takes(Message message, Hop from) {
         try {
             return passing.takes(message, from);
-        } catch (BadValue e) {
-            endpoint.drops().count("unreadable in passing");
+        } catch (InvalidValueException e) {
+            endpoint.dropCounter().increment("unreadable in passing");
             return true;
         }
     }
 
     /** True where the number ends at this machine's exchange. */
     boolean endsHere(SipUri uri) {
-        String number = uri.plainUser();
-        return number != null && make.numbering().exchange(number) == make.number();
+        String number = uri.unescapedUser();
+        return number != null && make.numbering().exchangeForNumber(number) == make.number();
     }
 
     int width(Request invite) {
@@ -132,88 +134,89 @@
         return make.widths().getOrDefault(priority == null ? "" : priority, 1);
     }
 
-    private CallUser user() {
-        return new CallUser() {
+    private UserAgentCore user() {
+        return new UserAgentCore() {
             @Override
-            public void incoming(CallIn call) {
+            public void inviteReceived(UasCall call) {
                 arrived(call);
             }
 
             @Override
-            public void requested(ServerTransaction transaction) {
+            public void requestReceived(ServerTransaction transaction) {
                 Response ok = transaction
                         .request()
-                        .answer(200, "OK", endpoint.calls().branches().tag());
-                if (!work(Work.NOTE, () -> transaction.respond(loaded(ok, null)))) {
-                    transaction.respond(transaction.request().answer(503, "Busy", null));
+                        .createResponse(
+                                200, "OK", endpoint.dialogLayer().idGenerator().nextTag());
+                if (!work(WorkType.NOTE, () -> transaction.respond(loaded(ok, null)))) {
+                    transaction.respond(transaction.request().createResponse(503, "Busy", null));
                 }
             }
 
             @Override
-            public void broken(Hop hop, boolean everUp) {
+            public void connectionLost(Hop hop, boolean everUp) {
                 // Calls outlive connections (RFC 3261 18.4); the next message opens another.
             }
 
             @Override
-            public Set<String> methods() {
+            public Set<String> additionalMethods() {
                 return Set.of("OPTIONS");
             }
         };
     }
 
     /** A contact that ends here. */
-    private void arrived(CallIn call) {
+    private void arrived(UasCall call) {
         Request invite = call.invite();
         String session = String.valueOf(invite.headers().first("Session-ID"));
         String group = group(invite);
-        Trunks.Seizure seizure = group == null ? null : trunks.seize(group, width(invite), session);
-        call.listen(new CallIn.Listener() {
+        TrunkGroups.Seizure seizure = group == null ? null : trunks.seize(group, width(invite), session);
+        call.setListener(new UasCall.Listener() {
             @Override
             public void cancelled() {
-                release(call, Work.REJECT);
+                release(call, WorkType.REJECT);
             }
 
             @Override
-            public void ended(Ending why, Request bye) {
-                release(call, Work.RELEASE);
+            public void ended(CallEndReason why, Request bye) {
+                release(call, WorkType.RELEASE);
             }
         });
         if (seizure == null) {
-            call.refuse(refusal(call, 503, "No circuit", Release.NO_CIRCUIT, group));
+            call.refuse(refusal(call, 503, "No circuit", ReleaseCause.NO_CIRCUIT, group));
             return;
         }
         ending.put(call, seizure);
         processor.sent(now());
-        boolean taken = work(Work.SET_UP, () -> {
-            if (call.open()) {
+        boolean taken = work(WorkType.SET_UP, () -> {
+            if (call.isPending()) {
                 call.accept(loaded(call.response(200, "OK"), group));
             }
         });
         if (!taken) {
             ending.remove(call);
-            trunks.free(seizure);
-            call.refuse(refusal(call, 503, "Processor full", Release.CONGESTION, group));
+            trunks.release(seizure);
+            call.refuse(refusal(call, 503, "Processor full", ReleaseCause.CONGESTION, group));
         }
     }
 
-    private Response refusal(CallIn call, int status, String reason, int cause, String group) {
+    private Response refusal(UasCall call, int status, String reason, int cause, String group) {
         Response response = call.response(status, reason);
-        response.headers().add("Reason", new Release(cause, Release.HERE));
+        response.headers().add("Reason", new ReleaseCause(cause, ReleaseCause.LOCAL_NETWORK));
         return loaded(response, group);
     }
 
-    private void release(CallIn call, Work work) {
-        Trunks.Seizure seizure = ending.remove(call);
+    private void release(UasCall call, WorkType work) {
+        TrunkGroups.Seizure seizure = ending.remove(call);
         if (seizure != null) {
-            work(work, () -> trunks.free(seizure));
+            work(work, () -> trunks.release(seizure));
         }
     }
 
     /** The group that a request came over, or null. */
     static String group(Request invite) {
         try {
-            return invite.target().userParam("tgrp");
-        } catch (BadValue e) {
+            return invite.parsedUri().userParameter("tgrp");
+        } catch (InvalidValueException e) {
             return null;
         }
     }
@@ -225,27 +228,33 @@
             reports++;
             said = measured();
         }
-        Trunks.State state = group == null ? null : trunks.state(group);
-        Load load = state == null
+        TrunkGroups.CircuitState state = group == null ? null : trunks.circuitState(group);
+        SipLoadReport load = state == null
                 ? said
-                : new Load(said.allowed(), said.cutBy(), said.depth(), said.meanMs(), state.free(), state.total());
+                : new SipLoadReport(
+                        said.allowedRate(),
+                        said.lossFraction(),
+                        said.queueDepth(),
+                        said.meanWaitMs(),
+                        state.free(),
+                        state.total());
         try {
-            load.put(response, 4 * make.reportEvery().ns() / 1_000_000, reports + ".0");
-        } catch (BadValue e) {
-            endpoint.drops().count("no Via for a report");
+            load.writeTo(response, 4 * make.reportEvery().ns() / 1_000_000, reports + ".0");
+        } catch (InvalidValueException e) {
+            endpoint.dropCounter().increment("no Via for a report");
         }
         return response;
     }
 
-    private Load measured() {
-        double noise = 1 + make.noise() * (2 * chance.nextDouble() - 1);
+    private SipLoadReport measured() {
+        double noise = 1 + make.reportNoise() * (2 * chance.nextDouble() - 1);
         double wait = processor.wait(now()).ns() / 1e6;
-        double room = Math.max(0, 1 - wait / (make.processor().mostWait().ns() / 1e6));
-        double allowed = Processor.capacity(make.processor()) * processor.part(now()) * room * noise;
+        double room = Math.max(0, 1 - wait / (make.processor().maxWait().ns() / 1e6));
+        double allowed = ProcessorModel.capacity(make.processor()) * processor.part(now()) * room * noise;
         double cut = Math.max(0, Math.min(1, (wait / 1000 - 0.2) * noise));
-        return new Load(
-                make.rate() ? allowed : -1,
-                make.rate() ? -1 : cut,
+        return new SipLoadReport(
+                make.rateControl() ? allowed : -1,
+                make.rateControl() ? -1 : cut,
                 Math.rint(processor.depth(now()) * noise),
                 wait * noise,
                 -1,
@@ -253,39 +262,39 @@
     }
 
     /** The processor runs this many times slower. */
-    public void slow(double times) {
-        endpoint.run(() -> processor.slow(times));
+    public void setSlowdown(double times) {
+        endpoint.execute(() -> processor.slow(times));
     }
 
     /** Neither hears nor says anything. */
-    public void silent(boolean on) {
-        wire.silent(on);
+    public void setSilent(boolean on) {
+        wire.setSilent(on);
     }
 
     /** Milliseconds that work waits for the processor now. Read by any thread for a look only. */
-    public long waitMs() {
+    public long queueWaitMs() {
         return processor.wait(new Moment(System.nanoTime())).ns() / 1_000_000;
     }
 
     /** True once it was pushed over while cold. */
-    public boolean fallen() {
-        return processor.fallen();
+    public boolean overloaded() {
+        return processor.overloaded();
     }
 
     /** Loses all that it does, circuits and contacts with it, and starts cold; sessions that were lost are given. */
     public void restart(java.util.function.Consumer<List<String>> lost) {
-        endpoint.run(() -> {
+        endpoint.execute(() -> {
             List<String> sessions = new ArrayList<>(passing.dropAll(any -> true));
             sessions.addAll(dropEnding(any -> true));
-            processor = new Processor(make.processor(), now(), true);
+            processor = new ProcessorModel(make.processor(), now(), true);
             saidAt = null;
             lost.accept(sessions);
         });
     }
 
     /** Frees what went through a controller that has died. */
-    public void controllerDied(InetAddress which, java.util.function.Consumer<List<String>> lost) {
-        endpoint.run(() -> {
+    public void controllerFailed(InetAddress which, java.util.function.Consumer<List<String>> lost) {
+        endpoint.execute(() -> {
             List<String> sessions = new ArrayList<>(
                     passing.dropAll(hop -> hop.address().getAddress().equals(which)));
             sessions.addAll(dropEnding(hop -> hop.address().getAddress().equals(which)));
@@ -299,7 +308,7 @@
             boolean drop = which.test(one.getKey().transaction().from());
             if (drop) {
                 sessions.add(one.getValue().session());
-                trunks.free(one.getValue());
+                trunks.release(one.getValue());
             }
             return drop;
         });
@@ -308,7 +317,7 @@
 
     /** Breaks its TCP connections with a reset. */
     public int resetConnections() {
-        return endpoint.transport().resetAll();
+        return endpoint.transport().resetAllConnections();
     }
 
     public boolean cold() {
@@ -316,7 +325,7 @@
     }
 
     public double capacity() {
-        return Processor.capacity(make.processor());
+        return ProcessorModel.capacity(make.processor());
     }
 
     @Override
--- a/src/main/java/martenslip/standin/Passing.java
+++ b/src/main/java/martenslip/standin/TransitProxy.java
@@ -10,39 +10,39 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import martenslip.control.Span;
-import martenslip.signal.Release;
-import martenslip.sip.message.BadValue;
+import martenslip.signaling.ReleaseCause;
 import martenslip.sip.message.HostPort;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Message;
 import martenslip.sip.message.NameAddr;
-import martenslip.sip.message.Params;
+import martenslip.sip.message.Parameters;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.message.SipUri;
 import martenslip.sip.message.Via;
-import martenslip.sip.transaction.Timers;
+import martenslip.sip.transaction.TransactionTimers;
 import martenslip.sip.transport.Hop;
-import martenslip.sip.transport.Hops;
-import martenslip.standin.Processor.Work;
+import martenslip.sip.transport.HopResolver;
+import martenslip.standin.ProcessorModel.WorkType;
 
 /**
  * A machine's part as a proxy with next to no state between callers or far controllers and its
  * exchange's controller: each message waits for the processor, then goes on. Circuits of contacts in transit are
  * held from the INVITE until a refusal or a BYE.
  */
-final class Passing {
-    private static final String MARK = Via.COOKIE + "p";
+final class TransitProxy {
+    private static final String MARK = Via.MAGIC_COOKIE + "p";
     private static final Span GUARD = Span.ofMillis(40_000);
 
-    private static final class Through {
+    private static final class TransitContact {
         final String session;
         final String group;
-        final Trunks.Seizure seizure;
+        final TrunkGroups.Seizure seizure;
         final Hop from;
         boolean stood;
         boolean heard;
 
-        Through(String session, String group, Trunks.Seizure seizure, Hop from) {
+        TransitContact(String session, String group, TrunkGroups.Seizure seizure, Hop from) {
             this.session = session;
             this.group = group;
             this.seizure = seizure;
@@ -50,139 +50,145 @@
         }
     }
 
-    private final Machine machine;
-    private final Trunks trunks;
+    private final SimulatedSwitch machine;
+    private final TrunkGroups trunks;
     private final Hop controller;
-    private final Map<String, Through> all = new LinkedHashMap<>();
+    private final Map<String, TransitContact> all = new LinkedHashMap<>();
     private final Set<String> waiting = new HashSet<>();
 
-    Passing(Machine machine, Trunks trunks, Hop controller) {
+    TransitProxy(SimulatedSwitch machine, TrunkGroups trunks, Hop controller) {
         this.machine = machine;
         this.trunks = trunks;
         this.controller = controller;
     }
 
     /** False where the message is for the machine itself. */
-    boolean takes(Message message, Hop from) throws BadValue {
+    boolean takes(Message message, Hop from) throws InvalidValueException {
         if (message instanceof Response response) {
             return back(response);
         }
         Request request = (Request) message;
         String route = request.headers().first("Route");
-        if (route != null && mine(SipUri.parse(NameAddr.parse(route).uri()).at())) {
+        if (route != null && mine(SipUri.parse(NameAddr.parse(route).uri()).hostPort())) {
             within(request);
             return true;
         }
-        boolean begins = request.is("INVITE") && request.to().tag().isEmpty();
-        boolean belongs = request.is("CANCEL") || request.is("ACK");
-        if (begins && !machine.endsHere(request.target())) {
+        boolean begins = request.hasMethod("INVITE") && request.to().tag().isEmpty();
+        boolean belongs = request.hasMethod("CANCEL") || request.hasMethod("ACK");
+        if (begins && !machine.endsHere(request.parsedUri())) {
             begin(request, from);
             return true;
         }
-        if (belongs && all.containsKey(request.callId()) && !machine.endsHere(request.target())) {
-            forward(request, Work.NOTE, controller, bytes -> {});
+        if (belongs && all.containsKey(request.callId()) && !machine.endsHere(request.parsedUri())) {
+            forward(request, WorkType.NOTE, controller, bytes -> {});
             return true;
         }
         return false;
     }
 
     private boolean mine(HostPort at) {
-        InetSocketAddress udp = machine.at(Hop.Kind.UDP);
-        InetSocketAddress tcp = machine.at(Hop.Kind.TCP);
-        return at.bare().equals(udp.getAddress().getHostAddress())
+        InetSocketAddress udp = machine.address(Hop.Protocol.UDP);
+        InetSocketAddress tcp = machine.address(Hop.Protocol.TCP);
+        return at.hostWithoutBrackets().equals(udp.getAddress().getHostAddress())
                 && (at.port() == udp.getPort() || at.port() == tcp.getPort());
     }
 
-    private void begin(Request invite, Hop from) throws BadValue {
-        String group = Machine.group(invite);
-        Through known = all.get(invite.callId());
+    private void begin(Request invite, Hop from) throws InvalidValueException {
+        String group = SimulatedSwitch.group(invite);
+        TransitContact known = all.get(invite.callId());
         if (known == null) {
             String session = String.valueOf(invite.headers().first("Session-ID"));
-            Trunks.Seizure seizure = group == null ? null : trunks.seize(group, machine.width(invite), session);
+            TrunkGroups.Seizure seizure = group == null ? null : trunks.seize(group, machine.width(invite), session);
             if (group != null && seizure == null) {
-                refuse(invite, from, "No circuit", Release.NO_CIRCUIT, group);
+                refuse(invite, from, "No circuit", ReleaseCause.NO_CIRCUIT, group);
                 return;
             }
-            Through through = new Through(session, group, seizure, from);
+            TransitContact through = new TransitContact(session, group, seizure, from);
             all.put(invite.callId(), through);
             if (group != null) {
                 machine.sent();
             }
-            machine.endpoint().wheel().after(GUARD, () -> {
+            machine.endpoint().timerWheel().scheduleAfter(GUARD, () -> {
                 if (!through.stood) {
                     drop(invite.callId());
                 }
             });
         }
         // The front end answers at once (RFC 3261 16.2), and from then on it is the one that repeats.
-        Response trying = invite.answer(100, "Trying", null);
+        Response trying = invite.createResponse(100, "Trying", null);
         machine.endpoint().transport().send(trying.bytes(), backTo(invite.via(), from));
         if (known != null) {
             return;
         }
-        if (!forward(invite, Work.LOOK, controller, bytes -> repeat(invite.callId(), bytes, Timers.RFC.t1()))) {
+        if (!forward(
+                invite,
+                WorkType.LOOK,
+                controller,
+                bytes -> repeat(invite.callId(), bytes, TransactionTimers.RFC_3261.t1()))) {
             drop(invite.callId());
-            refuse(invite, from, "Processor full", Release.CONGESTION, group);
+            refuse(invite, from, "Processor full", ReleaseCause.CONGESTION, group);
         }
     }
 
     /** An INVITE that the controller has not answered in any way is sent again, as by a client transaction. */
     private void repeat(String callId, byte[] invite, Span after) {
-        if (controller.reliable()) {
+        if (controller.isReliable()) {
             return;
         }
-        machine.endpoint().wheel().after(after, () -> {
-            Through through = all.get(callId);
-            if (through != null && !through.heard && after.compareTo(Timers.RFC.t2()) < 0) {
+        machine.endpoint().timerWheel().scheduleAfter(after, () -> {
+            TransitContact through = all.get(callId);
+            if (through != null && !through.heard && after.compareTo(TransactionTimers.RFC_3261.t2()) < 0) {
                 machine.endpoint().transport().send(invite, controller);
                 repeat(callId, invite, after.times(2));
             }
         });
     }
 
-    private void refuse(Request invite, Hop from, String reason, int cause, String group) throws BadValue {
-        Response response =
-                invite.answer(503, reason, machine.endpoint().calls().branches().tag());
-        response.headers().add("Reason", new Release(cause, Release.HERE));
+    private void refuse(Request invite, Hop from, String reason, int cause, String group) throws InvalidValueException {
+        Response response = invite.createResponse(
+                503, reason, machine.endpoint().dialogLayer().idGenerator().nextTag());
+        response.headers().add("Reason", new ReleaseCause(cause, ReleaseCause.LOCAL_NETWORK));
         machine.loaded(response, group);
         machine.endpoint().transport().send(response.bytes(), backTo(invite.via(), from));
     }
 
     private void drop(String key) {
-        Through through = all.remove(key);
+        TransitContact through = all.remove(key);
         if (through != null) {
-            trunks.free(through.seizure);
+            trunks.release(through.seizure);
         }
     }
 
     /** A request within a dialog follows its routes; a BYE gives the circuits back. */
-    private void within(Request request) throws BadValue {
-        request.headers().pop("Route");
+    private void within(Request request) throws InvalidValueException {
+        request.headers().removeFirst("Route");
         String next = request.headers().first("Route");
-        Hop to = Hops.of(
+        Hop to = HopResolver.resolve(
                 SipUri.parse(next == null ? request.uri() : NameAddr.parse(next).uri()));
-        boolean bye = request.is("BYE");
-        forward(request, bye ? Work.RELEASE : Work.NOTE, to, bytes -> {});
+        boolean bye = request.hasMethod("BYE");
+        forward(request, bye ? WorkType.RELEASE : WorkType.NOTE, to, bytes -> {});
         if (bye) {
             drop(request.callId());
         }
     }
 
-    private boolean forward(Request request, Work work, Hop to, Consumer<byte[]> sent) throws BadValue {
+    private boolean forward(Request request, WorkType work, Hop to, Consumer<byte[]> sent)
+            throws InvalidValueException {
         String hops = request.headers().first("Max-Forwards");
         if ("0".equals(hops)) {
             return true;
         }
         String branch = request.via().branch();
-        String mark = MARK + branch.substring(branch.startsWith(Via.COOKIE) ? Via.COOKIE.length() : 0);
-        InetSocketAddress at = machine.at(to.kind());
+        String mark = MARK + branch.substring(branch.startsWith(Via.MAGIC_COOKIE) ? Via.MAGIC_COOKIE.length() : 0);
+        InetSocketAddress at = machine.address(to.protocol());
         HostPort by = new HostPort(at.getAddress().getHostAddress(), at.getPort());
-        Via via =
-                new Via(to.kind().name(), by, Params.NONE).with("branch", mark).with("rport", null);
-        request.headers().push("Via", via);
+        Via via = new Via(to.protocol().name(), by, Parameters.NONE)
+                .with("branch", mark)
+                .with("rport", null);
+        request.headers().addFirst("Via", via);
         request.headers().set("Max-Forwards", hops == null ? 70 : Integer.parseInt(hops) - 1);
-        if (request.is("INVITE")) {
-            request.headers().push("Record-Route", "<sip:" + own() + ";lr>");
+        if (request.hasMethod("INVITE")) {
+            request.headers().addFirst("Record-Route", "<sip:" + own() + ";lr>");
         }
         byte[] bytes = request.bytes();
         return queued(request.method() + mark, work, () -> {
@@ -192,7 +198,7 @@
     }
 
     /** Waits for the processor; what comes again while it waits costs nothing. False where it was turned away. */
-    private boolean queued(String key, Work work, Runnable done) {
+    private boolean queued(String key, WorkType work, Runnable done) {
         if (!waiting.add(key)) {
             return true;
         }
@@ -207,19 +213,19 @@
     }
 
     private HostPort own() {
-        InetSocketAddress udp = machine.at(Hop.Kind.UDP);
+        InetSocketAddress udp = machine.address(Hop.Protocol.UDP);
         return new HostPort(udp.getAddress().getHostAddress(), udp.getPort());
     }
 
-    private boolean back(Response response) throws BadValue {
+    private boolean back(Response response) throws InvalidValueException {
         if (!response.via().branch().startsWith(MARK)) {
             return false;
         }
-        response.headers().pop("Via");
+        response.headers().removeFirst("Via");
         if (response.headers().first("Via") == null) {
             return true;
         }
-        Through through = all.get(response.callId());
+        TransitContact through = all.get(response.callId());
         boolean invite = response.cseq().method().equals("INVITE");
         if (through != null && invite) {
             through.heard = true;
@@ -229,7 +235,7 @@
             return true;
         }
         if (through != null && invite && response.status() >= 200) {
-            through.stood |= response.success();
+            through.stood |= response.isSuccess();
             machine.loaded(response, through.group);
         }
         Via next = response.via();
@@ -237,35 +243,35 @@
         Hop to = backTo(next, null);
         String key = response.status() + next.branch();
         if (invite && response.status() >= 300) {
-            queued(key, Work.REJECT, () -> {
+            queued(key, WorkType.REJECT, () -> {
                 machine.endpoint().transport().send(bytes, to);
                 // The entry stays for the ACK that must still find its way; the guard takes it away.
-                trunks.free(through == null ? null : through.seizure);
+                trunks.release(through == null ? null : through.seizure);
             });
         } else {
-            Work work = invite && response.status() >= 200 ? Work.ANSWER : Work.NOTE;
+            WorkType work = invite && response.status() >= 200 ? WorkType.ANSWER : WorkType.NOTE;
             queued(key, work, () -> machine.endpoint().transport().send(bytes, to));
         }
         return true;
     }
 
     /** RFC 3261 18.2.2; over TCP by the connection it came on, where that is known. */
-    private static Hop backTo(Via via, Hop from) throws BadValue {
-        if (from != null && from.reliable()) {
+    private static Hop backTo(Via via, Hop from) throws InvalidValueException {
+        if (from != null && from.isReliable()) {
             return from;
         }
         String received = via.params().get("received");
         String rport = via.params().get("rport");
         int port = rport != null ? Integer.parseInt(rport) : via.sentBy().port();
-        InetSocketAddress at =
-                Hops.address(new HostPort(received == null ? via.sentBy().host() : received, port));
+        InetSocketAddress at = HopResolver.parseAddress(
+                new HostPort(received == null ? via.sentBy().host() : received, port));
         return via.transport().equals("TCP") ? Hop.tcp(at) : Hop.udp(at);
     }
 
     /** Frees what came from, or goes to, such a place; the sessions are given. */
     List<String> dropAll(Predicate<Hop> which) {
         List<String> sessions = new ArrayList<>();
-        for (Map.Entry<String, Through> one : new ArrayList<>(all.entrySet())) {
+        for (Map.Entry<String, TransitContact> one : new ArrayList<>(all.entrySet())) {
             if (which.test(one.getValue().from) || which.test(controller)) {
                 sessions.add(one.getValue().session);
                 drop(one.getKey());
--- a/src/main/java/martenslip/standin/Trunks.java
+++ b/src/main/java/martenslip/standin/TrunkGroups.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** All groups of circuits between exchanges; both ends of a group see the same circuits. Any thread may call. */
-public final class Trunks {
+public final class TrunkGroups {
     /** Circuits held by one contact on one group. */
     public static final class Seizure {
         private final Group group;
@@ -58,11 +58,11 @@
     }
 
     /** A group as one end is told of it. */
-    public record State(String name, int total, int free, long changes) {}
+    public record CircuitState(String name, int total, int free, long changes) {}
 
     private final Map<String, Group> groups = new LinkedHashMap<>();
 
-    public synchronized void add(String name, int a, int b, int size) {
+    public synchronized void addGroup(String name, int a, int b, int size) {
         groups.put(name, new Group(name, a, b, size));
     }
 
@@ -79,7 +79,7 @@
         return seizure;
     }
 
-    public synchronized void free(Seizure seizure) {
+    public synchronized void release(Seizure seizure) {
         if (seizure != null && !seizure.freed) {
             seizure.freed = true;
             seizure.group.held.remove(seizure);
@@ -88,25 +88,25 @@
         }
     }
 
-    public synchronized State state(String name) {
+    public synchronized CircuitState circuitState(String name) {
         Group group = groups.get(name);
-        return group == null ? null : new State(name, group.total(), group.free(), group.changes);
+        return group == null ? null : new CircuitState(name, group.total(), group.free(), group.changes);
     }
 
     /** Groups of the exchange that changed after the count that {@code seen} holds for them, which is brought up. */
-    public synchronized List<State> changed(int exchange, Map<String, Long> seen) {
-        List<State> changed = new ArrayList<>();
+    public synchronized List<CircuitState> changed(int exchange, Map<String, Long> seen) {
+        List<CircuitState> changed = new ArrayList<>();
         for (Group group : groups.values()) {
             if (group.touches(exchange) && seen.getOrDefault(group.name, -1L) != group.changes) {
                 seen.put(group.name, group.changes);
-                changed.add(new State(group.name, group.total(), group.free(), group.changes));
+                changed.add(new CircuitState(group.name, group.total(), group.free(), group.changes));
             }
         }
         return changed;
     }
 
     /** The group keeps this part of its circuits; sessions on the lost ones are returned. */
-    public synchronized List<String> keep(String name, double part) {
+    public synchronized List<String> reduceCircuits(String name, double part) {
         Group group = groups.get(name);
         group.lost = group.size - (int) Math.round(group.size * part);
         group.changes++;
@@ -123,7 +123,7 @@
     }
 
     /** Names of the groups that pass the test of their two ends. */
-    public synchronized List<String> between(java.util.function.BiPredicate<Integer, Integer> ends) {
+    public synchronized List<String> groupsMatching(java.util.function.BiPredicate<Integer, Integer> ends) {
         return groups.values().stream()
                 .filter(group -> ends.test(group.a, group.b))
                 .map(group -> group.name)
@@ -131,7 +131,7 @@
     }
 
     /** Circuits in use on all groups. */
-    public synchronized int used() {
+    public synchronized int circuitsInUse() {
         return groups.values().stream().mapToInt(group -> group.used).sum();
     }
 }
--- a/src/main/java/martenslip/roll/LastWord.java
+++ b/src/main/java/martenslip/tracking/AnswerDeadline.java
@@ -1,4 +1,4 @@
-package martenslip.roll;
+package martenslip.tracking;
 
 import martenslip.control.Moment;
 import martenslip.control.Span;
@@ -7,13 +7,13 @@
  * When a contact that the module has not answered is answered without it. The module answers a round before the end
  * of the patience; only one that has stalled, or an order that was lost, lets it come to this.
  */
-public final class LastWord {
+public final class AnswerDeadline {
     /** Half a round of the module: after its own last moment, and with room for a turn that is busy. */
     private static final Span BEFORE = Span.ofMillis(12);
 
-    private LastWord() {}
+    private AnswerDeadline() {}
 
-    public static Moment of(Moment taken, Span patience) {
-        return taken.plus(patience.minus(BEFORE).least(Span.ZERO));
+    public static Moment forContact(Moment taken, Span patience) {
+        return taken.plus(patience.minus(BEFORE).atLeast(Span.ZERO));
     }
 }
--- a/src/main/java/martenslip/roll/Roll.java
+++ b/src/main/java/martenslip/tracking/ContactRegistry.java
@@ -1,4 +1,4 @@
-package martenslip.roll;
+package martenslip.tracking;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
 import martenslip.control.Contact;
 import martenslip.control.Controller;
 import martenslip.control.Moment;
+import martenslip.control.RejectionReason;
 import martenslip.control.RingEnd;
+import martenslip.control.RingEndCause;
 import martenslip.control.Span;
 
 /**
@@ -23,25 +23,25 @@
  *
  * <p>Without I/O, threads or clock; the thread that owns the module owns it. Bounded by the contacts that are open.
  */
-public final class Roll {
+public final class ContactRegistry {
     /**
      * What a lane holds of a contact: when it was taken, how many rings it had, the one that is out or stands, or -1,
      * and when the last one ended that may still hold something, or null.
      */
-    public record Held(
+    public record LaneContact(
             Contact contact,
-            Moment at,
-            int rings,
-            int out,
+            Moment takenAt,
+            int ringCount,
+            int inFlightRing,
             long target,
-            boolean stood,
+            boolean established,
             boolean answered,
-            Moment heldUntil) {}
+            Moment lastHeldRingEndedAt) {}
 
     /** What the roll orders beside the module. */
-    public interface Lanes {
+    public interface LaneOrders {
         /** A ring that this module never ordered, of a contact that is over. */
-        void callOff(long contact, int ring);
+        void cancel(long contact, int ring);
     }
 
     private static final class Entry {
@@ -69,18 +69,18 @@
         }
     }
 
-    private record Later(long contact, Moment at, long order) {}
+    private record DelayedOffer(long contact, Moment at, long order) {}
 
     private final Controller module;
     private final Span release;
-    private final Lanes lanes;
+    private final LaneOrders lanes;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
-    private final PriorityQueue<Later> later =
-            new PriorityQueue<>(Comparator.comparing(Later::at).thenComparing(Later::order));
+    private final PriorityQueue<DelayedOffer> later =
+            new PriorityQueue<>(Comparator.comparing(DelayedOffer::at).thenComparing(DelayedOffer::order));
     private long orders;
 
     /** {@code release} is how long nothing is sent for a contact after a ring that may still hold something. */
-    public Roll(Controller module, Span release, Lanes lanes) {
+    public ContactRegistry(Controller module, Span release, LaneOrders lanes) {
         this.module = module;
         this.release = release;
         this.lanes = lanes;
@@ -91,17 +91,17 @@
     }
 
     /** A contact that a lane has taken; one that is known already is not told again. */
-    public void offered(Moment now, Contact contact, int lane) {
+    public void contactOffered(Moment now, Contact contact, int lane) {
         if (!entries.containsKey(contact.id())) {
             Entry entry = new Entry(contact, lane, now);
             entry.known = true;
             entries.put(contact.id(), entry);
-            module.offered(now, contact);
+            module.contactOffered(now, contact);
         }
     }
 
     /** The module orders a ring: its number for the lane, or -1 where the contact is not on the roll. */
-    public int ordered(long contact, long target) {
+    public int ringOrdered(long contact, long target) {
         Entry entry = entries.get(contact);
         if (entry == null) {
             return -1;
@@ -111,7 +111,7 @@
         return entry.live;
     }
 
-    public boolean has(long contact) {
+    public boolean contains(long contact) {
         return entries.containsKey(contact);
     }
 
@@ -121,13 +121,13 @@
     }
 
     /** The lane's number of a ring that the module names. */
-    public int lanesNumber(long contact, int ring) {
+    public int laneRingNumber(long contact, int ring) {
         Entry entry = entries.get(contact);
         return entry == null ? -1 : entry.base + ring;
     }
 
     /** The module gave its final answer. */
-    public void answered(long contact) {
+    public void contactAnswered(long contact) {
         Entry entry = entries.get(contact);
         if (entry != null) {
             entry.answered = true;
@@ -135,7 +135,7 @@
         }
     }
 
-    public void stood(Moment now, long contact, int ring, long target, Span took) {
+    public void established(Moment now, long contact, int ring, long target, Span took) {
         Entry entry = entries.get(contact);
         if (entry == null || entry.live != ring || entry.stood) {
             return;
@@ -144,12 +144,12 @@
         entry.stood = true;
         entry.answered = true;
         if (!foreign) {
-            module.stands(now, contact, ring - entry.base, target, took);
+            module.established(now, contact, ring - entry.base, target, took);
         }
     }
 
     /** The outcome of a ring, numbered by its lane; true where it is news. */
-    public boolean ended(Moment now, RingEnd end) {
+    public boolean ringEnded(Moment now, RingEnd end) {
         Entry entry = entries.get(end.contact());
         if (entry == null || entry.live != end.ring()) {
             return false;
@@ -164,31 +164,31 @@
                             end.ring() - entry.base,
                             end.target(),
                             end.cause(),
-                            end.blame(),
-                            end.took(),
+                            end.rejectionReason(),
+                            end.elapsed(),
                             end.answered(),
                             end.report()));
         } else if (!entry.answered) {
-            offerLater(entry, mayHold(end.cause()) ? now.plus(release) : now);
+            offerLater(entry, mayHoldCircuits(end.cause()) ? now.plus(release) : now);
         }
         forget(entry);
         return true;
     }
 
     /** Rule 5: after these nothing is sent for the release time, as the switch may still hold something. */
-    public static boolean mayHold(Cause cause) {
-        return cause == Cause.TIMED_OUT || cause == Cause.CUT || cause == Cause.CALLED_OFF;
+    public static boolean mayHoldCircuits(RingEndCause cause) {
+        return cause == RingEndCause.TIMED_OUT || cause == RingEndCause.CUT || cause == RingEndCause.CALLED_OFF;
     }
 
     /** The caller is gone, or the lane had the last word. */
-    public void gone(Moment now, long contact) {
+    public void callerGone(Moment now, long contact) {
         Entry entry = entries.get(contact);
         if (entry == null || entry.answered) {
             return;
         }
         entry.answered = true;
         if (entry.foreign()) {
-            lanes.callOff(contact, entry.live);
+            lanes.cancel(contact, entry.live);
         }
         if (entry.known) {
             module.callerGone(now, contact);
@@ -203,83 +203,85 @@
     }
 
     /** A lane's thread, or this one, was replaced: all that the lane holds. */
-    public void inherited(Moment now, int lane, List<Held> held) {
-        Map<Long, Held> byId = new HashMap<>();
+    public void reconcileLane(Moment now, int lane, List<LaneContact> held) {
+        Map<Long, LaneContact> byId = new HashMap<>();
         held.forEach(one -> byId.put(one.contact().id(), one));
         List<Entry> mine = new ArrayList<>();
         entries.values().stream().filter(entry -> entry.lane == lane).forEach(mine::add);
         for (Entry entry : mine) {
             compare(now, entry, byId.get(entry.contact.id()));
         }
-        for (Held one : held) {
-            if (!entries.containsKey(one.contact().id()) && !(one.answered() && one.out() < 0)) {
+        for (LaneContact one : held) {
+            if (!entries.containsKey(one.contact().id()) && !(one.answered() && one.inFlightRing() < 0)) {
                 adopt(now, lane, one);
             }
         }
     }
 
-    private void compare(Moment now, Entry entry, Held held) {
+    private void compare(Moment now, Entry entry, LaneContact held) {
         long id = entry.contact.id();
         if (held == null) {
             // The lane had done with it, and what it said of that was lost.
-            gone(now, id);
-            over(now, entry, Cause.CUT);
+            callerGone(now, id);
+            over(now, entry, RingEndCause.CUT);
             return;
         }
-        if (held.stood()) {
-            stood(now, id, held.out(), held.target(), now.since(held.at()));
-        } else if (entry.live >= 0 && entry.live < held.rings() && held.out() != entry.live) {
-            over(now, entry, entry.stood ? Cause.CUT : Cause.TIMED_OUT);
+        if (held.established()) {
+            established(now, id, held.inFlightRing(), held.target(), now.since(held.takenAt()));
+        } else if (entry.live >= 0 && entry.live < held.ringCount() && held.inFlightRing() != entry.live) {
+            over(now, entry, entry.stood ? RingEndCause.CUT : RingEndCause.TIMED_OUT);
         }
         // A ring that the lane has no count of is an order that still stands in its inbox.
         if (held.answered()) {
-            gone(now, id);
+            callerGone(now, id);
         }
     }
 
-    private void over(Moment now, Entry entry, Cause cause) {
+    private void over(Moment now, Entry entry, RingEndCause cause) {
         if (entry.live >= 0) {
-            ended(
+            ringEnded(
                     now,
                     new RingEnd(
                             entry.contact.id(),
                             entry.live,
                             entry.target,
                             cause,
-                            Blame.NONE,
+                            RejectionReason.NONE,
                             Span.ZERO,
                             entry.answered,
                             new float[0]));
         }
     }
 
-    private void adopt(Moment now, int lane, Held held) {
-        Entry entry = new Entry(held.contact(), lane, held.at());
-        entry.base = held.rings();
-        entry.next = held.rings();
-        entry.live = held.out();
+    private void adopt(Moment now, int lane, LaneContact held) {
+        Entry entry = new Entry(held.contact(), lane, held.takenAt());
+        entry.base = held.ringCount();
+        entry.next = held.ringCount();
+        entry.live = held.inFlightRing();
         entry.target = held.target();
-        entry.stood = held.stood();
+        entry.stood = held.established();
         entry.answered = held.answered();
         entries.put(held.contact().id(), entry);
         if (!entry.answered && entry.live < 0) {
-            Moment until = held.heldUntil() == null ? now : held.heldUntil().plus(release);
+            Moment until = held.lastHeldRingEndedAt() == null
+                    ? now
+                    : held.lastHeldRingEndedAt().plus(release);
             offerLater(entry, until.before(now) ? now : until);
         }
     }
 
     private void offerLater(Entry entry, Moment at) {
         entry.base = entry.next;
-        later.add(new Later(entry.contact.id(), at, orders++));
+        later.add(new DelayedOffer(entry.contact.id(), at, orders++));
     }
 
-    /** When {@link #turn} has something to do, or null. */
-    public Moment due() {
+    /** When {@link #offerDue} has something to do, or null. */
+    public Moment nextOfferAt() {
         return later.isEmpty() ? null : later.peek().at();
     }
 
     /** Offers what another module had been offered before and is due; with what is left of its patience. */
-    public void turn(Moment now) {
+    public void offerDue(Moment now) {
         while (!later.isEmpty() && !now.before(later.peek().at())) {
             Entry entry = entries.get(later.poll().contact());
             if (entry == null || entry.answered || entry.known && entry.live >= 0) {
@@ -292,19 +294,19 @@
                 continue;
             }
             entry.known = true;
-            module.offered(
+            module.contactOffered(
                     now,
                     new Contact(
                             was.id(),
                             was.skill(),
-                            was.dialled(),
+                            was.dialledNumber(),
                             was.destination(),
-                            was.hint(),
+                            was.routingHint(),
                             was.width(),
                             left,
                             was.redial(),
                             was.inTransit(),
-                            was.cutBefore()));
+                            was.previouslyCut()));
         }
     }
 }
--- a/src/main/java/martenslip/proof/AddedDelay.java
+++ b/src/main/java/martenslip/verification/AddedDelay.java
@@ -1,4 +1,4 @@
-package martenslip.proof;
+package martenslip.verification;
 
 import java.io.PrintStream;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.sip.message.BadValue;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Message;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
@@ -20,10 +20,10 @@
  * out, and from the ring's 200 going in to the caller's 200 coming out. It holds the way over the loopback sockets and
  * both sides' queues.
  */
-public final class AddedDelay implements CaptureFile.Reader {
+public final class AddedDelay implements CaptureReader.RecordHandler {
     private static final long MOST_MICROS = 60_000_000;
 
-    private static final class Passage {
+    private static final class ContactTiming {
         Moment inviteIn;
         long forward = -1;
         Moment okIn;
@@ -36,9 +36,9 @@
     private final Histogram back = new Histogram(MOST_MICROS, 3);
     private final Histogram both = new Histogram(MOST_MICROS, 3);
     private final Set<String> controllers = new HashSet<>();
-    private final Map<String, Passage> open = new HashMap<>();
-    private final Map<String, Passage> byBranch = new HashMap<>();
-    private final Map<String, Passage> byRing = new HashMap<>();
+    private final Map<String, ContactTiming> open = new HashMap<>();
+    private final Map<String, ContactTiming> byBranch = new HashMap<>();
+    private final Map<String, ContactTiming> byRing = new HashMap<>();
 
     /** {@code each} is how long a row of the table by time lasts; zero leaves that table out. */
     public AddedDelay(Span each) {
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void fact(Moment at, String kind, Map<String, String> words) {
+    public void annotation(Moment at, String kind, Map<String, String> words) {
         if (kind.equals("controller")) {
             controllers.add(words.get("host"));
         }
@@ -66,26 +66,26 @@
                     && response.cseq().method().equals("INVITE")) {
                 ok(at, in, remote, response);
             }
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             // A message that the rules' proof tells of.
             return;
         }
     }
 
-    private void invite(Moment at, boolean in, String remote, Request request) throws BadValue {
-        if (!request.is("INVITE") || !request.to().tag().isEmpty()) {
+    private void invite(Moment at, boolean in, String remote, Request request) throws InvalidValueException {
+        if (!request.hasMethod("INVITE") || !request.to().tag().isEmpty()) {
             return;
         }
         String contact = remote + request.headers().first("Session-ID");
         if (!in) {
-            Passage passage = open.computeIfAbsent(contact, any -> new Passage());
+            ContactTiming passage = open.computeIfAbsent(contact, any -> new ContactTiming());
             if (passage.inviteIn == null) {
                 passage.inviteIn = at;
                 byBranch.put(remote + request.via().branch(), passage);
             }
             return;
         }
-        Passage passage = open.get(contact);
+        ContactTiming passage = open.get(contact);
         if (passage != null && passage.forward < 0) {
             passage.forward = micros(passage.inviteIn, at);
             forward.recordValue(passage.forward);
@@ -93,15 +93,15 @@
         }
     }
 
-    private void ok(Moment at, boolean in, String remote, Response response) throws BadValue {
+    private void ok(Moment at, boolean in, String remote, Response response) throws InvalidValueException {
         if (!in) {
-            Passage passage = byRing.remove(remote + response.callId());
+            ContactTiming passage = byRing.remove(remote + response.callId());
             if (passage != null) {
                 passage.okIn = at;
             }
             return;
         }
-        Passage passage = byBranch.remove(remote + response.via().branch());
+        ContactTiming passage = byBranch.remove(remote + response.via().branch());
         if (passage != null && passage.okIn != null) {
             long took = micros(passage.okIn, at);
             back.recordValue(took);
--- a/src/main/java/martenslip/proof/CaptureFile.java
+++ b/src/main/java/martenslip/verification/CaptureReader.java
@@ -1,4 +1,4 @@
-package martenslip.proof;
+package martenslip.verification;
 
 import java.io.BufferedInputStream;
 import java.io.EOFException;
@@ -11,22 +11,22 @@
 import java.util.Map;
 import martenslip.control.Moment;
 import martenslip.sip.message.Message;
-import martenslip.sip.message.Parsed;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
+import martenslip.sip.message.ParseResult;
 
 /** Reads a capture record by record. */
-public final class CaptureFile {
+public final class CaptureReader {
     /** Takes what a capture holds, in the order of the file. */
-    public interface Reader {
+    public interface RecordHandler {
         /** {@code in} is toward the stand-in; {@code remote} is the bare address of the far host. */
         void message(Moment at, boolean in, String local, String remote, boolean lost, Message message);
 
-        void fact(Moment at, String kind, Map<String, String> words);
+        void annotation(Moment at, String kind, Map<String, String> words);
     }
 
-    private CaptureFile() {}
+    private CaptureReader() {}
 
-    public static void read(Path file, Reader reader) throws IOException {
+    public static void read(Path file, RecordHandler reader) throws IOException {
         try (InputStream in = new BufferedInputStream(Files.newInputStream(file), 1 << 20)) {
             for (String line = line(in); line != null; line = line(in)) {
                 record(in, line, reader);
@@ -34,7 +34,7 @@
         }
     }
 
-    private static void record(InputStream in, String line, Reader reader) throws IOException {
+    private static void record(InputStream in, String line, RecordHandler reader) throws IOException {
         String[] words = line.split(" ");
         if (words.length < 3) {
             throw new IOException("not a record of a capture: " + line);
@@ -46,7 +46,7 @@
                 int equals = words[i].indexOf('=');
                 said.put(words[i].substring(0, Math.max(0, equals)), words[i].substring(equals + 1));
             }
-            reader.fact(at, words[2], said);
+            reader.annotation(at, words[2], said);
             return;
         }
         if (!words[0].equals("@") || words.length != 7) {
@@ -56,7 +56,7 @@
         if (bytes.length < Integer.parseInt(words[6]) || in.read() < 0) {
             throw new EOFException("the capture ends inside a message");
         }
-        Parsed parsed = Parser.datagram(bytes, bytes.length);
+        ParseResult parsed = MessageParser.parse(bytes, bytes.length);
         if (parsed.message() != null) {
             String[] far = words[4].split(":");
             reader.message(at, words[2].equals("in"), words[3], far[1], words[5].equals("lost"), parsed.message());
--- a/src/main/java/martenslip/proof/ColdStarts.java
+++ b/src/main/java/martenslip/verification/ColdStartRule.java
@@ -1,4 +1,4 @@
-package martenslip.proof;
+package martenslip.verification;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,11 +13,11 @@
  * Rule 4: in any window of the stated length the rings of all controllers to a cold switch stay under the stated
  * multiple of what it can do then.
  */
-final class ColdStarts {
+final class ColdStartRule {
     /** A few more than the budget are chance, as the stand-in's own count of a push has it. */
     private static final int SLACK = 3;
 
-    private static final class Cold {
+    private static final class ColdSwitch {
         final Moment at;
         final double capacity;
         final double from;
@@ -25,7 +25,7 @@
         final Deque<Moment> recent = new ArrayDeque<>();
         boolean told;
 
-        Cold(Moment at, double capacity, double from, Span warm) {
+        ColdSwitch(Moment at, double capacity, double from, Span warm) {
             this.at = at;
             this.capacity = capacity;
             this.from = from;
@@ -33,7 +33,7 @@
         }
     }
 
-    private final Map<String, Cold> cold = new HashMap<>();
+    private final Map<String, ColdSwitch> cold = new HashMap<>();
     private final List<String> broken = new ArrayList<>();
     private double multiple = 3;
     private Span window = Span.ofMillis(1500);
@@ -45,11 +45,11 @@
     }
 
     void started(String at, Moment when, double capacity, double from, Span warm) {
-        cold.put(at, new Cold(when, capacity, from, warm));
+        cold.put(at, new ColdSwitch(when, capacity, from, warm));
     }
 
     void sent(Moment at, int controller, String to) {
-        Cold one = cold.get(to);
+        ColdSwitch one = cold.get(to);
         if (one == null || at.since(one.at).longerThan(one.warm)) {
             return;
         }
@@ -58,7 +58,7 @@
         while (at.since(one.recent.peek()).longerThan(window)) {
             one.recent.poll();
         }
-        double part = one.from + (1 - one.from) * at.since(one.at).over(one.warm);
+        double part = one.from + (1 - one.from) * at.since(one.at).ratioTo(one.warm);
         double most = multiple * one.capacity * part * window.ns() / 1e9;
         if (one.recent.size() > most + SLACK && !one.told) {
             one.told = true;
@@ -68,7 +68,7 @@
         }
     }
 
-    Verdict verdict() {
-        return new Verdict(4, "no cold switch pushed over", judged, broken);
+    RuleResult verdict() {
+        return new RuleResult(4, "no cold switch pushed over", judged, broken);
     }
 }
--- a/src/main/java/martenslip/proof/Drains.java
+++ b/src/main/java/martenslip/verification/DrainRule.java
@@ -1,23 +1,23 @@
-package martenslip.proof;
+package martenslip.verification;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import martenslip.configuration.InvalidFileException;
+import martenslip.configuration.XmlElement;
+import martenslip.configuration.XmlFileReader;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.provision.Node;
-import martenslip.provision.Rejected;
-import martenslip.provision.Sheet;
 import martenslip.sip.message.Request;
 
 /** Rule 3: nothing new to a switch once the grace has passed since its controller was told that it drains or is gone. */
-final class Drains {
-    private static final Sheet SHEET = Sheet.of("switches.xsd");
+final class DrainRule {
+    private static final XmlFileReader SHEET = XmlFileReader.forSchema("switches.xsd");
 
-    private record Told(boolean ready, long version, Moment at) {}
+    private record NotifiedState(boolean ready, long version, Moment at) {}
 
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<String, NotifiedState> told = new HashMap<>();
     private final List<String> broken = new ArrayList<>();
     private Span grace = Span.ofMillis(2000);
     private long judged;
@@ -28,29 +28,29 @@
 
     /** A list notice on its way to the controller. Wires may bring an older one later, which tells nothing new. */
     void told(Moment at, int controller, byte[] body) {
-        Node root;
+        XmlElement root;
         try {
             root = SHEET.read("NOTIFY", body);
-        } catch (Rejected e) {
+        } catch (InvalidFileException e) {
             return;
         }
         if (!root.name().equals("switches")) {
             return;
         }
         long version = Long.parseLong(root.text("version"));
-        for (Node line : root.children()) {
+        for (XmlElement line : root.children()) {
             String address = line.text("uri").replaceFirst("^sip:", "").replaceFirst(";.*", "");
             boolean ready = line.text("state").equals("ready");
-            Told before = told.get(controller + " " + address);
+            NotifiedState before = told.get(controller + " " + address);
             if (before == null || before.version < version && before.ready != ready) {
-                told.put(controller + " " + address, new Told(ready, version, at));
+                told.put(controller + " " + address, new NotifiedState(ready, version, at));
                 judged += ready ? 0 : 1;
             }
         }
     }
 
     void sent(Moment at, int controller, Request invite, String to) {
-        Told last = told.get(controller + " " + to);
+        NotifiedState last = told.get(controller + " " + to);
         if (last == null || last.ready) {
             return;
         }
@@ -65,7 +65,7 @@
         told.keySet().removeIf(key -> key.startsWith(controller + " "));
     }
 
-    Verdict verdict() {
-        return new Verdict(3, "drains kept", judged, broken);
+    RuleResult verdict() {
+        return new RuleResult(3, "drains kept", judged, broken);
     }
 }
--- a/src/main/java/martenslip/proof/FinalAnswers.java
+++ b/src/main/java/martenslip/verification/FinalAnswerRule.java
@@ -1,4 +1,4 @@
-package martenslip.proof;
+package martenslip.verification;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,28 +9,28 @@
 import java.util.Set;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.sip.message.BadValue;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 
 /** Rule 1, first half: each contact that reached a running controller gets one final answer in its patience. */
-final class FinalAnswers {
+final class FinalAnswerRule {
     /** As the bench allows past the client's own time. */
     private static final Span SLACK = Span.ofMillis(20);
 
     /** How long bytes may wait in a connection that is then reset. */
     private static final Span UNSENT = Span.ofMillis(20);
 
-    private static final class Reset {
+    private static final class ConnectionReset {
         final Moment begin;
         Moment end;
 
-        Reset(Moment begin) {
+        ConnectionReset(Moment begin) {
             this.begin = begin;
         }
     }
 
-    private static final class Asked {
+    private static final class ContactRequest {
         final Moment at;
         final int controller;
         final Span patience;
@@ -39,7 +39,7 @@
         boolean second;
         Moment answeredAt;
 
-        Asked(Moment at, int controller, Span patience, String session) {
+        ContactRequest(Moment at, int controller, Span patience, String session) {
             this.at = at;
             this.controller = controller;
             this.patience = patience;
@@ -47,15 +47,15 @@
         }
     }
 
-    private final Map<String, Asked> asked = new LinkedHashMap<>();
+    private final Map<String, ContactRequest> asked = new LinkedHashMap<>();
     private final Map<Integer, List<Moment>> kills = new HashMap<>();
-    private final Map<Integer, List<Reset>> resets = new HashMap<>();
+    private final Map<Integer, List<ConnectionReset>> resets = new HashMap<>();
     private final Set<Integer> down = new HashSet<>();
     private final Set<String> unheard = new HashSet<>();
     private final List<String> broken = new ArrayList<>();
     private Moment last = new Moment(0);
 
-    void taken(Moment at, int controller, Request invite) throws BadValue {
+    void taken(Moment at, int controller, Request invite) throws InvalidValueException {
         last = at;
         if (down.contains(controller)) {
             unheard.add(invite.via().branch());
@@ -67,16 +67,16 @@
                 exact != null ? Double.parseDouble(exact) : whole != null ? Double.parseDouble(whole) * 1000 : 1e9);
         asked.putIfAbsent(
                 invite.via().branch(),
-                new Asked(
+                new ContactRequest(
                         at,
                         controller,
                         patience,
                         String.valueOf(invite.headers().first("Session-ID"))));
     }
 
-    void answered(Moment at, int controller, Response response) throws BadValue {
+    void answered(Moment at, int controller, Response response) throws InvalidValueException {
         last = at;
-        Asked one = asked.get(response.via().branch());
+        ContactRequest one = asked.get(response.via().branch());
         if (one == null && unheard.contains(response.via().branch())) {
             // It listens already, and says so a moment later.
             return;
@@ -97,8 +97,8 @@
         }
     }
 
-    String session(int controller, Response response) throws BadValue {
-        Asked one = asked.get(response.via().branch());
+    String session(int controller, Response response) throws InvalidValueException {
+        ContactRequest one = asked.get(response.via().branch());
         return one == null ? "" : one.session;
     }
 
@@ -117,7 +117,7 @@
 
     /** Connections toward the controller are about to be reset by the stand-in. */
     void resetting(int controller, Moment at) {
-        resets.computeIfAbsent(controller, any -> new ArrayList<>()).add(new Reset(at));
+        resets.computeIfAbsent(controller, any -> new ArrayList<>()).add(new ConnectionReset(at));
     }
 
     void reset(int controller, Moment at) {
@@ -125,13 +125,13 @@
     }
 
     /** What was handed to a connection as it was reset may never have left it. */
-    private boolean mayNotHaveArrived(Asked one) {
+    private boolean mayNotHaveArrived(ContactRequest one) {
         return resets.getOrDefault(one.controller, List.of()).stream()
                 .anyMatch(reset ->
                         reset.end != null && reset.begin.before(one.at.plus(UNSENT)) && !reset.end.before(one.at));
     }
 
-    private boolean excused(Asked one) {
+    private boolean excused(ContactRequest one) {
         Moment due = one.at.plus(one.patience).plus(SLACK);
         boolean killed = kills.getOrDefault(one.controller, List.of()).stream()
                 .anyMatch(kill -> !kill.before(one.at) && kill.before(due));
@@ -139,8 +139,8 @@
         return killed || last.before(due) || mayNotHaveArrived(one);
     }
 
-    Verdict verdict() {
-        for (Asked one : asked.values()) {
+    RuleResult verdict() {
+        for (ContactRequest one : asked.values()) {
             if (one.answer == null && !excused(one)) {
                 broken.add("contact " + one.session + " at controller " + one.controller + ": no final answer within "
                         + ms(one.patience) + " ms of " + one.at.ns());
@@ -149,7 +149,7 @@
                         + ms(one.answeredAt.since(one.at)) + " ms, patience " + ms(one.patience));
             }
         }
-        return new Verdict(1, "one final answer in time", asked.size(), broken);
+        return new RuleResult(1, "one final answer in time", asked.size(), broken);
     }
 
     private static String ms(Span span) {
--- a/src/main/java/martenslip/proof/Rings.java
+++ b/src/main/java/martenslip/verification/RingRules.java
@@ -1,4 +1,4 @@
-package martenslip.proof;
+package martenslip.verification;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,8 +7,8 @@
 import java.util.Map;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.signal.Release;
-import martenslip.sip.message.BadValue;
+import martenslip.signaling.ReleaseCause;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 
@@ -17,7 +17,7 @@
  * final response that reached its controller, or to its CANCEL. One that was never answered in any way is out
  * until its last INVITE: before a response no CANCEL may tell that it was given up.
  */
-final class Rings {
+final class RingRules {
     /** Clocks are read at both ends of a hand-over between threads. */
     private static final Span SLACK = Span.ofMillis(3);
 
@@ -127,7 +127,7 @@
         }
     }
 
-    void response(Moment at, int controller, Response response) throws BadValue {
+    void response(Moment at, int controller, Response response) throws InvalidValueException {
         Ring ring = byCall.get(key(controller, response.callId()));
         if (ring == null) {
             return;
@@ -136,8 +136,8 @@
         if (response.status() >= 200 && ring.finalAt == null) {
             ring.finalAt = at;
             // A tandem that gave up behind itself turns the contact back: this ring is over and holds nothing.
-            Release release = Release.of(response);
-            boolean beyond = release != null && release.from(Release.TRANSIT);
+            ReleaseCause release = ReleaseCause.of(response);
+            boolean beyond = release != null && release.hasLocation(ReleaseCause.TRANSIT_NETWORK);
             ring.timedOut = response.status() == 408 || response.status() == 504 && !beyond;
         }
     }
@@ -158,11 +158,11 @@
         byContact.keySet().removeIf(contact -> contact.startsWith(controller + " "));
     }
 
-    Verdict oneOut() {
-        return new Verdict(2, "one ring out, none after the answer", byCall.size(), twoOut);
+    RuleResult oneOut() {
+        return new RuleResult(2, "one ring out, none after the answer", byCall.size(), twoOut);
     }
 
-    Verdict releaseAwaited() {
-        return new Verdict(5, "release awaited", successors, tooSoon);
+    RuleResult releaseAwaited() {
+        return new RuleResult(5, "release awaited", successors, tooSoon);
     }
 }
--- a/src/main/java/martenslip/proof/Proof.java
+++ b/src/main/java/martenslip/verification/RuleVerifier.java
@@ -1,4 +1,4 @@
-package martenslip.proof;
+package martenslip.verification;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.sip.message.BadValue;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Message;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
@@ -15,16 +15,16 @@
  * Judges the five rules from what passed at the stand-ins' sockets, never from a controller's word. A contact is
  * known by its Session-ID at one controller, a ring by its Call-ID; docs/proof.md tells how each is read.
  */
-public final class Proof implements CaptureFile.Reader {
+public final class RuleVerifier implements CaptureReader.RecordHandler {
     private final Map<String, Integer> controllers = new HashMap<>();
     private final Map<String, String> machines = new HashMap<>();
-    private final FinalAnswers answers = new FinalAnswers();
-    private final Rings rings = new Rings();
-    private final Drains drains = new Drains();
-    private final ColdStarts cold = new ColdStarts();
+    private final FinalAnswerRule answers = new FinalAnswerRule();
+    private final RingRules rings = new RingRules();
+    private final DrainRule drains = new DrainRule();
+    private final ColdStartRule cold = new ColdStartRule();
 
     @Override
-    public void fact(Moment at, String kind, Map<String, String> words) {
+    public void annotation(Moment at, String kind, Map<String, String> words) {
         switch (kind) {
             case "controller" -> {
                 int number = Integer.parseInt(words.get("number"));
@@ -72,13 +72,13 @@
             } else if (!lost) {
                 toController(at, controller, message);
             }
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             answers.unreadable(at, controller, e.getMessage());
         }
     }
 
     /** Every message counts that a controller sent, whether the wires lost it later or not. */
-    private void fromController(Moment at, int controller, String local, Message message) throws BadValue {
+    private void fromController(Moment at, int controller, String local, Message message) throws InvalidValueException {
         if (message instanceof Response response) {
             if (response.cseq().method().equals("INVITE") && response.status() >= 200) {
                 answers.answered(at, controller, response);
@@ -87,7 +87,7 @@
             return;
         }
         Request request = (Request) message;
-        boolean begins = request.is("INVITE") && request.to().tag().isEmpty();
+        boolean begins = request.hasMethod("INVITE") && request.to().tag().isEmpty();
         if (begins && machines.containsKey(local)) {
             String to = machines.get(local);
             boolean first = rings.invite(at, controller, request, to);
@@ -95,12 +95,12 @@
                 drains.sent(at, controller, request, to);
                 cold.sent(at, controller, to);
             }
-        } else if (request.is("CANCEL")) {
+        } else if (request.hasMethod("CANCEL")) {
             rings.cancelled(at, controller, request.callId());
         }
     }
 
-    private void toController(Moment at, int controller, Message message) throws BadValue {
+    private void toController(Moment at, int controller, Message message) throws InvalidValueException {
         if (message instanceof Response response) {
             if (response.cseq().method().equals("INVITE")) {
                 rings.response(at, controller, response);
@@ -108,17 +108,17 @@
             return;
         }
         Request request = (Request) message;
-        if (request.is("INVITE") && request.to().tag().isEmpty()) {
+        if (request.hasMethod("INVITE") && request.to().tag().isEmpty()) {
             answers.taken(at, controller, request);
-        } else if (request.is("NOTIFY")
+        } else if (request.hasMethod("NOTIFY")
                 && "martenslip-switches".equals(request.headers().first("Event"))) {
             drains.told(at, controller, request.body());
         }
     }
 
     /** To be called once, after the last record. */
-    public List<Verdict> verdicts() {
-        List<Verdict> all = new ArrayList<>();
+    public List<RuleResult> verdicts() {
+        List<RuleResult> all = new ArrayList<>();
         all.add(answers.verdict());
         all.add(rings.oneOut());
         all.add(drains.verdict());
--- a/src/main/java/martenslip/lookout/Lookout.java
+++ b/src/main/java/martenslip/watchdog/Watchdog.java
@@ -1,4 +1,4 @@
-package martenslip.lookout;
+package martenslip.watchdog;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,11 +14,11 @@
  * lost by it, so the span is short against the patience of contacts; but the threads that hang stay, so their number
  * is bounded.
  */
-public final class Lookout {
+public final class Watchdog {
     /** An idle loop turns each 50 ms; collectors were seen to pause a busy process by up to 60. */
-    public static final Span STALL = Span.ofMillis(150);
+    public static final Span STALL_TIMEOUT = Span.ofMillis(150);
     /** How often to look: a stall is met at most this much later. */
-    public static final Span EVERY = Span.ofMillis(20);
+    public static final Span CHECK_INTERVAL = Span.ofMillis(20);
     /** A look this late says that the process did not run, and not which thread did not. */
     private static final Span BLIND = Span.ofMillis(60);
     /** A replacement has its inheritance to take over before it is judged. */
@@ -28,42 +28,42 @@
 
     private static final Span WITHIN = Span.ofMillis(30_000);
 
-    private final Moment[] turned;
+    private final Moment[] loopTurned;
     private final Moment[] judgedFrom;
     private final List<Moment> replaced = new ArrayList<>();
     private Moment lastLook;
-    private long forgiven;
-    private long withheld;
+    private long lateChecks;
+    private long suppressedReplacements;
 
     /** All {@code places} have just begun at {@code now}. */
-    public Lookout(int places, Moment now) {
-        turned = new Moment[places];
+    public Watchdog(int places, Moment now) {
+        loopTurned = new Moment[places];
         judgedFrom = new Moment[places];
         for (int i = 0; i < places; i++) {
-            turned[i] = now;
+            loopTurned[i] = now;
             judgedFrom[i] = now;
         }
         lastLook = now;
     }
 
     /** When the place's thread began its last turn. */
-    public void turned(int place, Moment at) {
-        turned[place] = at;
+    public void loopTurned(int place, Moment at) {
+        loopTurned[place] = at;
     }
 
     /** The place whose thread is to be replaced now, or -1: at most one a look. */
-    public int look(Moment now) {
+    public int findStalled(Moment now) {
         if (now.since(lastLook).longerThan(BLIND)) {
-            forgiven++;
+            lateChecks++;
             for (int i = 0; i < judgedFrom.length; i++) {
                 judgedFrom[i] = judgedFrom[i].before(now) ? now : judgedFrom[i];
             }
         }
         lastLook = now;
         int worst = -1;
-        for (int i = 0; i < turned.length; i++) {
-            if (silence(i, now).longerThan(STALL)
-                    && (worst < 0 || silence(i, now).longerThan(silence(worst, now)))) {
+        for (int i = 0; i < loopTurned.length; i++) {
+            if (stalledFor(i, now).longerThan(STALL_TIMEOUT)
+                    && (worst < 0 || stalledFor(i, now).longerThan(stalledFor(worst, now)))) {
                 worst = i;
             }
         }
@@ -72,28 +72,28 @@
         }
         replaced.removeIf(at -> now.since(at).longerThan(WITHIN));
         if (replaced.size() >= MOST) {
-            withheld++;
+            suppressedReplacements++;
             return -1;
         }
         replaced.add(now);
-        turned[worst] = now;
+        loopTurned[worst] = now;
         judgedFrom[worst] = now.plus(GRACE);
         return worst;
     }
 
     /** How long the place has not turned, as far as it may be held against it. */
-    public Span silence(int place, Moment now) {
-        Moment from = turned[place].before(judgedFrom[place]) ? judgedFrom[place] : turned[place];
+    public Span stalledFor(int place, Moment now) {
+        Moment from = loopTurned[place].before(judgedFrom[place]) ? judgedFrom[place] : loopTurned[place];
         return now.since(from);
     }
 
     /** Looks that came too late to judge by. */
-    public long forgiven() {
-        return forgiven;
+    public long lateChecks() {
+        return lateChecks;
     }
 
     /** Stalls that were seen and left, as too many had been met before. */
-    public long withheld() {
-        return withheld;
+    public long suppressedReplacements() {
+        return suppressedReplacements;
     }
 }
--- a/src/test/java/martenslip/BadInputTest.java
+++ b/src/test/java/martenslip/BadInputTest.java
@@ -1,9 +1,9 @@
 package martenslip;
 
-import static martenslip.Exchange.CHEAP;
-import static martenslip.Exchange.URGENT;
-import static martenslip.Exchange.at;
-import static martenslip.Exchange.contact;
+import static martenslip.ExchangeFixture.CHEAP;
+import static martenslip.ExchangeFixture.URGENT;
+import static martenslip.ExchangeFixture.at;
+import static martenslip.ExchangeFixture.contact;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -12,8 +12,8 @@
 import martenslip.control.Controller.ListKind;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.control.SwitchLine.State;
+import martenslip.control.SwitchEntry;
+import martenslip.control.SwitchEntry.State;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -22,25 +22,25 @@
     private static final float NAN = Float.NaN;
     private static final float MOST = Float.POSITIVE_INFINITY;
 
-    private static Exchange exchange() {
-        Exchange exchange = new Exchange();
+    private static ExchangeFixture exchange() {
+        ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("report.fields", "spare,total,allowed,depth");
         return exchange.ready(20, 40);
     }
 
-    private static Exchange told(Moment when, float... report) {
-        Exchange exchange = exchange();
-        exchange.logic.reported(when, 101, true, Span.ZERO, report);
+    private static ExchangeFixture told(Moment when, float... report) {
+        ExchangeFixture exchange = exchange();
+        exchange.logic.switchReported(when, 101, true, Span.ZERO, report);
         return exchange;
     }
 
-    private static void offer(Exchange exchange, long id, int skill, double at) {
-        exchange.logic.offered(at(at), contact(id, skill, 3));
+    private static void offer(ExchangeFixture exchange, long id, int skill, double at) {
+        exchange.logic.contactOffered(at(at), contact(id, skill, 3));
     }
 
     @Test
     public void aProcessorThatTakesNothingIsJammedFromTheFirstWordOn() {
-        Exchange exchange = told(at(1), 20, 40, 0, 300);
+        ExchangeFixture exchange = told(at(1), 20, 40, 0, 300);
         offer(exchange, 1, CHEAP, 1.01);
         assertEquals(exchange.orders(), List.of("defer 1"));
         offer(exchange, 2, URGENT, 1.01);
@@ -68,9 +68,9 @@
 
     @Test(dataProvider = "reports")
     public void aReportOfNoNumberIsForgottenWithTheNextGoodOne(float[] bad) {
-        Exchange exchange = told(at(1), bad);
+        ExchangeFixture exchange = told(at(1), bad);
         for (int i = 0; i < 40; i++) {
-            exchange.logic.reported(at(20 + i * 0.1), 101, true, Span.ZERO, new float[] {20, 40, 50, 1});
+            exchange.logic.switchReported(at(20 + i * 0.1), 101, true, Span.ZERO, new float[] {20, 40, 50, 1});
         }
         offer(exchange, 1, CHEAP, 24);
         assertEquals(exchange.orders(), List.of("ring 1 101"));
@@ -78,11 +78,11 @@
 
     @Test
     public void aGroupOfNoCircuitsTakesNobodyWhateverItSaysIsFree() {
-        Exchange exchange = told(at(1), 5, 0, -1, -1);
+        ExchangeFixture exchange = told(at(1), 5, 0, -1, -1);
         assertEquals(exchange.logic.at(101).free, 0);
-        exchange.logic.reported(at(1), 101, true, Span.ZERO, new float[] {90, 40, -1, -1});
+        exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {90, 40, -1, -1});
         assertEquals(exchange.logic.at(101).free, 40);
-        exchange.logic.reported(at(1), 101, true, Span.ZERO, new float[] {-3, 40, -1, -1});
+        exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {-3, 40, -1, -1});
         assertEquals(exchange.logic.at(101).free, 0);
     }
 
@@ -106,26 +106,27 @@
 
     @Test(dataProvider = "contacts")
     public void anOddContactGetsOneAnswerOrOneRing(int skill, int width, int destination, double patience) {
-        Exchange exchange = exchange();
-        exchange.logic.offered(
+        ExchangeFixture exchange = exchange();
+        exchange.logic.contactOffered(
                 at(1), new Contact(1, skill, 7, destination, -1, width, Span.ofMillis(patience), false, false, false));
-        exchange.logic.clockRung(at(1.6), 2);
+        exchange.logic.timerExpired(at(1.6), 2);
         List<String> orders = exchange.orders();
         assertTrue(orders.equals(List.of("defer 1")) || orders.equals(List.of("ring 1 101")), "" + orders);
     }
 
     @Test
     public void noNoteOfAPeerThrowsOrLeavesMoreThanItsNumbers() {
-        Exchange exchange = exchange();
+        ExchangeFixture exchange = exchange();
         exchange.settings.put("policy-limits.peers", "true");
-        exchange.logic.listed(at(1), ListKind.CHANGES, List.of(new SwitchLine(900, -2, State.READY, null, 0)));
+        exchange.logic.switchListReceived(
+                at(1), ListKind.CHANGES, List.of(new SwitchEntry(900, -2, State.READY, null, 0)));
         for (int length = 0; length < 300; length++) {
             byte[] note = new byte[length];
             java.util.Arrays.fill(note, (byte) (length % 2 == 0 ? 0xff : length));
-            exchange.logic.peerNote(at(1), -1, note);
+            exchange.logic.peerNoteReceived(at(1), -1, note);
         }
         for (int number = 0; number < 0xffff; number++) {
-            exchange.logic.peerNote(at(1), 5, new byte[] {(byte) (number >> 8), (byte) number, 2});
+            exchange.logic.peerNoteReceived(at(1), 5, new byte[] {(byte) (number >> 8), (byte) number, 2});
         }
         assertTrue(
                 exchange.logic.at(101).weights.size() <= 4,
@@ -136,8 +137,8 @@
 
     @Test
     public void aFaultInOnePieceOfNewsCostsThatPieceOnly() {
-        Exchange exchange = exchange();
-        exchange.logic.offered(at(1), null);
+        ExchangeFixture exchange = exchange();
+        exchange.logic.contactOffered(at(1), null);
         offer(exchange, 1, CHEAP, 2);
         List<String> orders = exchange.orders();
         assertTrue(orders.contains("ring 1 101"), "" + orders);
@@ -147,7 +148,7 @@
     /** The machine leaves the trace out of a fault that has come often. */
     @Test
     public void aFaultWithoutATraceDoesNotLeaveTheModule() {
-        Exchange exchange = exchange();
+        ExchangeFixture exchange = exchange();
         RuntimeException bare = new RuntimeException("planted", null, false, false) {
             private static final long serialVersionUID = 1L;
         };
@@ -160,12 +161,12 @@
 
     @Test
     public void machinesThatWereReplacedAreForgotten() {
-        Exchange exchange = exchange();
+        ExchangeFixture exchange = exchange();
         for (int life = 1; life <= 500; life++) {
-            SwitchLine old = new SwitchLine(life == 1 ? 101 : 1000 + life, 1, State.GONE, null, 0);
-            exchange.logic.listed(
-                    at(life), ListKind.CHANGES, List.of(old, new SwitchLine(1001 + life, 1, State.READY, null, 0)));
-            exchange.logic.reported(at(life), 1001 + life, true, Span.ZERO, new float[] {20, 40, -1, -1});
+            SwitchEntry old = new SwitchEntry(life == 1 ? 101 : 1000 + life, 1, State.GONE, null, 0);
+            exchange.logic.switchListReceived(
+                    at(life), ListKind.CHANGES, List.of(old, new SwitchEntry(1001 + life, 1, State.READY, null, 0)));
+            exchange.logic.switchReported(at(life), 1001 + life, true, Span.ZERO, new float[] {20, 40, -1, -1});
         }
         assertEquals(exchange.logic.turn(), Span.ofMillis(1000));
         offer(exchange, 1, CHEAP, 600);
--- a/src/test/java/martenslip/ColdFleet.java
+++ b/src/test/java/martenslip/ColdStartFleetSimulation.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
 import martenslip.control.Contact;
 import martenslip.control.Controller.ListKind;
 import martenslip.control.Moment;
 import martenslip.control.Orders;
+import martenslip.control.RejectionReason;
 import martenslip.control.RingEnd;
+import martenslip.control.RingEndCause;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.control.SwitchLine.State;
+import martenslip.control.SwitchEntry;
+import martenslip.control.SwitchEntry.State;
 
 /**
  * A fleet of modules before one switch that is replaced, on driven time: what all of them send to the cold machine,
  * held against what the settings allow it in each window. Traffic is thin and uneven, callers who are refused come
  * again. It knows nothing of how the module spends.
  */
-final class ColdFleet {
+final class ColdStartFleetSimulation {
     static final double WARM_S = 14;
     static final double SHARE = 0.29;
     static final double MULTIPLE = 3;
@@ -39,45 +39,45 @@
      * is replaced, {@code young} the part of processes that started a moment before or after. {@code sameId}: the
      * machine itself came back, rather than another in its place.
      */
-    record Plan(int processes, double calls, double rush, double young, boolean sameId) {}
+    record Parameters(int processes, double calls, double rush, double young, boolean sameId) {}
 
     /** Worst window: sent less the allowance N, in units of 2 sqrt(N) + 2; over 1 the switch falls. */
-    record Found(double worst, int sent, double allowed, double sentCold) {}
+    record Result(double worst, int sent, double allowed, double sentCold) {}
 
     /** {@code told}: its sender knew of the start. A fall is the fleet's where over two thirds of a window did. */
     private record Arrival(double at, boolean told) {}
 
-    private record Event(double at, long order, Runnable what) {}
+    private record ScheduledEvent(double at, long order, Runnable what) {}
 
-    private final Plan plan;
+    private final Parameters plan;
     private final SplittableRandom chance;
-    private final PriorityQueue<Event> events =
+    private final PriorityQueue<ScheduledEvent> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final List<Process> processes = new ArrayList<>();
+    private final List<ExchangeProcess> processes = new ArrayList<>();
     private final ArrayDeque<Arrival> window = new ArrayDeque<>();
     private double now;
     private long ids;
-    private Found found = new Found(-9, 0, 0, 0);
+    private Result found = new Result(-9, 0, 0, 0);
     private int askedCold;
     private int sentCold;
 
-    private ColdFleet(Plan plan, long seed) {
+    private ColdStartFleetSimulation(Parameters plan, long seed) {
         this.plan = plan;
         chance = new SplittableRandom(seed);
     }
 
-    static Found play(Plan plan, long seed) {
-        return new ColdFleet(plan, seed).run();
+    static Result play(Parameters plan, long seed) {
+        return new ColdStartFleetSimulation(plan, seed).run();
     }
 
-    private final class Process implements Orders {
+    private final class ExchangeProcess implements Orders {
         private final int number;
         private final double rate;
         private final Map<Long, Integer> tries = new HashMap<>();
-        private Logic logic;
+        private RoutingPolicy logic;
         private boolean told;
 
-        Process(int number, double rate, double starts) {
+        ExchangeProcess(int number, double rate, double starts) {
             this.number = number;
             this.rate = rate;
             at(starts, this::start);
@@ -85,13 +85,13 @@
         }
 
         private void start() {
-            logic = new Logic(settings(), chance.nextLong(), moment(), this);
+            logic = new RoutingPolicy(settings(), chance.nextLong(), moment(), this);
             boolean after = now >= REPLACED_S + LAG_S;
             told = after;
-            logic.listed(
+            logic.switchListReceived(
                     moment(),
-                    ListKind.REMEMBERED,
-                    List.of(new SwitchLine(1000 + number, number, State.READY, null, 0), after ? cold() : warm()));
+                    ListKind.CACHED,
+                    List.of(new SwitchEntry(1000 + number, number, State.READY, null, 0), after ? cold() : warm()));
             group();
         }
 
@@ -99,7 +99,7 @@
         private void group() {
             float size = (float) Math.max(2, Math.ceil(rate * HOLD_S * 1.3));
             for (long id : new long[] {101, 201}) {
-                logic.reported(moment(), id, true, Span.ZERO, new float[] {size, size});
+                logic.switchReported(moment(), id, true, Span.ZERO, new float[] {size, size});
             }
         }
 
@@ -109,9 +109,10 @@
             }
             told = true;
             if (!plan.sameId) {
-                logic.listed(moment(), ListKind.CHANGES, List.of(new SwitchLine(101, 1, State.GONE, null, 0)));
+                logic.switchListReceived(
+                        moment(), ListKind.CHANGES, List.of(new SwitchEntry(101, 1, State.GONE, null, 0)));
             }
-            logic.listed(moment(), ListKind.CHANGES, List.of(cold()));
+            logic.switchListReceived(moment(), ListKind.CHANGES, List.of(cold()));
             group();
         }
 
@@ -130,7 +131,7 @@
             long id = ++ids;
             tries.put(id, again);
             askedCold += again == 0 && now >= REPLACED_S ? 1 : 0;
-            logic.offered(
+            logic.contactOffered(
                     moment(),
                     new Contact(
                             id,
@@ -152,8 +153,8 @@
                 arrived(told);
                 sentCold++;
             }
-            Logic to = logic;
-            at(now + 0.02, () -> to.stands(moment(), contact, 0, target, Span.ofMillis(20)));
+            RoutingPolicy to = logic;
+            at(now + 0.02, () -> to.established(moment(), contact, 0, target, Span.ofMillis(20)));
             at(
                     now + 0.02 - HOLD_S * Math.log(1 - chance.nextDouble()),
                     () -> to.ringEnded(
@@ -162,8 +163,8 @@
                                     contact,
                                     0,
                                     target,
-                                    Cause.CONCLUDED,
-                                    Blame.NONE,
+                                    RingEndCause.CONCLUDED,
+                                    RejectionReason.NONE,
                                     Span.ofMillis(9000),
                                     true,
                                     new float[0])));
@@ -183,17 +184,17 @@
         }
 
         @Override
-        public void clock(Span delay, long token) {
-            Logic to = logic;
+        public void startTimer(Span delay, long token) {
+            RoutingPolicy to = logic;
             at(now + delay.ns() / 1e9, () -> {
                 if (to != null) {
-                    to.clockRung(moment(), token);
+                    to.timerExpired(moment(), token);
                 }
             });
         }
 
         @Override
-        public void callOff(long contact, int ring) {
+        public void cancel(long contact, int ring) {
             // Rings here stand before anybody gives up.
         }
 
@@ -203,12 +204,12 @@
         }
 
         @Override
-        public void note(int peer, byte[] note) {
+        public void sendNote(int peer, byte[] note) {
             throw new IllegalStateException("notes are not allowed");
         }
 
         @Override
-        public void watchList(boolean on) {
+        public void watchSwitchList(boolean on) {
             // Told unasked.
         }
 
@@ -219,7 +220,7 @@
     }
 
     private Map<String, String> settings() {
-        Map<String, String> all = new HashMap<>(new Exchange().settings);
+        Map<String, String> all = new HashMap<>(new ExchangeFixture().settings);
         all.put("family-info.home-no", "2");
         all.put("guarantees.warm-within-ns", Long.toString((long) (WARM_S * 1e9)));
         all.put("guarantees.cold-share", Double.toString(SHARE));
@@ -229,12 +230,12 @@
         return all;
     }
 
-    private SwitchLine warm() {
-        return new SwitchLine(101, 1, State.READY, null, 0);
+    private SwitchEntry warm() {
+        return new SwitchEntry(101, 1, State.READY, null, 0);
     }
 
-    private SwitchLine cold() {
-        return new SwitchLine(plan.sameId ? 101 : 201, 1, State.READY, new Moment((long) (REPLACED_S * 1e9)), 0);
+    private SwitchEntry cold() {
+        return new SwitchEntry(plan.sameId ? 101 : 201, 1, State.READY, new Moment((long) (REPLACED_S * 1e9)), 0);
     }
 
     private Moment moment() {
@@ -242,7 +243,7 @@
     }
 
     private void at(double when, Runnable what) {
-        events.add(new Event(when, ++ids, what));
+        events.add(new ScheduledEvent(when, ++ids, what));
     }
 
     private void arrived(boolean told) {
@@ -255,11 +256,11 @@
         double over = (window.size() - allowed) / (2 * Math.sqrt(allowed) + 2);
         boolean ours = window.stream().filter(Arrival::told).count() * 3 > window.size() * 2;
         if (ours && age < 1 && over > found.worst) {
-            found = new Found(over, window.size(), allowed, 0);
+            found = new Result(over, window.size(), allowed, 0);
         }
     }
 
-    private Found run() {
+    private Result run() {
         double[] shares = new double[plan.processes];
         double all = 0;
         for (int i = 0; i < shares.length; i++) {
@@ -269,13 +270,13 @@
         for (int i = 0; i < shares.length; i++) {
             boolean young = i < plan.young * shares.length;
             double starts = young ? REPLACED_S - 2 + 6 * chance.nextDouble() : 0;
-            processes.add(new Process(2 + i, plan.calls * shares[i] / all, starts));
+            processes.add(new ExchangeProcess(2 + i, plan.calls * shares[i] / all, starts));
         }
-        at(REPLACED_S + LAG_S, () -> processes.forEach(Process::replaced));
-        for (Event event = events.poll(); event != null && event.at < END_S; event = events.poll()) {
+        at(REPLACED_S + LAG_S, () -> processes.forEach(ExchangeProcess::replaced));
+        for (ScheduledEvent event = events.poll(); event != null && event.at < END_S; event = events.poll()) {
             now = event.at;
             event.what.run();
         }
-        return new Found(found.worst, found.sent, found.allowed, (double) sentCold / Math.max(1, askedCold));
+        return new Result(found.worst, found.sent, found.allowed, (double) sentCold / Math.max(1, askedCold));
     }
 }
--- a/src/test/java/martenslip/ColdFleetTest.java
+++ b/src/test/java/martenslip/ColdStartFleetTest.java
@@ -2,42 +2,42 @@
 
 import static org.testng.Assert.assertTrue;
 
-import martenslip.ColdFleet.Found;
-import martenslip.ColdFleet.Plan;
+import martenslip.ColdStartFleetSimulation.Parameters;
+import martenslip.ColdStartFleetSimulation.Result;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** What a whole fleet sends to a cold switch stays within what the settings allow it, whoever sends it. */
-public class ColdFleetTest {
+public class ColdStartFleetTest {
     private static final int SEEDS = 8;
 
     /** Processes, calls a second to the switch, times as many after, part just started, the same machine again. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
-            {new Plan(5, 19, 1, 0, false)},
-            {new Plan(5, 19, 4, 0, true)},
-            {new Plan(20, 19, 1, 0, false)},
-            {new Plan(20, 19, 2, 0.5, false)},
-            {new Plan(20, 19, 4, 0, true)},
-            {new Plan(30, 19, 1, 0, false)},
-            {new Plan(30, 19, 2, 0.5, false)},
-            {new Plan(30, 19, 2, 0.5, true)},
-            {new Plan(30, 19, 4, 0, true)},
-            {new Plan(30, 19, 3, 1, false)},
-            {new Plan(30, 6, 3, 0.5, false)},
-            {new Plan(30, 6, 3, 0.5, true)},
-            {new Plan(48, 19, 3, 0.5, true)},
-            {new Plan(48, 19, 4, 1, false)},
+            {new Parameters(5, 19, 1, 0, false)},
+            {new Parameters(5, 19, 4, 0, true)},
+            {new Parameters(20, 19, 1, 0, false)},
+            {new Parameters(20, 19, 2, 0.5, false)},
+            {new Parameters(20, 19, 4, 0, true)},
+            {new Parameters(30, 19, 1, 0, false)},
+            {new Parameters(30, 19, 2, 0.5, false)},
+            {new Parameters(30, 19, 2, 0.5, true)},
+            {new Parameters(30, 19, 4, 0, true)},
+            {new Parameters(30, 19, 3, 1, false)},
+            {new Parameters(30, 6, 3, 0.5, false)},
+            {new Parameters(30, 6, 3, 0.5, true)},
+            {new Parameters(48, 19, 3, 0.5, true)},
+            {new Parameters(48, 19, 4, 1, false)},
         };
     }
 
     @Test(dataProvider = "fleets")
-    public void theSumStaysWithinTheAllowance(Plan plan) {
-        Found worst = null;
+    public void theSumStaysWithinTheAllowance(Parameters plan) {
+        Result worst = null;
         double served = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            Found found = ColdFleet.play(plan, seed);
+            Result found = ColdStartFleetSimulation.play(plan, seed);
             worst = worst == null || found.worst() > worst.worst() ? found : worst;
             served += found.sentCold() / SEEDS;
         }
--- a/src/test/java/martenslip/SideBySideTest.java
+++ b/src/test/java/martenslip/DeploymentIsolationTest.java
@@ -1,32 +1,32 @@
 package martenslip;
 
-import static martenslip.Exchange.at;
+import static martenslip.ExchangeFixture.at;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
 import martenslip.control.Contact;
 import martenslip.control.Controller.ListKind;
+import martenslip.control.RejectionReason;
 import martenslip.control.RingEnd;
+import martenslip.control.RingEndCause;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine.State;
+import martenslip.control.SwitchEntry.State;
 import org.testng.annotations.Test;
 
 /** Two deployments in one JVM, one after the other and side by side, decide as each does alone. */
-public class SideBySideTest {
+public class DeploymentIsolationTest {
     private static final int STEPS = 600;
 
-    private static Exchange one() {
-        return new Exchange().ready(20, 40);
+    private static ExchangeFixture one() {
+        return new ExchangeFixture().ready(20, 40);
     }
 
     /** Another customer's: three classes, one of them wide, other worths, limits and rules. */
-    private static Exchange other() {
-        Exchange exchange = new Exchange();
+    private static ExchangeFixture other() {
+        ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("classes.count", "3");
         exchange.settings.put("classes.0.worth", "9");
         exchange.settings.put("classes.1.worth", "1");
@@ -43,20 +43,20 @@
     }
 
     /** The same events for the same seed, whatever the module makes of them. */
-    private static void step(Exchange exchange, SplittableRandom chance, int step) {
+    private static void step(ExchangeFixture exchange, SplittableRandom chance, int step) {
         double now = 0.02 * step;
         int number = 1 + chance.nextInt(3);
         int skill = chance.nextInt(2);
         switch (chance.nextInt(8)) {
             case 0 ->
-                exchange.logic.reported(at(now), 100 + number, true, Span.ZERO, new float[] {
+                exchange.logic.switchReported(at(now), 100 + number, true, Span.ZERO, new float[] {
                     chance.nextInt(12), 24, chance.nextInt(100) / 100f
                 });
             case 1 ->
-                exchange.logic.listed(
+                exchange.logic.switchListReceived(
                         at(now),
                         ListKind.CHANGES,
-                        List.of(Exchange.line(
+                        List.of(ExchangeFixture.line(
                                 number,
                                 chance.nextInt(4) == 0 ? State.DRAINING : State.READY,
                                 chance.nextInt(3) == 0 ? at(now) : null)));
@@ -67,19 +67,19 @@
                                 step - 3,
                                 0,
                                 100 + number,
-                                Cause.CUT,
-                                Blame.NONE,
+                                RingEndCause.CUT,
+                                RejectionReason.NONE,
                                 Span.ofMillis(30),
                                 false,
                                 new float[0]));
             case 3 -> exchange.logic.callerGone(at(now), step - 2);
             case 4 -> {
                 for (int target = 101; target <= 103; target++) {
-                    exchange.logic.stands(at(now), step - 1, 0, target, Span.ofMillis(20));
+                    exchange.logic.established(at(now), step - 1, 0, target, Span.ofMillis(20));
                 }
             }
             default ->
-                exchange.logic.offered(
+                exchange.logic.contactOffered(
                         at(now),
                         new Contact(
                                 step,
@@ -95,7 +95,7 @@
         }
     }
 
-    private static List<String> alone(Exchange exchange, long seed) {
+    private static List<String> alone(ExchangeFixture exchange, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         for (int step = 1; step <= STEPS; step++) {
             step(exchange, chance, step);
@@ -111,8 +111,8 @@
         assertTrue(rings > 20, "only " + rings);
         assertNotEquals(first, second);
         assertEquals(alone(one(), 5), first, "one after the other");
-        Exchange one = one();
-        Exchange other = other();
+        ExchangeFixture one = one();
+        ExchangeFixture other = other();
         SplittableRandom ofOne = new SplittableRandom(5);
         SplittableRandom ofOther = new SplittableRandom(6);
         for (int step = 1; step <= STEPS; step++) {
--- a/src/test/java/martenslip/DrillTest.java
+++ b/src/test/java/martenslip/DrillTest.java
@@ -9,8 +9,8 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
-import martenslip.drill.Drill;
-import martenslip.drill.MalformedWire;
+import martenslip.simulatorprotocol.MalformedInputException;
+import martenslip.simulatorprotocol.SimulatorProtocol;
 import org.testng.annotations.Test;
 
 public class DrillTest {
@@ -44,7 +44,7 @@
 
     private static byte[] answer(byte[] input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Drill(new ByteArrayInputStream(input), out, Logic::new).run();
+        new SimulatorProtocol(new ByteArrayInputStream(input), out, RoutingPolicy::new).run();
         return out.toByteArray();
     }
 
@@ -88,12 +88,12 @@
 
     @Test
     public void malformedInputIsNamedWithItsPlace() {
-        assertThrows(MalformedWire.class, () -> answer(hex("0000000100000008")));
-        assertThrows(MalformedWire.class, () -> answer(batch(hex("270f 00000003"))));
-        assertThrows(MalformedWire.class, () -> answer(batch(hex("0424 00000003 0000"))));
-        assertThrows(MalformedWire.class, () -> answer(batch(hex("044c 0010 00000000"))));
-        assertThrows(MalformedWire.class, () -> answer(batch(hex("044c 0000 7fffffff"))));
-        assertThrows(MalformedWire.class, () -> answer(batch(started("no equals sign here"))));
+        assertThrows(MalformedInputException.class, () -> answer(hex("0000000100000008")));
+        assertThrows(MalformedInputException.class, () -> answer(batch(hex("270f 00000003"))));
+        assertThrows(MalformedInputException.class, () -> answer(batch(hex("0424 00000003 0000"))));
+        assertThrows(MalformedInputException.class, () -> answer(batch(hex("044c 0010 00000000"))));
+        assertThrows(MalformedInputException.class, () -> answer(batch(hex("044c 0000 7fffffff"))));
+        assertThrows(MalformedInputException.class, () -> answer(batch(started("no equals sign here"))));
     }
 
     @Test
--- a/src/test/java/martenslip/Exchange.java
+++ b/src/test/java/martenslip/ExchangeFixture.java
@@ -10,10 +10,10 @@
 import martenslip.control.Moment;
 import martenslip.control.Orders;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
+import martenslip.control.SwitchEntry;
 
 /** An exchange numbered 0 with three others, for tests: what the module orders is kept as lines of text. */
-final class Exchange implements Orders {
+final class ExchangeFixture implements Orders {
     static final int CHEAP = 0;
     static final int URGENT = 1;
     final Map<String, String> settings = new HashMap<>(Map.ofEntries(
@@ -33,14 +33,14 @@
             Map.entry("report.fields", "spare,total,cut_by"),
             Map.entry("round-ns", "5000000")));
     final List<String> ordered = new ArrayList<>();
-    Logic logic;
+    RoutingPolicy logic;
 
     static Moment at(double seconds) {
         return new Moment((long) (seconds * 1e9));
     }
 
-    static SwitchLine line(int number, SwitchLine.State state, Moment started) {
-        return new SwitchLine(100 + number, number, state, started, 0);
+    static SwitchEntry line(int number, SwitchEntry.State state, Moment started) {
+        return new SwitchEntry(100 + number, number, state, started, 0);
     }
 
     static Contact contact(long id, int skill, double patience) {
@@ -52,26 +52,27 @@
     }
 
     /** All switches ready, each with a group of this size and this many circuits free. */
-    Exchange ready(int free, int size) {
-        logic = new Logic(settings, 7, at(0), this);
-        List<SwitchLine> lines = new ArrayList<>();
+    ExchangeFixture ready(int free, int size) {
+        logic = new RoutingPolicy(settings, 7, at(0), this);
+        List<SwitchEntry> lines = new ArrayList<>();
         for (int number = 0; number < 4; number++) {
-            lines.add(line(number, SwitchLine.State.READY, null));
+            lines.add(line(number, SwitchEntry.State.READY, null));
         }
-        logic.listed(at(0), ListKind.WHOLE, lines);
+        logic.switchListReceived(at(0), ListKind.FULL, lines);
         for (int number = 1; number < 4; number++) {
             group(number, free, size);
         }
         return this;
     }
 
-    Exchange group(int number, int free, int size) {
-        logic.reported(at(0), 100 + number, true, Span.ZERO, new float[] {free, size, -1});
+    ExchangeFixture group(int number, int free, int size) {
+        logic.switchReported(at(0), 100 + number, true, Span.ZERO, new float[] {free, size, -1});
         return this;
     }
 
-    Logic.Ask ask(Contact contact) {
-        return new Logic.Ask(contact, logic.skills[contact.skill()], logic.at(101), true, at(9), 0, at(0), Set.of());
+    RoutingPolicy.CircuitRequest ask(Contact contact) {
+        return new RoutingPolicy.CircuitRequest(
+                contact, logic.skills[contact.skill()], logic.at(101), true, at(9), 0, at(0), Set.of());
     }
 
     /** What was ordered but for clocks, which is cleared. */
@@ -88,7 +89,7 @@
     }
 
     @Override
-    public void callOff(long contact, int ring) {
+    public void cancel(long contact, int ring) {
         ordered.add("off " + contact + " " + ring);
     }
 
@@ -103,7 +104,7 @@
     }
 
     @Override
-    public void clock(Span delay, long token) {
+    public void startTimer(Span delay, long token) {
         ordered.add("clock " + token + " " + delay.ns());
     }
 
@@ -113,12 +114,12 @@
     }
 
     @Override
-    public void note(int peer, byte[] note) {
+    public void sendNote(int peer, byte[] note) {
         ordered.add("note " + peer);
     }
 
     @Override
-    public void watchList(boolean on) {
+    public void watchSwitchList(boolean on) {
         ordered.add("watch " + on);
     }
 
--- a/src/test/java/martenslip/EveryOrder.java
+++ b/src/test/java/martenslip/InterleavingExplorer.java
@@ -9,47 +9,47 @@
  * Every order of a world's events: depth first, each sequence played from the start, as a world can't be copied. After
  * so many choices the rest is played in one order until nothing is left to come. It stops at the first fault.
  */
-public final class EveryOrder {
+public final class InterleavingExplorer {
     /** One thing that may come next. */
-    public record Event(String name, Runnable what) {}
+    public record Event(String name, Runnable action) {}
 
     /** What is explored; it judges itself by the rules as it goes. */
-    public interface World {
+    public interface Simulation {
         /** What may come next, always in the same order. */
-        List<Event> enabled();
+        List<Event> enabledEvents();
 
-        FiveRules rules();
+        RuleChecker rules();
 
         /** Looks at what is left once nothing more can come. */
-        void quiet();
+        void checkQuiescent();
     }
 
     /** How many sequences a world has, and the first fault met with the way there, or null. */
-    public record Found(long sequences, String fault) {}
+    public record SearchResult(long sequences, String fault) {}
 
     private static final int MOST_TAIL = 400;
 
-    private final Supplier<World> worlds;
+    private final Supplier<Simulation> worlds;
     private final int depth;
     private long sequences;
     private String fault;
 
-    private EveryOrder(Supplier<World> worlds, int depth) {
+    private InterleavingExplorer(Supplier<Simulation> worlds, int depth) {
         this.worlds = worlds;
         this.depth = depth;
     }
 
     /** {@code worlds} makes the same world each time. */
-    public static Found search(Supplier<World> worlds, int depth) {
-        EveryOrder search = new EveryOrder(worlds, depth);
+    public static SearchResult search(Supplier<Simulation> worlds, int depth) {
+        InterleavingExplorer search = new InterleavingExplorer(worlds, depth);
         search.from(new int[0]);
-        return new Found(search.sequences, search.fault);
+        return new SearchResult(search.sequences, search.fault);
     }
 
     private void from(int[] picks) {
-        World world = worlds.get();
+        Simulation world = worlds.get();
         List<String> names = new ArrayList<>();
-        List<Event> next = world.enabled();
+        List<Event> next = world.enabledEvents();
         for (int pick : picks) {
             next = step(world, next.get(pick), names);
         }
@@ -60,10 +60,10 @@
             for (int i = 0; i < MOST_TAIL && !next.isEmpty(); i++) {
                 next = step(world, next.get(0), names);
             }
-            world.quiet();
+            world.checkQuiescent();
         }
-        if (!world.rules().broken().isEmpty()) {
-            fault = world.rules().broken() + " after " + names;
+        if (!world.rules().violations().isEmpty()) {
+            fault = world.rules().violations() + " after " + names;
         }
         int[] longer = Arrays.copyOf(picks, picks.length + 1);
         for (int pick = 0; pick < choices && fault == null; pick++) {
@@ -72,9 +72,9 @@
         }
     }
 
-    private static List<Event> step(World world, Event event, List<String> names) {
+    private static List<Event> step(Simulation world, Event event, List<String> names) {
         names.add(event.name());
-        event.what().run();
-        return world.enabled();
+        event.action().run();
+        return world.enabledEvents();
     }
 }
--- a/src/test/java/martenslip/EveryOrderTest.java
+++ b/src/test/java/martenslip/RoutingPolicyInterleavingTest.java
@@ -6,26 +6,27 @@
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.util.List;
-import martenslip.EveryOrder.Found;
-import martenslip.TinyWorld.Plan;
-import martenslip.control.Cause;
+import martenslip.InterleavingExplorer.SearchResult;
+import martenslip.ThreeExchangeSimulation.Parameters;
 import martenslip.control.Controller;
 import martenslip.control.Controller.ListKind;
 import martenslip.control.Orders;
 import martenslip.control.RingEnd;
+import martenslip.control.RingEndCause;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /**
  * The very module, through every order of a few events. Every event is judged by the rules.
  */
-public class EveryOrderTest {
-    private static Found search(Plan plan, int depth) {
-        return EveryOrder.search(() -> new TinyWorld(plan, orders -> orders, module -> module), depth);
+public class RoutingPolicyInterleavingTest {
+    private static SearchResult search(Parameters plan, int depth) {
+        return InterleavingExplorer.search(
+                () -> new ThreeExchangeSimulation(plan, orders -> orders, module -> module), depth);
     }
 
-    private static Plan plan(int direct, int around, int offers, int troubles, boolean late, String... faults) {
-        return new Plan(direct, around, offers, troubles, late, 600, List.of(faults));
+    private static Parameters plan(int direct, int around, int offers, int troubles, boolean late, String... faults) {
+        return new Parameters(direct, around, offers, troubles, late, 600, List.of(faults));
     }
 
     /** Name, world, choices, and how many sequences that makes: another figure says that the search has changed. */
@@ -41,7 +42,7 @@
             {"gone, clocks late", plan(1, 1, 2, 1, true, "gone"), 7, 34739L},
             {"replaced", plan(2, 1, 2, 1, false, "replaced"), 7, 22430L},
             {"replaced while one waits", plan(1, 0, 2, 1, true, "replaced"), 8, 19859L},
-            {"hardly any patience, clocks late", new Plan(1, 1, 2, 1, true, 120, List.of()), 8, 19272L},
+            {"hardly any patience, clocks late", new Parameters(1, 1, 2, 1, true, 120, List.of()), 8, 19272L},
             {"a restart with the kept list", plan(1, 1, 3, 0, false, "restart"), 8, 36624L},
             {"a restart amid a drain", plan(1, 1, 2, 0, true, "restart", "drains"), 7, 9959L},
             {"cold", plan(8, 1, 5, 0, false, "cold"), 7, 18053L},
@@ -53,13 +54,13 @@
     }
 
     @Test(dataProvider = "worlds")
-    public void rulesHoldInEveryOrder(String name, Plan plan, int depth, long sequences) {
-        assertEquals(search(plan, depth), new Found(sequences, null), name);
+    public void rulesHoldInEveryOrder(String name, Parameters plan, int depth, long sequences) {
+        assertEquals(search(plan, depth), new SearchResult(sequences, null), name);
     }
 
     /** Hands each call on as {@code change} says: it may alter the arguments, or give null to drop the call. */
     @SuppressWarnings("unchecked")
-    private static <T> T spoilt(Class<T> type, T real, Change change) {
+    private static <T> T spoilt(Class<T> type, T real, CallInterceptor change) {
         return (T) Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, (proxy, method, values) -> {
             Object[] changed = change.of(method.getName(), values, () -> method.invoke(real, values));
             try {
@@ -70,25 +71,29 @@
         });
     }
 
-    private interface Change {
-        Object[] of(String name, Object[] values, Again again) throws Exception;
+    private interface CallInterceptor {
+        Object[] of(String name, Object[] values, RealCall again) throws Exception;
     }
 
-    private interface Again {
+    private interface RealCall {
         void call() throws Exception;
     }
 
-    private static Found withOrders(Plan plan, Change change) {
-        return EveryOrder.search(
-                () -> new TinyWorld(plan, orders -> spoilt(Orders.class, orders, change), module -> module), 6);
+    private static SearchResult withOrders(Parameters plan, CallInterceptor change) {
+        return InterleavingExplorer.search(
+                () -> new ThreeExchangeSimulation(
+                        plan, orders -> spoilt(Orders.class, orders, change), module -> module),
+                6);
     }
 
-    private static Found withModule(Plan plan, Change change) {
-        return EveryOrder.search(
-                () -> new TinyWorld(plan, orders -> orders, module -> spoilt(Controller.class, module, change)), 6);
+    private static SearchResult withModule(Parameters plan, CallInterceptor change) {
+        return InterleavingExplorer.search(
+                () -> new ThreeExchangeSimulation(
+                        plan, orders -> orders, module -> spoilt(Controller.class, module, change)),
+                6);
     }
 
-    private static void caught(Found found, String rule) {
+    private static void caught(SearchResult found, String rule) {
         assertTrue(found.fault() != null && found.fault().startsWith("[" + rule + ": "), "" + found);
     }
 
@@ -155,9 +160,9 @@
                                 end.contact(),
                                 end.ring(),
                                 end.target(),
-                                Cause.UNREACHABLE,
-                                end.blame(),
-                                end.took(),
+                                RingEndCause.UNREACHABLE,
+                                end.rejectionReason(),
+                                end.elapsed(),
                                 end.answered(),
                                 end.report());
                     }
