--- a/src/test/java/martenslip/LogicTest.java
+++ b/src/test/java/martenslip/RoutingPolicyTest.java
@@ -1,101 +1,102 @@
 package martenslip;
 
-import static martenslip.Exchange.CHEAP;
-import static martenslip.Exchange.URGENT;
-import static martenslip.Exchange.at;
-import static martenslip.Exchange.contact;
-import static martenslip.Exchange.line;
-import static martenslip.Exchange.transit;
+import static martenslip.ExchangeFixture.CHEAP;
+import static martenslip.ExchangeFixture.URGENT;
+import static martenslip.ExchangeFixture.at;
+import static martenslip.ExchangeFixture.contact;
+import static martenslip.ExchangeFixture.line;
+import static martenslip.ExchangeFixture.transit;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
 import martenslip.control.Contact;
 import martenslip.control.Controller.ListKind;
+import martenslip.control.RejectionReason;
 import martenslip.control.RingEnd;
+import martenslip.control.RingEndCause;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine.State;
+import martenslip.control.SwitchEntry.State;
 import org.testng.annotations.Test;
 
-public class LogicTest {
-    private static RingEnd end(long contact, int ring, Cause cause, Blame blame) {
+public class RoutingPolicyTest {
+    private static RingEnd end(long contact, int ring, RingEndCause cause, RejectionReason blame) {
         return new RingEnd(contact, ring, 101, cause, blame, Span.ofMillis(10), false, new float[0]);
     }
 
-    private static Logic.Ask ask(Exchange exchange, int skill, int width) {
+    private static RoutingPolicy.CircuitRequest ask(ExchangeFixture exchange, int skill, int width) {
         Contact contact = new Contact(1, skill, 0, 1, -1, width, Span.ofMillis(3000), false, false, false);
         return exchange.ask(contact);
     }
 
     @Test
     public void directWhileTheGroupHasRoom() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.offered(at(1), contact(1, CHEAP, 3));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
         assertEquals(exchange.orders(), List.of("ring 1 101"));
     }
 
     @Test
     public void tandemWhenTheDirectGroupIsFull() {
-        Exchange exchange = new Exchange().ready(20, 40).group(1, 0, 40);
-        exchange.logic.offered(at(1), contact(1, URGENT, 3));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 40);
+        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
         List<String> orders = exchange.orders();
         assertTrue(orders.equals(List.of("ring 1 102")) || orders.equals(List.of("ring 1 103")), orders.toString());
     }
 
     @Test
     public void transitGoesOnOrIsTurnedBackAtOnce() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.offered(at(1), transit(1, CHEAP));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.contactOffered(at(1), transit(1, CHEAP));
         assertEquals(exchange.orders(), List.of("ring 1 101"));
         exchange.group(1, 1, 40);
-        exchange.logic.offered(at(1), transit(2, CHEAP));
+        exchange.logic.contactOffered(at(1), transit(2, CHEAP));
         assertEquals(exchange.orders(), List.of("defer 2"));
     }
 
     @Test
     public void sharesBindOnlyNearFull() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        Logic.Switch group = exchange.logic.at(101);
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        RoutingPolicy.Switch group = exchange.logic.at(101);
         group.urgent.add(16, Span.ZERO, at(0));
         assertTrue(group.stage() >= 2);
         assertNull(group.admits(ask(exchange, CHEAP, 1), false));
         exchange.group(1, 1, 40);
-        assertEquals(group.admits(ask(exchange, CHEAP, 1), false), Logic.Reason.SHARE);
+        assertEquals(group.admits(ask(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE);
         assertNull(group.admits(ask(exchange, URGENT, 1), false));
     }
 
     @Test
     public void theWidthCountsAtAShareEdge() {
-        Exchange exchange = new Exchange().ready(1, 40);
-        Logic.Switch group = exchange.logic.at(101);
+        ExchangeFixture exchange = new ExchangeFixture().ready(1, 40);
+        RoutingPolicy.Switch group = exchange.logic.at(101);
         group.urgent.add(10, Span.ZERO, at(0));
         double limit = exchange.logic.share(CHEAP, group.stage()) * 40;
         group.held[URGENT] = 40 - 1 - (int) limit;
         group.free = 1;
         assertEquals(group.holds(CHEAP), (int) limit);
-        assertEquals(group.admits(ask(exchange, CHEAP, 1), false), Logic.Reason.SHARE);
+        assertEquals(group.admits(ask(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE);
         group.held[URGENT]++;
         assertNull(group.admits(ask(exchange, CHEAP, 1), false));
         group.free = 2;
         group.held[URGENT]--;
-        assertEquals(group.admits(ask(exchange, CHEAP, 2), false), Logic.Reason.SHARE);
+        assertEquals(group.admits(ask(exchange, CHEAP, 2), false), RoutingPolicy.DenialReason.SHARE);
     }
 
     @Test
     public void cheaperSharesShrinkAtHigherStages() {
-        Exchange exchange = new Exchange().ready(1, 40);
-        for (int stage = 1; stage < Logic.SHARES.length; stage++) {
+        ExchangeFixture exchange = new ExchangeFixture().ready(1, 40);
+        for (int stage = 1; stage < RoutingPolicy.SHARES.length; stage++) {
             assertTrue(exchange.logic.share(CHEAP, stage) < exchange.logic.share(CHEAP, stage - 1));
         }
     }
 
     @Test
     public void urgentDemandFades() {
-        Logic.Seen count = new Logic.Seen(1, Span.ofMillis(1000), Span.ofMillis(1000), at(0));
+        RoutingPolicy.DecayingHistogram count =
+                new RoutingPolicy.DecayingHistogram(1, Span.ofMillis(1000), Span.ofMillis(1000), at(0));
         count.add(8, Span.ZERO, at(0.5));
         assertEquals(count.mean(at(0.9)), 8.0);
         assertEquals(count.mean(at(3.5)), 4 / (3 * (0.5 + 0.5 / 3)), 1e-9);
@@ -104,9 +105,9 @@
 
     @Test
     public void oneCallerWhoRedialsIsOneWant() {
-        Exchange exchange = new Exchange().ready(20, 40);
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
         for (long id = 1; id < 4; id++) {
-            exchange.logic.offered(
+            exchange.logic.contactOffered(
                     at(1 + 2 * id), new Contact(id, URGENT, 77, 1, -1, 1, Span.ofMillis(1000), false, false, false));
             exchange.logic.callerGone(at(2 + 2 * id), id);
         }
@@ -115,11 +116,11 @@
 
     @Test
     public void aCheapRedialPastItsTargetGoesLast() {
-        Exchange exchange = new Exchange().ready(2, 40);
+        ExchangeFixture exchange = new ExchangeFixture().ready(2, 40);
         for (long id = 1; id < 3; id++) {
-            exchange.logic.offered(
+            exchange.logic.contactOffered(
                     at(2 * id), new Contact(id, CHEAP, 77, 1, -1, 1, Span.ofMillis(1500), false, false, false));
-            exchange.logic.clockRung(at(2 * id + 1.5), 2 * id);
+            exchange.logic.timerExpired(at(2 * id + 1.5), 2 * id);
             exchange.group(1, 2, 40);
         }
         assertEquals(exchange.orders(), List.of("ring 1 101", "off 1 0", "abandon 1", "defer 2"));
@@ -127,77 +128,77 @@
 
     @Test
     public void oneFinalAnswerBeforePatienceEndsAndNothingAfter() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.offered(at(1), contact(1, CHEAP, 3));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
         exchange.orders();
-        exchange.logic.clockRung(at(3.99), 2);
+        exchange.logic.timerExpired(at(3.99), 2);
         assertEquals(exchange.orders(), List.of("off 1 0", "abandon 1"));
-        exchange.logic.ringEnded(at(4.02), end(1, 0, Cause.CALLED_OFF, Blame.NONE));
-        exchange.logic.clockRung(at(5), 2);
+        exchange.logic.ringEnded(at(4.02), end(1, 0, RingEndCause.CALLED_OFF, RejectionReason.NONE));
+        exchange.logic.timerExpired(at(5), 2);
         assertEquals(exchange.orders(), List.of());
     }
 
     @Test
     public void noSecondRingWhileOneIsOut() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.offered(at(1), contact(1, URGENT, 3));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
         exchange.orders();
-        exchange.logic.clockRung(at(1.8), 2);
+        exchange.logic.timerExpired(at(1.8), 2);
         exchange.logic.at(101).serve();
         assertEquals(exchange.orders(), List.of());
     }
 
     @Test
     public void theReleaseIsAwaitedAfterACut() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.offered(at(1), contact(1, URGENT, 3));
-        exchange.logic.ringEnded(at(1.1), end(1, 0, Cause.CUT, Blame.NONE));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
+        exchange.logic.ringEnded(at(1.1), end(1, 0, RingEndCause.CUT, RejectionReason.NONE));
         exchange.orders();
-        exchange.logic.clockRung(at(1.6), 2);
+        exchange.logic.timerExpired(at(1.6), 2);
         assertEquals(exchange.orders(), List.of());
-        exchange.logic.clockRung(at(1.606), 2);
+        exchange.logic.timerExpired(at(1.606), 2);
         assertEquals(exchange.orders(), List.of("ring 1 101"));
     }
 
     @Test
     public void nothingNewToADrainingSwitchAsDestinationOrTandem() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.listed(at(1), ListKind.CHANGES, List.of(line(1, State.DRAINING, null)));
-        exchange.logic.offered(at(1), contact(1, URGENT, 3));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.switchListReceived(at(1), ListKind.CHANGES, List.of(line(1, State.DRAINING, null)));
+        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
         assertEquals(exchange.orders(), List.of("defer 1"));
-        exchange.logic.listed(
+        exchange.logic.switchListReceived(
                 at(1),
-                ListKind.WHOLE,
+                ListKind.FULL,
                 List.of(line(0, State.READY, null), line(1, State.READY, null), line(2, State.READY, null)));
         exchange.group(1, 0, 40);
-        exchange.logic.offered(at(2), contact(2, URGENT, 3));
+        exchange.logic.contactOffered(at(2), contact(2, URGENT, 3));
         assertEquals(exchange.orders(), List.of("ring 2 102"));
     }
 
     @Test
     public void ownContactsGoOnWhileTheOwnProcessorDrains() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.listed(at(1), ListKind.CHANGES, List.of(line(0, State.DRAINING, null)));
-        exchange.logic.offered(at(1), contact(1, CHEAP, 3));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.switchListReceived(at(1), ListKind.CHANGES, List.of(line(0, State.DRAINING, null)));
+        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
         assertEquals(exchange.orders(), List.of("ring 1 101"));
     }
 
     @Test
     public void theSuccessorOfAReplacedMachineIsFound() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.listed(
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.switchListReceived(
                 at(1),
                 ListKind.CHANGES,
-                List.of(line(1, State.GONE, null), new martenslip.control.SwitchLine(900, 1, State.READY, null, 0)));
+                List.of(line(1, State.GONE, null), new martenslip.control.SwitchEntry(900, 1, State.READY, null, 0)));
         assertEquals(exchange.logic.byNumber(1).id, 900);
     }
 
     @Test
     public void aColdSwitchGetsItsPartOnly() {
-        Exchange exchange = new Exchange().ready(40, 40);
-        exchange.logic.listed(at(20), ListKind.CHANGES, List.of(line(1, State.READY, at(20))));
+        ExchangeFixture exchange = new ExchangeFixture().ready(40, 40);
+        exchange.logic.switchListReceived(at(20), ListKind.CHANGES, List.of(line(1, State.READY, at(20))));
         for (int id = 1; id <= 40; id++) {
-            exchange.logic.offered(at(20 + id * 0.05), contact(id, CHEAP, 3));
+            exchange.logic.contactOffered(at(20 + id * 0.05), contact(id, CHEAP, 3));
         }
         assertTrue(exchange.orders().stream()
                         .filter(order -> order.startsWith("ring"))
@@ -209,12 +210,12 @@
     public void manySendersWithASmallShareReachAColdSwitchTogether() {
         int rings = 0;
         for (int seed = 0; seed < 40; seed++) {
-            Exchange exchange = new Exchange().ready(40, 40);
-            exchange.logic = new Logic(exchange.settings, seed, at(0), exchange);
-            exchange.logic.listed(
-                    at(20), ListKind.WHOLE, List.of(line(0, State.READY, null), line(1, State.READY, at(20))));
+            ExchangeFixture exchange = new ExchangeFixture().ready(40, 40);
+            exchange.logic = new RoutingPolicy(exchange.settings, seed, at(0), exchange);
+            exchange.logic.switchListReceived(
+                    at(20), ListKind.FULL, List.of(line(0, State.READY, null), line(1, State.READY, at(20))));
             exchange.group(1, 40, 40);
-            exchange.logic.offered(at(21), contact(1, CHEAP, 3));
+            exchange.logic.contactOffered(at(21), contact(1, CHEAP, 3));
             rings += exchange.orders().contains("ring 1 101") ? 1 : 0;
         }
         assertTrue(rings > 2 && rings < 20, "" + rings);
@@ -222,18 +223,18 @@
 
     @Test
     public void aReplacedMachineKeepsWhatWasLearnedOfItsNumber() {
-        Exchange exchange = new Exchange().ready(20, 40);
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
         exchange.logic.at(101).linked(2, false);
-        exchange.logic.listed(
-                at(1), ListKind.CHANGES, List.of(new martenslip.control.SwitchLine(900, 1, State.READY, at(1), 0)));
+        exchange.logic.switchListReceived(
+                at(1), ListKind.CHANGES, List.of(new martenslip.control.SwitchEntry(900, 1, State.READY, at(1), 0)));
         assertEquals(exchange.logic.at(900).weight(exchange.logic.at(102)), 0.0);
     }
 
     @Test
     public void aPressedProcessorIsKeptFromTheCheapButAnOldReportFades() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        Logic.Switch group = exchange.logic.at(101);
-        exchange.logic.reported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 0.8f});
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        RoutingPolicy.Switch group = exchange.logic.at(101);
+        exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 0.8f});
         assertEquals(group.pressure(ask(exchange, CHEAP, 1).skill(), 0), 0.8, 1e-6);
         assertEquals(group.pressure(ask(exchange, URGENT, 1).skill(), 0), 0.0);
         exchange.logic.stopped(at(6));
@@ -242,36 +243,36 @@
 
     @Test
     public void aJammedProcessorGetsNothingHoweverDear() {
-        Exchange exchange = new Exchange();
+        ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("report.fields", "spare,total,depth,allowed");
         exchange.ready(20, 40);
-        exchange.logic.reported(at(0), 101, true, Span.ZERO, new float[] {20, 40, 1, 14});
+        exchange.logic.switchReported(at(0), 101, true, Span.ZERO, new float[] {20, 40, 1, 14});
         assertEquals(exchange.logic.at(101).pressure(ask(exchange, CHEAP, 1).skill(), 0), 0.0);
-        exchange.logic.reported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 90, 0.3f});
-        exchange.logic.offered(at(1), contact(1, URGENT, 3));
+        exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 90, 0.3f});
+        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
         assertEquals(exchange.orders(), List.of("defer 1"));
     }
 
     @Test
     public void aSilentSwitchIsNoTandemAndGetsTrialsOnly() {
-        Exchange exchange = new Exchange().ready(20, 40);
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
         for (int id = 1; id < 4; id++) {
-            exchange.logic.offered(at(1), contact(id, CHEAP, 9));
+            exchange.logic.contactOffered(at(1), contact(id, CHEAP, 9));
         }
         exchange.logic.stopped(at(8));
-        Logic.Switch group = exchange.logic.at(101);
+        RoutingPolicy.Switch group = exchange.logic.at(101);
         assertTrue(group.silent());
         assertFalse(exchange.logic.at(102).silent());
         assertNull(group.processor(ask(exchange, URGENT, 1)));
-        assertEquals(group.processor(ask(exchange, URGENT, 1)), Logic.Reason.DOWN);
+        assertEquals(group.processor(ask(exchange, URGENT, 1)), RoutingPolicy.DenialReason.DOWN);
     }
 
     @Test
     public void keptBackByTheOwnProcessorAContactLooksAgainWhileItMayBeInTime() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.offered(at(1), contact(1, CHEAP, 3));
-        Logic.Open one =
-                new Logic.Open(contact(2, CHEAP, 3), ask(exchange, CHEAP, 1).skill(), at(4), at(1), at(1));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
+        RoutingPolicy.OpenContact one = new RoutingPolicy.OpenContact(
+                contact(2, CHEAP, 3), ask(exchange, CHEAP, 1).skill(), at(4), at(1), at(1));
         exchange.logic.front.open.put(2L, one);
         exchange.orders();
         exchange.logic.front.denied(one, true);
@@ -283,27 +284,27 @@
 
     @Test
     public void aSwitchWhoseRingsTimeOutStaysSilentUntilItAnswersASetUp() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        Logic.Switch group = exchange.logic.at(101);
-        exchange.logic.offered(at(1), contact(1, CHEAP, 3));
-        exchange.logic.offered(at(1), contact(2, CHEAP, 3));
-        exchange.logic.ringEnded(at(4), end(1, 0, Cause.TIMED_OUT, Blame.NONE));
-        exchange.logic.ringEnded(at(4), end(2, 0, Cause.CONCLUDED, Blame.NONE));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        RoutingPolicy.Switch group = exchange.logic.at(101);
+        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
+        exchange.logic.contactOffered(at(1), contact(2, CHEAP, 3));
+        exchange.logic.ringEnded(at(4), end(1, 0, RingEndCause.TIMED_OUT, RejectionReason.NONE));
+        exchange.logic.ringEnded(at(4), end(2, 0, RingEndCause.CONCLUDED, RejectionReason.NONE));
         assertTrue(group.silent());
-        exchange.logic.stands(at(5), 3, 0, 101, Span.ofMillis(100));
+        exchange.logic.established(at(5), 3, 0, 101, Span.ofMillis(100));
         assertFalse(group.silent());
     }
 
     @Test
     public void aTurnBackLowersATandemsWeightAndTimeMendsIt() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        Logic.Switch group = exchange.logic.at(101);
-        Logic.Switch tandem = exchange.logic.at(102);
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        RoutingPolicy.Switch group = exchange.logic.at(101);
+        RoutingPolicy.Switch tandem = exchange.logic.at(102);
         group.judge(tandem, true);
         group.judge(tandem, false);
         group.judge(tandem, false);
         double low = group.weight(tandem);
-        assertTrue(low < Logic.WEIGHT_NEW);
+        assertTrue(low < RoutingPolicy.WEIGHT_NEW);
         group.judge(tandem, true);
         assertTrue(group.weight(tandem) > low);
         exchange.logic.stopped(at(500));
@@ -312,34 +313,34 @@
 
     @Test
     public void aSkillGoesOnlyToItsPools() {
-        Exchange exchange = new Exchange();
+        ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("family-info.class-cells.1", "1,3");
         exchange.ready(20, 40).group(1, 0, 40);
-        exchange.logic.offered(at(1), contact(1, URGENT, 3));
+        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
         assertEquals(exchange.orders(), List.of("ring 1 103"));
     }
 
     @Test
     public void aFailedSubscriptionIsRenewed() {
-        Exchange exchange = new Exchange();
+        ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("discovery", "subscribe");
-        exchange.ready(20, 40).logic.listed(at(1), ListKind.FAILED, List.of());
+        exchange.ready(20, 40).logic.switchListReceived(at(1), ListKind.FAILED, List.of());
         assertEquals(exchange.orders(), List.of("watch true", "watch true"));
     }
 
     @Test
     public void aPairWithoutAGroupTriesEachTandemOnce() {
-        Exchange exchange = new Exchange().ready(20, 40).group(1, 0, 0);
-        exchange.logic.offered(at(1), contact(1, CHEAP, 3));
-        exchange.logic.ringEnded(at(1.1), end(1, 0, Cause.TURNED_BACK, Blame.TANDEM));
-        exchange.logic.clockRung(at(1.11), 2);
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 0);
+        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
+        exchange.logic.ringEnded(at(1.1), end(1, 0, RingEndCause.TURNED_BACK, RejectionReason.TANDEM));
+        exchange.logic.timerExpired(at(1.11), 2);
         List<String> orders = exchange.orders();
         assertTrue(orders.containsAll(List.of("ring 1 102", "ring 1 103")), orders.toString());
     }
 
     @Test
     public void theAdvisedTandemComesFirst() {
-        Exchange exchange = new Exchange().ready(20, 40).group(1, 0, 0);
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 0);
         exchange.logic.at(101).linked(3, true);
         exchange.logic.stopped(at(500));
         Contact advised = new Contact(1, CHEAP, 0, 1, 3, 1, Span.ofMillis(3000), false, false, false);
@@ -348,16 +349,16 @@
 
     @Test
     public void aPeersGroupsAreBelieved() {
-        Exchange exchange = new Exchange().ready(20, 40).group(1, 0, 0);
-        exchange.logic.peerNote(at(1), 2, new byte[] {0, 2, 1 | 1 << 3});
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 0);
+        exchange.logic.peerNoteReceived(at(1), 2, new byte[] {0, 2, 1 | 1 << 3});
         assertEquals(
                 exchange.logic.at(101).draw(exchange.ask(contact(1, CHEAP, 3))).size(), 1);
-        exchange.logic.peerNote(at(3), 2, new byte[0]);
+        exchange.logic.peerNoteReceived(at(3), 2, new byte[0]);
     }
 
     @Test
     public void aWideContactDrawsAllTandemsAndAgainWhileItWaits() {
-        Exchange exchange = new Exchange().ready(20, 40).group(1, 3, 40);
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 3, 40);
         assertEquals(exchange.logic.at(101).draw(ask(exchange, CHEAP, 4)).size(), 2);
         assertEquals(
                 exchange.logic.at(101).draw(ask(exchange, CHEAP, 4).again()).size(), 2);
@@ -368,29 +369,30 @@
 
     @Test
     public void withoutAGroupOrATandemAContactIsRefusedAtOnce() {
-        Exchange exchange = new Exchange().ready(0, 0);
-        exchange.logic.offered(at(1), contact(1, CHEAP, 3));
+        ExchangeFixture exchange = new ExchangeFixture().ready(0, 0);
+        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
         assertEquals(exchange.orders(), List.of("defer 1"));
     }
 
     @Test
     public void aSilentSwitchThatAnswersLetsItsZoneBeTried() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        Logic.Switch group = exchange.logic.at(101);
-        Logic.Switch other = exchange.logic.at(102);
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        RoutingPolicy.Switch group = exchange.logic.at(101);
+        RoutingPolicy.Switch other = exchange.logic.at(102);
         group.mute = true;
         other.nextTrial = at(60);
-        exchange.logic.stands(at(5), 3, 0, 101, Span.ofMillis(100));
+        exchange.logic.established(at(5), 3, 0, 101, Span.ofMillis(100));
         assertTrue(other.nextTrial.before(at(5)));
     }
 
     @Test
     public void aSwitchThatOnlyAReportHasNamedHasNoNumber() {
-        Exchange exchange = new Exchange().ready(20, 40);
-        exchange.logic.reported(at(1), 900, true, Span.ZERO, new float[] {5, 9, -1});
-        exchange.logic.listed(at(2), ListKind.WHOLE, List.of(line(0, State.READY, null), line(1, State.READY, null)));
-        exchange.logic.peerNote(at(3), 2, new byte[] {0, 2, 1});
-        exchange.logic.offered(at(4), contact(1, CHEAP, 3));
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
+        exchange.logic.switchReported(at(1), 900, true, Span.ZERO, new float[] {5, 9, -1});
+        exchange.logic.switchListReceived(
+                at(2), ListKind.FULL, List.of(line(0, State.READY, null), line(1, State.READY, null)));
+        exchange.logic.peerNoteReceived(at(3), 2, new byte[] {0, 2, 1});
+        exchange.logic.contactOffered(at(4), contact(1, CHEAP, 3));
         assertNull(exchange.logic.byNumber(-1));
     }
 
@@ -398,9 +400,9 @@
     public void theSameEventsGiveTheSameOrders() {
         List<List<String>> twice = new java.util.ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            Exchange exchange = new Exchange().ready(20, 40).group(1, 0, 40);
+            ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 40);
             for (int id = 1; id < 30; id++) {
-                exchange.logic.offered(at(1 + id * 0.1), contact(id, id % 2, 3));
+                exchange.logic.contactOffered(at(1 + id * 0.1), contact(id, id % 2, 3));
             }
             twice.add(List.copyOf(exchange.ordered));
         }
@@ -410,17 +412,17 @@
     /** Only the oldest are looked at, so none that is young may stand before one that is old. */
     @Test
     public void firstTriesAreForgottenOnceNoCallerIsThatPatient() {
-        Exchange exchange = new Exchange().ready(9, 9);
-        Contact once = new Contact(1, Exchange.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), false, false, false);
-        Contact other = new Contact(2, Exchange.CHEAP, 78, 1, -1, 1, Span.ofMillis(500), false, false, false);
-        exchange.logic.offered(Exchange.at(0), once);
-        exchange.logic.offered(Exchange.at(5), other);
-        Contact again = new Contact(3, Exchange.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), true, false, false);
-        exchange.logic.offered(Exchange.at(8), again);
+        ExchangeFixture exchange = new ExchangeFixture().ready(9, 9);
+        Contact once = new Contact(1, ExchangeFixture.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), false, false, false);
+        Contact other = new Contact(2, ExchangeFixture.CHEAP, 78, 1, -1, 1, Span.ofMillis(500), false, false, false);
+        exchange.logic.contactOffered(ExchangeFixture.at(0), once);
+        exchange.logic.contactOffered(ExchangeFixture.at(5), other);
+        Contact again = new Contact(3, ExchangeFixture.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), true, false, false);
+        exchange.logic.contactOffered(ExchangeFixture.at(8), again);
         assertEquals(List.copyOf(exchange.logic.front.firstTries.keySet()), List.of(77L, 78L));
-        exchange.logic.offered(
-                Exchange.at(9.5),
-                new Contact(4, Exchange.CHEAP, 79, 1, -1, 1, Span.ofMillis(500), false, false, false));
+        exchange.logic.contactOffered(
+                ExchangeFixture.at(9.5),
+                new Contact(4, ExchangeFixture.CHEAP, 79, 1, -1, 1, Span.ofMillis(500), false, false, false));
         assertEquals(List.copyOf(exchange.logic.front.firstTries.keySet()), List.of(78L, 79L));
     }
 }
--- a/src/test/java/martenslip/FiveRules.java
+++ b/src/test/java/martenslip/RuleChecker.java
@@ -13,10 +13,10 @@
  * The five rules as the operators wrote them, over what passes between a program and its module, or between an
  * exchange and the wire. It knows nothing of the code under test. Contacts are named by their controller and id.
  */
-public final class FiveRules {
-    private record Cold(Moment since, double perSecond) {}
+public final class RuleChecker {
+    private record ColdStart(Moment since, double perSecond) {}
 
-    private record Sent(long target, Moment at) {}
+    private record SentRing(long target, Moment at) {}
 
     private static final double COLD_SHARE = 0.3;
     private static final double MULTIPLE = 3;
@@ -30,83 +30,83 @@
     private final Map<String, Integer> out = new HashMap<>();
     private final Map<String, Moment> mayHold = new HashMap<>();
     private final Map<String, Moment> drained = new HashMap<>();
-    private final Map<Long, Cold> cold = new HashMap<>();
-    private final List<Sent> sent = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final Map<Long, ColdStart> cold = new HashMap<>();
+    private final List<SentRing> sent = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
-    public FiveRules(Span grace, Span release, Span warm) {
+    public RuleChecker(Span grace, Span release, Span warm) {
         this.grace = grace;
         this.release = release;
         this.warm = warm;
     }
 
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 
-    public void wrong(Object rule, String what) {
-        broken.add(rule + ": " + what);
+    public void addViolation(Object rule, String what) {
+        violations.add(rule + ": " + what);
     }
 
-    public void taken(String contact, Moment until) {
+    public void contactTaken(String contact, Moment until) {
         owed.put(contact, until);
     }
 
     /** A final answer that the controller gives, or the first word of a ring that stands. */
-    public void answered(Moment now, String contact) {
+    public void contactAnswered(Moment now, String contact) {
         Moment until = owed.remove(contact);
         if (until == null) {
-            wrong(1, contact + " was answered and owed nothing");
+            addViolation(1, contact + " was answered and owed nothing");
         } else if (until.before(now)) {
-            wrong(1, contact + " was answered after its patience");
+            addViolation(1, contact + " was answered after its patience");
         }
         over.add(contact);
     }
 
     /** The caller has gone, or the controller was killed: nothing is owed any more. */
-    public void gone(String contact) {
+    public void callerGone(String contact) {
         owed.remove(contact);
         over.add(contact);
     }
 
-    public void ring(Moment now, String controller, String contact, long target) {
+    public void ringSent(Moment now, String controller, String contact, long target) {
         if (over.contains(contact) || !owed.containsKey(contact)) {
-            wrong(1, contact + " was rung after its end");
+            addViolation(1, contact + " was rung after its end");
         }
         if (out.merge(contact, 1, Integer::sum) > 1) {
-            wrong(2, contact + " has two rings out");
+            addViolation(2, contact + " has two rings out");
         }
         Moment told = drained.get(controller + " " + target);
         if (told != null && told.plus(grace).before(now)) {
-            wrong(3, contact + " was sent to " + target + " after the drain grace");
+            addViolation(3, contact + " was sent to " + target + " after the drain grace");
         }
         Moment held = mayHold.get(contact);
         if (held != null && now.before(held.plus(release))) {
-            wrong(5, contact + " was sent within the release");
+            addViolation(5, contact + " was sent within the release");
         }
-        sent.add(new Sent(target, now));
-        Cold start = cold.get(target);
+        sent.add(new SentRing(target, now));
+        ColdStart start = cold.get(target);
         if (start != null) {
-            double age = Math.min(1, now.since(start.since).over(warm));
+            double age = Math.min(1, now.since(start.since).ratioTo(warm));
             double budget = MULTIPLE * start.perSecond * (COLD_SHARE + (1 - COLD_SHARE) * age) * WINDOW.ns() / 1e9;
             long recent = sent.stream()
                     .filter(one -> one.target == target && !now.since(one.at).longerThan(WINDOW))
                     .count();
             if (recent > budget) {
-                wrong(4, target + " got " + recent + " set-ups while cold, budget " + budget);
+                addViolation(4, target + " got " + recent + " set-ups while cold, budget " + budget);
             }
         }
     }
 
     /** {@code held}: it timed out, was cut or was called off, and may still hold something. */
-    public void ended(Moment now, String contact, boolean held) {
+    public void ringEnded(Moment now, String contact, boolean held) {
         out.merge(contact, -1, Integer::sum);
         if (held) {
             mayHold.put(contact, now);
         }
     }
 
-    public void drains(Moment now, String controller, long target, boolean drains) {
+    public void setDraining(Moment now, String controller, long target, boolean drains) {
         if (drains) {
             drained.putIfAbsent(controller + " " + target, now);
         } else {
@@ -115,16 +115,16 @@
     }
 
     /** A processor that takes so many set-ups a second when warm has just started. */
-    public void started(Moment now, long target, double perSecond) {
-        cold.put(target, new Cold(now, perSecond));
+    public void switchStarted(Moment now, long target, double perSecond) {
+        cold.put(target, new ColdStart(now, perSecond));
         sent.clear();
     }
 
     /** Called whenever time has moved: rule 1 needs no event to break. */
-    public void at(Moment now) {
+    public void checkDeadlines(Moment now) {
         owed.forEach((contact, until) -> {
             if (until.before(now)) {
-                wrong(1, contact + " has no answer and its patience is over");
+                addViolation(1, contact + " has no answer and its patience is over");
             }
         });
     }
--- a/src/test/java/martenslip/TinyWorld.java
+++ b/src/test/java/martenslip/ThreeExchangeSimulation.java
@@ -8,43 +8,44 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.UnaryOperator;
-import martenslip.EveryOrder.Event;
-import martenslip.control.Blame;
-import martenslip.control.Cause;
+import martenslip.InterleavingExplorer.Event;
 import martenslip.control.Contact;
 import martenslip.control.Controller;
 import martenslip.control.Controller.ListKind;
 import martenslip.control.Moment;
 import martenslip.control.Orders;
+import martenslip.control.RejectionReason;
 import martenslip.control.RingEnd;
+import martenslip.control.RingEndCause;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.control.SwitchLine.State;
+import martenslip.control.SwitchEntry;
+import martenslip.control.SwitchEntry.State;
 
 /**
  * Exchanges 0, 1 and 2, each pair with a group, and the very module at 0 and at 2, which is 0's tandem to 1. It says
- * which events may come next; whoever explores it picks one at a time, and {@link FiveRules} looks on.
+ * which events may come next; whoever explores it picks one at a time, and {@link RuleChecker} looks on.
  */
-final class TinyWorld implements EveryOrder.World {
+final class ThreeExchangeSimulation implements InterleavingExplorer.Simulation {
     static final Span RELEASE = Span.ofMillis(100);
     static final Span ROUND = Span.ofMillis(25);
     static final Span GRACE = Span.ofMillis(50);
     static final Span WARM = Span.ofMillis(4000);
-    private static final Blame[] TURNED = {Blame.NO_CIRCUIT, Blame.PROCESSOR};
+    private static final RejectionReason[] TURNED = {RejectionReason.NO_CIRCUIT, RejectionReason.PROCESSOR};
 
     /** What a world is made of; {@code late} has every clock heard a round late. */
-    record Plan(int direct, int around, int offers, int troubles, boolean late, int patience, List<String> faults) {}
+    record Parameters(
+            int direct, int around, int offers, int troubles, boolean late, int patience, List<String> faults) {}
 
-    private record Due(Moment at, long order, Runnable what) {}
+    private record ScheduledEvent(Moment at, long order, Runnable what) {}
 
     /** A contact at a controller; {@code from} is the ring that brought it here, or null. */
     private final class Offer {
-        final Control at;
+        final ControllerNode at;
         final Contact contact;
-        final Flight from;
+        final RingInFlight from;
         boolean answered;
 
-        Offer(Control at, Contact contact, Flight from) {
+        Offer(ControllerNode at, Contact contact, RingInFlight from) {
             this.at = at;
             this.contact = contact;
             this.from = from;
@@ -55,7 +56,7 @@
         }
     }
 
-    private final class Flight {
+    private final class RingInFlight {
         final Offer offer;
         final int ring;
         final int to;
@@ -65,9 +66,9 @@
         boolean stood;
         boolean sure;
         boolean calledOff;
-        Cause back;
+        RingEndCause back;
 
-        Flight(Offer offer, int ring, long target) {
+        RingInFlight(Offer offer, int ring, long target) {
             this.offer = offer;
             this.ring = ring;
             this.target = target;
@@ -80,17 +81,17 @@
         }
     }
 
-    private final FiveRules rules = new FiveRules(GRACE, RELEASE, WARM);
-    private final Plan plan;
+    private final RuleChecker rules = new RuleChecker(GRACE, RELEASE, WARM);
+    private final Parameters plan;
     private final UnaryOperator<Orders> spoilsOrders;
     private final java.util.function.Function<Controller, Controller> spoils;
     private final Map<String, Integer> free = new LinkedHashMap<>();
     private final Map<String, Integer> size = new HashMap<>();
-    private final Map<Integer, SwitchLine> lines = new LinkedHashMap<>();
-    private final Map<Integer, Control> controls = new LinkedHashMap<>();
-    private final List<Flight> flights = new ArrayList<>();
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparing(Due::at).thenComparing(Due::order));
+    private final Map<Integer, SwitchEntry> lines = new LinkedHashMap<>();
+    private final Map<Integer, ControllerNode> controls = new LinkedHashMap<>();
+    private final List<RingInFlight> flights = new ArrayList<>();
+    private final PriorityQueue<ScheduledEvent> due =
+            new PriorityQueue<>(Comparator.comparing(ScheduledEvent::at).thenComparing(ScheduledEvent::order));
     private final List<String> faults;
     private Moment now = new Moment(1_000_000_000_000L);
     private long count;
@@ -99,8 +100,10 @@
     private int troubles;
     private boolean left;
 
-    TinyWorld(
-            Plan plan, UnaryOperator<Orders> spoilsOrders, java.util.function.Function<Controller, Controller> spoils) {
+    ThreeExchangeSimulation(
+            Parameters plan,
+            UnaryOperator<Orders> spoilsOrders,
+            java.util.function.Function<Controller, Controller> spoils) {
         this.plan = plan;
         this.spoilsOrders = spoilsOrders;
         this.spoils = spoils;
@@ -109,11 +112,11 @@
         group("0-2", plan.around);
         group("1-2", plan.around);
         for (int number = 0; number < 3; number++) {
-            lines.put(number, new SwitchLine(100 + number, number, State.READY, null, 0));
+            lines.put(number, new SwitchEntry(100 + number, number, State.READY, null, 0));
         }
         for (int number : new int[] {0, 2}) {
-            controls.put(number, new Control(number, 0));
-            controls.get(number).begin(ListKind.WHOLE);
+            controls.put(number, new ControllerNode(number, 0));
+            controls.get(number).begin(ListKind.FULL);
         }
         if (faults.contains("cold")) {
             ordinaryTraffic();
@@ -138,27 +141,27 @@
         for (int i = 0; i < 8; i++) {
             now = now.plus(Span.ofMillis(500));
             offer(0);
-            List<Flight> begun = List.copyOf(flights);
+            List<RingInFlight> begun = List.copyOf(flights);
             begun.forEach(this::stands);
-            begun.forEach(flight -> end(flight, Cause.CONCLUDED, Blame.NONE));
+            begun.forEach(flight -> end(flight, RingEndCause.CONCLUDED, RejectionReason.NONE));
         }
         due.clear();
     }
 
     private void after(Span span, Runnable what) {
-        due.add(new Due(now.plus(span), count++, what));
+        due.add(new ScheduledEvent(now.plus(span), count++, what));
     }
 
     @Override
-    public List<Event> enabled() {
+    public List<Event> enabledEvents() {
         List<Event> all = new ArrayList<>();
         if (offered < plan.offers) {
             all.add(new Event("offer", () -> offer(offered++ % 2)));
         }
-        for (Flight flight : flights) {
+        for (RingInFlight flight : flights) {
             flightEvents(flight, all);
         }
-        for (Control control : controls.values()) {
+        for (ControllerNode control : controls.values()) {
             for (Offer offer : control.offers.values()) {
                 if (!left && !offer.answered && offer.from == null) {
                     all.add(new Event("leaves " + offer.key(), () -> {
@@ -176,22 +179,26 @@
         }
         if (!due.isEmpty()) {
             all.add(new Event("time", () -> {
-                Due next = due.poll();
+                ScheduledEvent next = due.poll();
                 now = now.before(next.at) ? next.at : now;
-                rules.at(now);
+                rules.checkDeadlines(now);
                 next.what.run();
             }));
         }
         return all;
     }
 
-    private void flightEvents(Flight flight, List<Event> all) {
+    private void flightEvents(RingInFlight flight, List<Event> all) {
         String name = flight.offer.key() + "#" + flight.ring;
         if (flight.back != null) {
             all.add(new Event(
                     name + " " + flight.back,
                     () -> end(
-                            flight, flight.back, flight.back == Cause.TURNED_BACK ? Blame.TANDEM : Blame.NO_CIRCUIT)));
+                            flight,
+                            flight.back,
+                            flight.back == RingEndCause.TURNED_BACK
+                                    ? RejectionReason.TANDEM
+                                    : RejectionReason.NO_CIRCUIT)));
             return;
         }
         if (!flight.stood && (flight.last() || flight.sure)) {
@@ -201,24 +208,24 @@
             all.add(new Event(name + " arrives", () -> arrives(flight)));
         }
         if (flight.stood) {
-            all.add(new Event(name + " concludes", () -> end(flight, Cause.CONCLUDED, Blame.NONE)));
+            all.add(new Event(name + " concludes", () -> end(flight, RingEndCause.CONCLUDED, RejectionReason.NONE)));
         }
         if (flight.calledOff) {
-            all.add(new Event(name + " is off", () -> end(flight, Cause.CALLED_OFF, Blame.NONE)));
+            all.add(new Event(name + " is off", () -> end(flight, RingEndCause.CALLED_OFF, RejectionReason.NONE)));
         } else if (troubles < plan.troubles) {
-            trouble(flight, name, Cause.CUT, Blame.NONE, all);
+            trouble(flight, name, RingEndCause.CUT, RejectionReason.NONE, all);
             if (!flight.stood) {
-                trouble(flight, name, Cause.TIMED_OUT, Blame.NONE, all);
-                trouble(flight, name, Cause.UNREACHABLE, Blame.NONE, all);
-                trouble(flight, name, Cause.BUSY, Blame.LINES_BUSY, all);
-                for (Blame blame : TURNED) {
-                    trouble(flight, name, Cause.TURNED_BACK, blame, all);
+                trouble(flight, name, RingEndCause.TIMED_OUT, RejectionReason.NONE, all);
+                trouble(flight, name, RingEndCause.UNREACHABLE, RejectionReason.NONE, all);
+                trouble(flight, name, RingEndCause.BUSY, RejectionReason.LINES_BUSY, all);
+                for (RejectionReason blame : TURNED) {
+                    trouble(flight, name, RingEndCause.TURNED_BACK, blame, all);
                 }
             }
         }
     }
 
-    private void trouble(Flight flight, String name, Cause cause, Blame blame, List<Event> all) {
+    private void trouble(RingInFlight flight, String name, RingEndCause cause, RejectionReason blame, List<Event> all) {
         all.add(new Event(name + " " + cause + " " + blame, () -> {
             troubles++;
             end(flight, cause, blame);
@@ -226,7 +233,7 @@
     }
 
     private void offer(int skill) {
-        Control control = controls.get(0);
+        ControllerNode control = controls.get(0);
         Contact contact = new Contact(
                 ++ids,
                 skill,
@@ -241,13 +248,13 @@
         control.take(new Offer(control, contact, null));
     }
 
-    private void arrives(Flight flight) {
-        Control control = controls.get(flight.to);
+    private void arrives(RingInFlight flight) {
+        ControllerNode control = controls.get(flight.to);
         Contact was = flight.offer.contact;
         Contact contact = new Contact(
                 ++ids,
                 was.skill(),
-                was.dialled(),
+                was.dialledNumber(),
                 was.destination(),
                 flight.offer.at.number,
                 1,
@@ -259,29 +266,32 @@
         control.take(flight.beyond);
     }
 
-    private void stands(Flight flight) {
+    private void stands(RingInFlight flight) {
         flight.stood = true;
         Offer offer = flight.offer;
         if (!offer.answered) {
             offer.answered = true;
-            rules.answered(now, offer.key());
+            rules.contactAnswered(now, offer.key());
             if (offer.from != null) {
                 offer.from.sure = true;
             }
         }
-        offer.at.module.stands(now, offer.contact.id(), flight.ring, flight.target, Span.ofMillis(10));
+        offer.at.module.established(now, offer.contact.id(), flight.ring, flight.target, Span.ofMillis(10));
         told();
     }
 
-    private void end(Flight flight, Cause cause, Blame blame) {
+    private void end(RingInFlight flight, RingEndCause cause, RejectionReason blame) {
         if (!flights.remove(flight)) {
             return;
         }
         Offer offer = flight.offer;
-        if (cause != Cause.NOT_SENT) {
+        if (cause != RingEndCause.NOT_SENT) {
             free.merge(flight.group, 1, Integer::sum);
         }
-        rules.ended(now, offer.key(), cause == Cause.TIMED_OUT || cause == Cause.CUT || cause == Cause.CALLED_OFF);
+        rules.ringEnded(
+                now,
+                offer.key(),
+                cause == RingEndCause.TIMED_OUT || cause == RingEndCause.CUT || cause == RingEndCause.CALLED_OFF);
         boolean stood = flight.stood;
         offer.at.module.ringEnded(
                 now,
@@ -307,12 +317,12 @@
     private void leaves(Offer offer) {
         if (!offer.answered) {
             offer.answered = true;
-            rules.gone(offer.key());
+            rules.callerGone(offer.key());
             offer.at.module.callerGone(now, offer.contact.id());
         }
         List.copyOf(flights).stream()
                 .filter(one -> one.offer == offer && one.stood)
-                .forEach(one -> end(one, Cause.CALLED_OFF, Blame.NONE));
+                .forEach(one -> end(one, RingEndCause.CALLED_OFF, RejectionReason.NONE));
         told();
     }
 
@@ -324,12 +334,13 @@
             case "ready" -> listed(1, State.READY, null);
             case "replaced" -> {
                 listed(1, State.GONE, null);
-                lines.put(1, new SwitchLine(201, 1, State.READY, now, 0));
-                controls.values().forEach(one -> one.module.listed(now, ListKind.CHANGES, List.of(lines.get(1))));
+                lines.put(1, new SwitchEntry(201, 1, State.READY, now, 0));
+                controls.values()
+                        .forEach(one -> one.module.switchListReceived(now, ListKind.CHANGES, List.of(lines.get(1))));
                 told();
             }
             case "cold" -> {
-                rules.started(now, 101, 2.5);
+                rules.switchStarted(now, 101, 2.5);
                 listed(1, State.READY, now);
             }
             case "restart" -> restart();
@@ -346,26 +357,26 @@
 
     private void report(float[] said) {
         controls.values()
-                .forEach(one -> one.module.reported(now, 101, true, Span.ZERO, new float[] {
+                .forEach(one -> one.module.switchReported(now, 101, true, Span.ZERO, new float[] {
                     free.get(group(one.number, 1)), size.get(group(one.number, 1)), said[2], said[3]
                 }));
     }
 
     private void listed(int number, State state, Moment started) {
-        SwitchLine was = lines.get(number);
-        lines.put(number, new SwitchLine(was.id(), number, state, started, 0));
+        SwitchEntry was = lines.get(number);
+        lines.put(number, new SwitchEntry(was.id(), number, state, started, 0));
         controls.values().forEach(one -> {
-            rules.drains(now, "" + one.number, was.id(), state != State.READY);
-            one.module.listed(now, ListKind.CHANGES, List.of(lines.get(number)));
+            rules.setDraining(now, "" + one.number, was.id(), state != State.READY);
+            one.module.switchListReceived(now, ListKind.CHANGES, List.of(lines.get(number)));
         });
     }
 
     /** The controller at 0 dies, and what it held with it; the next one has nothing but the list. */
     private void restart() {
-        Control dead = controls.get(0);
-        controls.put(0, new Control(0, dead.life + 1));
-        dead.offers.values().forEach(offer -> rules.gone(offer.key()));
-        for (Flight flight : List.copyOf(flights)) {
+        ControllerNode dead = controls.get(0);
+        controls.put(0, new ControllerNode(0, dead.life + 1));
+        dead.offers.values().forEach(offer -> rules.callerGone(offer.key()));
+        for (RingInFlight flight : List.copyOf(flights)) {
             if (flight.offer.at == dead && flights.remove(flight)) {
                 free.merge(flight.group, 1, Integer::sum);
                 if (flight.beyond != null) {
@@ -373,16 +384,16 @@
                 }
             }
         }
-        controls.get(0).begin(ListKind.REMEMBERED);
+        controls.get(0).begin(ListKind.CACHED);
     }
 
     /** Each end of a group is told of it. */
     private void told() {
-        for (Control control : controls.values()) {
+        for (ControllerNode control : controls.values()) {
             for (int far = 0; far < 3; far++) {
                 Integer spare = far == control.number ? null : free.get(group(control.number, far));
                 if (spare != null) {
-                    control.module.reported(now, lines.get(far).id(), true, Span.ZERO, new float[] {
+                    control.module.switchReported(now, lines.get(far).id(), true, Span.ZERO, new float[] {
                         Math.max(0, spare), size.get(group(control.number, far)), -1, -1
                     });
                 }
@@ -391,21 +402,21 @@
     }
 
     @Override
-    public FiveRules rules() {
+    public RuleChecker rules() {
         return rules;
     }
 
     @Override
-    public void quiet() {
-        for (Control control : controls.values()) {
+    public void checkQuiescent() {
+        for (ControllerNode control : controls.values()) {
             if (!control.logic.front.open.isEmpty()) {
-                rules.wrong("quiet", "open at " + control.number + " " + control.logic.front.open.keySet());
+                rules.addViolation("quiet", "open at " + control.number + " " + control.logic.front.open.keySet());
             }
             for (long id : new long[] {100, 101, 102, 201}) {
-                Logic.Switch one = control.logic.at(id);
+                RoutingPolicy.Switch one = control.logic.at(id);
                 int held = java.util.Arrays.stream(one.held).sum();
                 if (held != 0 || !one.rings.isEmpty() || !one.standing.isEmpty() || !one.waiting.isEmpty()) {
-                    rules.wrong(
+                    rules.addViolation(
                             "quiet",
                             control.number + " holds " + held + " circuits toward " + id
                                     + ", rings " + one.rings.keySet() + ", standing " + one.standing.keySet()
@@ -416,18 +427,18 @@
         }
     }
 
-    final class Control implements Orders {
+    final class ControllerNode implements Orders {
         final int number;
         final int life;
-        final Logic logic;
+        final RoutingPolicy logic;
         final Controller module;
         final Map<Long, Offer> offers = new LinkedHashMap<>();
         private final Map<Long, Integer> rings = new HashMap<>();
 
-        Control(int number, int life) {
+        ControllerNode(int number, int life) {
             this.number = number;
             this.life = life;
-            Map<String, String> settings = new HashMap<>(new martenslip.Exchange().settings);
+            Map<String, String> settings = new HashMap<>(new martenslip.ExchangeFixture().settings);
             settings.putAll(Map.of(
                     "classes.0.aim-ns",
                     "100000000",
@@ -451,25 +462,25 @@
                     "3"));
             settings.put("classes.0.hard-limit-ns", "600000000");
             settings.put("classes.1.hard-limit-ns", "400000000");
-            logic = new Logic(settings, 7, now, spoilsOrders.apply(this));
+            logic = new RoutingPolicy(settings, 7, now, spoilsOrders.apply(this));
             module = spoils.apply(logic);
         }
 
         void begin(ListKind kind) {
-            module.listed(now, kind, List.copyOf(lines.values()));
-            lines.values().forEach(line -> rules.drains(now, "" + number, line.id(), line.state() != State.READY));
+            module.switchListReceived(now, kind, List.copyOf(lines.values()));
+            lines.values().forEach(line -> rules.setDraining(now, "" + number, line.id(), line.state() != State.READY));
             told();
         }
 
         void take(Offer offer) {
             offers.put(offer.contact.id(), offer);
-            rules.taken(offer.key(), now.plus(offer.contact.patience()));
+            rules.contactTaken(offer.key(), now.plus(offer.contact.patience()));
             after(offer.contact.patience().plus(new Span(1)), () -> {
                 if (!offer.answered && life == controls.get(number).life) {
                     leaves(offer);
                 }
             });
-            module.offered(now, offer.contact);
+            module.contactOffered(now, offer.contact);
             told();
         }
 
@@ -477,23 +488,23 @@
         public void ring(long contact, long target, Span limit) {
             Offer offer = offers.get(contact);
             int ring = rings.merge(contact, 1, Integer::sum) - 1;
-            Flight flight = new Flight(offer, ring, target);
-            rules.ring(now, "" + number, offer.key(), target);
+            RingInFlight flight = new RingInFlight(offer, ring, target);
+            rules.ringSent(now, "" + number, offer.key(), target);
             flights.add(flight);
             if (free.getOrDefault(flight.group, 0) < 1) {
-                flight.back = Cause.NOT_SENT;
+                flight.back = RingEndCause.NOT_SENT;
                 return;
             }
             free.merge(flight.group, -1, Integer::sum);
             after(limit, () -> {
                 if (!flight.stood) {
-                    end(flight, Cause.TIMED_OUT, Blame.NONE);
+                    end(flight, RingEndCause.TIMED_OUT, RejectionReason.NONE);
                 }
             });
         }
 
         @Override
-        public void callOff(long contact, int ring) {
+        public void cancel(long contact, int ring) {
             flights.stream()
                     .filter(one -> one.offer.contact.id() == contact && one.ring == ring)
                     .forEach(one -> one.calledOff = true);
@@ -501,10 +512,10 @@
 
         private void answered(long contact) {
             Offer offer = offers.get(contact);
-            rules.answered(now, offer.key());
+            rules.contactAnswered(now, offer.key());
             offer.answered = true;
             if (offer.from != null) {
-                offer.from.back = Cause.TURNED_BACK;
+                offer.from.back = RingEndCause.TURNED_BACK;
             }
         }
 
@@ -519,10 +530,10 @@
         }
 
         @Override
-        public void clock(Span delay, long token) {
+        public void startTimer(Span delay, long token) {
             after(plan.late ? delay.plus(ROUND) : delay, () -> {
                 if (controls.get(number) == this) {
-                    module.clockRung(now, token);
+                    module.timerExpired(now, token);
                     told();
                 }
             });
@@ -534,12 +545,12 @@
         }
 
         @Override
-        public void note(int peer, byte[] note) {
+        public void sendNote(int peer, byte[] note) {
             // Not allowed here.
         }
 
         @Override
-        public void watchList(boolean on) {
+        public void watchSwitchList(boolean on) {
             // The list is told unasked.
         }
 
--- a/src/test/java/martenslip/measured/Structures.java
+++ b/src/test/java/martenslip/benchmark/DataStructureBenchmark.java
@@ -1,4 +1,4 @@
-package martenslip.measured;
+package martenslip.benchmark;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.wheel.Wheel;
+import martenslip.eventloop.TimerWheel;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -34,14 +34,14 @@
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
-public class Structures {
+public class DataStructureBenchmark {
     /** As many timers as stand at 620 contacts a second, most taken back before they ring. */
     @State(Scope.Thread)
     public static class Timers {
         static final int STANDING = 20_000;
         final SplittableRandom chance = new SplittableRandom(1);
-        final Wheel wheel = new Wheel(new Moment(0));
-        final ArrayDeque<Wheel.Timer> set = new ArrayDeque<>();
+        final TimerWheel wheel = new TimerWheel(new Moment(0));
+        final ArrayDeque<TimerWheel.Timer> set = new ArrayDeque<>();
         final PriorityQueue<long[]> heap = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
         final ArrayDeque<long[]> due = new ArrayDeque<>();
         long now;
@@ -49,7 +49,7 @@
         @Setup(Level.Trial)
         public void fill() {
             for (int i = 0; i < STANDING; i++) {
-                set.add(wheel.after(Span.ofMillis(500 + chance.nextInt(30_000)), () -> {}));
+                set.add(wheel.scheduleAfter(Span.ofMillis(500 + chance.nextInt(30_000)), () -> {}));
                 long[] one = {500 + chance.nextInt(30_000), 1};
                 heap.add(one);
                 due.add(one);
@@ -60,10 +60,10 @@
     /** Sets one, takes the oldest back, and turns a millisecond each 16 times. */
     @Benchmark
     public void timersWheel(Timers on) {
-        on.set.add(on.wheel.after(Span.ofMillis(500 + on.chance.nextInt(30_000)), () -> {}));
+        on.set.add(on.wheel.scheduleAfter(Span.ofMillis(500 + on.chance.nextInt(30_000)), () -> {}));
         on.set.poll().cancel();
         if ((++on.now & 15) == 0) {
-            on.wheel.turn(new Moment((on.now >> 4) * 1_000_000));
+            on.wheel.advanceTo(new Moment((on.now >> 4) * 1_000_000));
         }
     }
 
--- a/src/test/java/martenslip/cli/ExpectCommandTest.java
+++ b/src/test/java/martenslip/cli/ExpectCommandTest.java
@@ -32,7 +32,7 @@
         ByteArrayOutputStream said = new ByteArrayOutputStream();
         System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
         try {
-            return Program.run(args) + " " + said.toString(StandardCharsets.UTF_8);
+            return RootCommand.run(args) + " " + said.toString(StandardCharsets.UTF_8);
         } finally {
             System.setOut(was);
         }
--- a/src/test/java/martenslip/provision/SiteFileTest.java
+++ b/src/test/java/martenslip/configuration/ExchangeFileTest.java
@@ -1,4 +1,4 @@
-package martenslip.provision;
+package martenslip.configuration;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -13,19 +13,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class SiteFileTest {
+public class ExchangeFileTest {
     private static final Path SAMPLE = Path.of("deploy/exchange.xml");
 
-    private static Site read(String text) throws Rejected {
-        return SiteFile.read("x.xml", text.getBytes(StandardCharsets.UTF_8), Path.of("/"));
+    private static ExchangeConfiguration read(String text) throws InvalidFileException {
+        return ExchangeFile.read("x.xml", text.getBytes(StandardCharsets.UTF_8), Path.of("/"));
     }
 
     @Test
-    public void theSampleIsRead() throws IOException, Rejected {
-        Site site = SiteFile.read(SAMPLE);
+    public void theSampleIsRead() throws IOException, InvalidFileException {
+        ExchangeConfiguration site = ExchangeFile.read(SAMPLE);
         assertEquals(site.groups().get(2).circuits(), 24);
-        assertEquals(site.numbering().exchange("+91484550299999"), 2);
-        assertEquals(site.numbering().exchange("+9148"), -1);
+        assertEquals(site.numbering().exchangeForNumber("+91484550299999"), 2);
+        assertEquals(site.numbering().exchangeForNumber("+9148"), -1);
         assertEquals(site.settings(Span.ofMillis(10)).get("report.fields"), "spare,total,allowed,depth");
     }
 
@@ -51,7 +51,7 @@
             throws IOException {
         String text = Files.readString(SAMPLE);
         assertTrue(text.contains(good), good);
-        Rejected rejected = expectThrows(Rejected.class, () -> read(text.replace(good, bad)));
+        InvalidFileException rejected = expectThrows(InvalidFileException.class, () -> read(text.replace(good, bad)));
         String line = rejected.getMessage()
                 .lines()
                 .filter(one -> one.contains(path) && one.contains(reason))
@@ -66,8 +66,8 @@
     public void documentTypesAndEntitiesAreNotRead() throws IOException {
         String text = Files.readString(SAMPLE)
                 .replace("<exchange ", "<!DOCTYPE exchange [<!ENTITY x SYSTEM \"file:///etc/hostname\">]><exchange ");
-        assertThrows(Rejected.class, () -> read(text));
-        assertThrows(Rejected.class, () -> read("<exchange"));
-        assertThrows(Rejected.class, () -> read(""));
+        assertThrows(InvalidFileException.class, () -> read(text));
+        assertThrows(InvalidFileException.class, () -> read("<exchange"));
+        assertThrows(InvalidFileException.class, () -> read(""));
     }
 }
--- a/src/test/java/martenslip/provision/PrefixesTest.java
+++ b/src/test/java/martenslip/configuration/PrefixTableTest.java
@@ -1,4 +1,4 @@
-package martenslip.provision;
+package martenslip.configuration;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-public class PrefixesTest {
+public class PrefixTableTest {
     private static String digits(SplittableRandom chance, int most) {
         StringBuilder text = new StringBuilder(chance.nextInt(3) == 0 ? "+" : "");
         for (int left = 1 + chance.nextInt(most); left > 0; left--) {
@@ -24,7 +24,7 @@
     public void theLongestPrefixLeads() {
         SplittableRandom chance = new SplittableRandom(2);
         for (int round = 0; round < 200; round++) {
-            Prefixes prefixes = new Prefixes();
+            PrefixTable prefixes = new PrefixTable();
             Map<String, Integer> plain = new HashMap<>();
             for (int i = 0; i < 20; i++) {
                 String digits = digits(chance, 5);
@@ -38,14 +38,14 @@
                 for (int length = 1; length <= number.length(); length++) {
                     best = plain.getOrDefault(number.substring(0, length), best);
                 }
-                assertEquals(prefixes.exchange(number), best, number);
+                assertEquals(prefixes.exchangeForNumber(number), best, number);
             }
         }
     }
 
     @Test
     public void prefixesThatChangeNothingOrAreNeverMetAreTold() {
-        Prefixes prefixes = new Prefixes();
+        PrefixTable prefixes = new PrefixTable();
         assertTrue(prefixes.add("+91", 1));
         assertTrue(prefixes.add("+915", 1));
         assertTrue(prefixes.add("+9155", 2));
@@ -61,8 +61,8 @@
             prefixes.add("779" + digit, 6);
         }
         assertEquals(prefixes.shadowed(), List.of("77"));
-        assertEquals(prefixes.leadingTo(6), "7790");
-        assertEquals(prefixes.leadingTo(9), null);
-        assertEquals(prefixes.exchange("no number"), -1);
+        assertEquals(prefixes.firstPrefixOf(6), "7790");
+        assertEquals(prefixes.firstPrefixOf(9), null);
+        assertEquals(prefixes.exchangeForNumber("no number"), -1);
     }
 }
--- a/src/test/java/martenslip/wheel/WheelTest.java
+++ b/src/test/java/martenslip/eventloop/TimerWheelTest.java
@@ -1,4 +1,4 @@
-package martenslip.wheel;
+package martenslip.eventloop;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -11,7 +11,7 @@
 import martenslip.control.Span;
 import org.testng.annotations.Test;
 
-public class WheelTest {
+public class TimerWheelTest {
     private static Moment at(double ms) {
         return new Moment(Span.ofMillis(ms).ns());
     }
@@ -20,7 +20,7 @@
     @Test
     public void ringsEachOnceInTimeAndNeverEarly() {
         SplittableRandom chance = new SplittableRandom(3);
-        Wheel wheel = new Wheel(at(0));
+        TimerWheel wheel = new TimerWheel(at(0));
         List<Moment> due = new ArrayList<>();
         int[] rung = {0};
         double now = 0;
@@ -28,78 +28,78 @@
             double ms = chance.nextDouble() * (turn % 50 == 0 ? 20_000 : 40);
             Moment when = at(now + ms);
             due.add(when);
-            wheel.at(when, () -> {
+            wheel.scheduleAt(when, () -> {
                 rung[0]++;
                 assertFalse(wheel.now().before(when), "early");
                 assertTrue(due.remove(when), "twice");
             });
             now += chance.nextDouble() * (turn % 300 == 299 ? 9_000 : 12);
-            wheel.turn(at(now));
-            Moment late = at(now - Wheel.TICK.ns() / 1e6);
+            wheel.advanceTo(at(now));
+            Moment late = at(now - TimerWheel.TICK.ns() / 1e6);
             assertTrue(due.stream().noneMatch(one -> one.before(late)), "left behind at " + now);
         }
-        wheel.turn(at(now + 30_000));
+        wheel.advanceTo(at(now + 30_000));
         assertEquals(rung[0], 2000);
     }
 
     @Test
     public void whatIsTakenBackDoesNotRing() {
-        Wheel wheel = new Wheel(at(0));
+        TimerWheel wheel = new TimerWheel(at(0));
         List<String> rung = new ArrayList<>();
-        Wheel.Timer[] others = new Wheel.Timer[2];
-        wheel.at(at(5), () -> {
+        TimerWheel.Timer[] others = new TimerWheel.Timer[2];
+        wheel.scheduleAt(at(5), () -> {
             rung.add("first");
             others[0].cancel();
         });
-        others[0] = wheel.at(at(5), () -> rung.add("taken back by the first"));
-        others[1] = wheel.at(at(5), () -> rung.add("second"));
-        Wheel.Timer other = wheel.at(at(6), () -> rung.add("taken back"));
+        others[0] = wheel.scheduleAt(at(5), () -> rung.add("taken back by the first"));
+        others[1] = wheel.scheduleAt(at(5), () -> rung.add("second"));
+        TimerWheel.Timer other = wheel.scheduleAt(at(6), () -> rung.add("taken back"));
         other.cancel();
         other.cancel();
-        wheel.turn(at(20));
+        wheel.advanceTo(at(20));
         assertEquals(rung, List.of("first", "second"));
-        assertFalse(others[1].set());
+        assertFalse(others[1].isScheduled());
     }
 
     @Test
     public void oneThatSetsAnotherForNowIsNotStarved() {
-        Wheel wheel = new Wheel(at(0));
+        TimerWheel wheel = new TimerWheel(at(0));
         int[] rung = {0};
         Runnable[] again = new Runnable[1];
         again[0] = () -> {
             rung[0]++;
-            wheel.after(Span.ZERO, again[0]);
+            wheel.scheduleAfter(Span.ZERO, again[0]);
         };
-        wheel.after(Span.ZERO, again[0]);
+        wheel.scheduleAfter(Span.ZERO, again[0]);
         for (int turn = 1; turn <= 10; turn++) {
-            wheel.turn(at(turn * 2));
+            wheel.advanceTo(at(turn * 2));
         }
         assertTrue(rung[0] >= 10 && rung[0] <= 25, "rung " + rung[0]);
     }
 
     @Test
     public void aFaultInOneLosesNoOther() {
-        Wheel wheel = new Wheel(at(0));
+        TimerWheel wheel = new TimerWheel(at(0));
         List<String> rung = new ArrayList<>();
-        wheel.at(at(5), () -> {
+        wheel.scheduleAt(at(5), () -> {
             throw new IllegalStateException("planted");
         });
-        wheel.at(at(5), () -> rung.add("same tick"));
-        wheel.at(at(7), () -> rung.add("later tick"));
+        wheel.scheduleAt(at(5), () -> rung.add("same tick"));
+        wheel.scheduleAt(at(7), () -> rung.add("later tick"));
         try {
-            wheel.turn(at(10));
+            wheel.advanceTo(at(10));
         } catch (IllegalStateException e) {
             rung.add("told");
         }
-        wheel.turn(at(10));
+        wheel.advanceTo(at(10));
         assertEquals(rung, List.of("told", "same tick", "later tick"));
     }
 
     @Test
     public void quietIsNeverLongerThanTheNextTimer() {
-        Wheel wheel = new Wheel(at(0));
-        wheel.at(at(30), () -> {});
-        assertTrue(wheel.quiet().compareTo(Span.ofMillis(31)) <= 0);
-        assertTrue(wheel.quiet().longerThan(Span.ofMillis(10)));
+        TimerWheel wheel = new TimerWheel(at(0));
+        wheel.scheduleAt(at(30), () -> {});
+        assertTrue(wheel.timeUntilNextTimer().compareTo(Span.ofMillis(31)) <= 0);
+        assertTrue(wheel.timeUntilNextTimer().longerThan(Span.ofMillis(10)));
     }
 }
--- a/src/test/java/martenslip/exchange/EveryWireTest.java
+++ b/src/test/java/martenslip/exchange/ExchangeEventOrderTest.java
@@ -8,10 +8,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.BiPredicate;
-import martenslip.EveryOrder;
-import martenslip.EveryOrder.Found;
+import martenslip.InterleavingExplorer;
+import martenslip.InterleavingExplorer.SearchResult;
 import martenslip.control.Span;
-import martenslip.exchange.WireWorld.Plan;
+import martenslip.exchange.SimulatedExchange.Scenario;
 import martenslip.sip.message.Message;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
@@ -25,7 +25,7 @@
  * One exchange's real SIP, contacts, decider and module through every order of messages, losses, refusals, hang-ups
  * and timers of one contact.
  */
-public class EveryWireTest {
+public class ExchangeEventOrderTest {
     private final Logger log = (Logger) LoggerFactory.getLogger("martenslip.exchange");
 
     @BeforeClass
@@ -40,51 +40,54 @@
 
     private static final Span RELEASE = Span.ofMillis(100);
 
-    private static Found search(Plan plan, int depth, Span release, BiPredicate<Message, Integer> doubles) {
-        return EveryOrder.search(() -> new WireWorld(plan, release, doubles), depth);
+    private static SearchResult search(Scenario plan, int depth, Span release, BiPredicate<Message, Integer> doubles) {
+        return InterleavingExplorer.search(() -> new SimulatedExchange(plan, release, doubles), depth);
     }
 
     /** Name, plan (tcp, circuits, losses, refusals, the caller leaves, hang-ups, a break), choices, sequences. */
     @DataProvider
     public Object[][] worlds() {
         return new Object[][] {
-            {"UDP, the caller leaves", new Plan(false, 4, 0, 0, true, false, false), 8, 6047L},
-            {"UDP, a message is lost, the caller leaves", new Plan(false, 4, 1, 0, true, false, false), 8, 17085L},
-            {"UDP, refused, lost", new Plan(false, 4, 1, 1, false, false, false), 8, 13063L},
-            {"UDP, over the tandem after a refusal", new Plan(false, 0, 0, 1, true, false, false), 8, 11331L},
-            {"UDP, both hang up", new Plan(false, 4, 1, 0, false, true, false), 8, 8248L},
-            {"TCP, all of it", new Plan(true, 4, 0, 1, true, true, false), 9, 25432L},
-            {"TCP, the connection breaks", new Plan(true, 4, 0, 0, true, true, true), 8, 6243L},
+            {"UDP, the caller leaves", new Scenario(false, 4, 0, 0, true, false, false), 8, 6047L},
+            {"UDP, a message is lost, the caller leaves", new Scenario(false, 4, 1, 0, true, false, false), 8, 17085L},
+            {"UDP, refused, lost", new Scenario(false, 4, 1, 1, false, false, false), 8, 13063L},
+            {"UDP, over the tandem after a refusal", new Scenario(false, 0, 0, 1, true, false, false), 8, 11331L},
+            {"UDP, both hang up", new Scenario(false, 4, 1, 0, false, true, false), 8, 8248L},
+            {"TCP, all of it", new Scenario(true, 4, 0, 1, true, true, false), 9, 25432L},
+            {"TCP, the connection breaks", new Scenario(true, 4, 0, 0, true, true, true), 8, 6243L},
         };
     }
 
     @Test(dataProvider = "worlds")
-    public void rulesHoldOnTheWireInEveryOrder(String name, Plan plan, int depth, long sequences) {
-        assertEquals(search(plan, depth, RELEASE, (message, to) -> false), new Found(sequences, null), name);
+    public void rulesHoldOnTheWireInEveryOrder(String name, Scenario plan, int depth, long sequences) {
+        assertEquals(search(plan, depth, RELEASE, (message, to) -> false), new SearchResult(sequences, null), name);
     }
 
     /** A ring given up unheard may be cancelled only once a response has come (RFC 3261 9.1), here 45 ms later. */
     @Test
     public void aCancelThatLeavesLateStartsTheReleaseAnew() {
-        WireWorld world = new WireWorld(
-                WireWorld.site(200), new Plan(false, 4, 0, 0, false, false, false), RELEASE, (message, to) -> false);
-        world.arrive(BadWireTest.INVITE.getBytes(StandardCharsets.UTF_8), 1000);
+        SimulatedExchange world = new SimulatedExchange(
+                SimulatedExchange.site(200),
+                new Scenario(false, 4, 0, 0, false, false, false),
+                RELEASE,
+                (message, to) -> false);
+        world.arrive(MalformedMessageTest.INVITE.getBytes(StandardCharsets.UTF_8), 1000);
         Request first = (Request) world.sentTo(3001).get(0);
         world.passes(245);
         assertEquals(sent(world), 1L);
-        world.arrive(first.answer(180, "Ringing", "tag").bytes(), 3001);
+        world.arrive(first.createResponse(180, "Ringing", "tag").bytes(), 3001);
         world.passes(200);
         assertEquals(sent(world), 2L);
-        assertEquals(world.rules().broken(), List.of());
+        assertEquals(world.rules().violations(), List.of());
     }
 
-    private static long sent(WireWorld world) {
+    private static long sent(SimulatedExchange world) {
         return world.sentTo(-1).stream()
-                .filter(one -> one instanceof Request request && request.is("INVITE"))
+                .filter(one -> one instanceof Request request && request.hasMethod("INVITE"))
                 .count();
     }
 
-    private static void caught(Found found, String rule) {
+    private static void caught(SearchResult found, String rule) {
         assertTrue(found.fault() != null && found.fault().startsWith("[" + rule + ": "), "" + found);
     }
 
@@ -92,7 +95,7 @@
     public void aSecondAnswerIsCaught() {
         caught(
                 search(
-                        new Plan(false, 4, 0, 0, false, false, false),
+                        new Scenario(false, 4, 0, 0, false, false, false),
                         6,
                         RELEASE,
                         (message, to) ->
@@ -104,17 +107,22 @@
     public void aSecondRingIsCaught() {
         caught(
                 search(
-                        new Plan(false, 4, 0, 0, false, false, false),
+                        new Scenario(false, 4, 0, 0, false, false, false),
                         6,
                         RELEASE,
-                        (message, to) -> to >= 3000 && message instanceof Request request && request.is("INVITE")),
+                        (message, to) ->
+                                to >= 3000 && message instanceof Request request && request.hasMethod("INVITE")),
                 "2");
     }
 
     @Test
     public void aReleaseThatIsTooShortIsCaught() {
         caught(
-                search(new Plan(false, 4, 0, 1, false, false, false), 6, Span.ofMillis(900), (message, to) -> false),
+                search(
+                        new Scenario(false, 4, 0, 1, false, false, false),
+                        6,
+                        Span.ofMillis(900),
+                        (message, to) -> false),
                 "5");
     }
 }
--- a/src/test/java/martenslip/exchange/BadWireTest.java
+++ b/src/test/java/martenslip/exchange/MalformedMessageTest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
+import martenslip.configuration.InvalidFileException;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.provision.Rejected;
-import martenslip.signal.SwitchText;
-import martenslip.sip.message.BadValue;
+import martenslip.signaling.EventPackageCodec;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import org.slf4j.LoggerFactory;
@@ -23,7 +23,7 @@
 import org.testng.annotations.Test;
 
 /** Messages and notices that are cut short, out of range or no numbers: nothing throws, and each INVITE is answered. */
-public class BadWireTest {
+public class MalformedMessageTest {
     private static final String[] ODD = {
         "",
         " ",
@@ -84,9 +84,11 @@
         log.setLevel(null);
     }
 
-    private static WireWorld world() {
-        return new WireWorld(
-                new WireWorld.Plan(false, 4, 0, 0, false, false, false), Span.ofMillis(100), (message, to) -> false);
+    private static SimulatedExchange world() {
+        return new SimulatedExchange(
+                new SimulatedExchange.Scenario(false, 4, 0, 0, false, false, false),
+                Span.ofMillis(100),
+                (message, to) -> false);
     }
 
     /** Cut short at each byte. */
@@ -116,7 +118,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static long finals(WireWorld world) {
+    private static long finals(SimulatedExchange world) {
         return world.sentTo(-1).stream()
                 .filter(one -> one instanceof Response response && response.status() >= 200)
                 .map(one -> ((Response) one).status())
@@ -128,7 +130,7 @@
     public void eachInviteThatCanBeAnsweredGetsOneFinalAnswer() {
         Set<String> wrong = new TreeSet<>();
         for (String text : spoilt(INVITE)) {
-            WireWorld world = world();
+            SimulatedExchange world = world();
             try {
                 boolean request = world.arrive(bytes(text), 1000);
                 world.passes(1200);
@@ -145,17 +147,17 @@
 
     /** The switch's answers: whatever they hold, the caller has one final answer when its patience is over. */
     @Test
-    public void noAnswerOfASwitchCostsTheContactItsOwn() throws BadValue {
+    public void noAnswerOfASwitchCostsTheContactItsOwn() throws InvalidValueException {
         Set<String> wrong = new TreeSet<>();
         for (int status : new int[] {180, 200, 503}) {
-            WireWorld first = world();
+            SimulatedExchange first = world();
             first.arrive(bytes(INVITE), 1000);
-            Response good = ((Request) first.sentTo(3001).get(0)).answer(status, "x", "tag");
+            Response good = ((Request) first.sentTo(3001).get(0)).createResponse(status, "x", "tag");
             good.headers().add("Contact", "<sip:b@127.0.0.1:3001>").add("Retry-After", "1");
             good.headers().add("Martenslip-Load", "depth=3;wait=2;spare=3;total=4");
             good.headers().add("Reason", "Q.850;cause=34;location=LN");
             for (String text : spoilt(new String(good.bytes(), StandardCharsets.UTF_8))) {
-                WireWorld world = world();
+                SimulatedExchange world = world();
                 try {
                     world.arrive(bytes(INVITE), 1000);
                     world.arrive(bytes(text), 3001);
@@ -181,18 +183,18 @@
 
     @Test
     public void noticesAreReadOrRefusedWithAReason() {
-        SwitchText text = new SwitchText(List.of("r"), new Moment(0), Instant.EPOCH);
+        EventPackageCodec text = new EventPackageCodec(List.of("r"), new Moment(0), Instant.EPOCH);
         Set<String> wrong = new TreeSet<>();
         int refused = 0;
         for (String good : new String[] {LIST, CIRCUITS}) {
             for (String bad : attributes(good)) {
                 try {
                     if (good == LIST) {
-                        text.lines(bytes(bad));
+                        text.parseSwitchList(bytes(bad));
                     } else {
-                        text.groups(bytes(bad));
+                        text.parseCircuitList(bytes(bad));
                     }
-                } catch (Rejected | BadValue e) {
+                } catch (InvalidFileException | InvalidValueException e) {
                     refused += e.getMessage().isBlank() ? 0 : 1;
                 } catch (RuntimeException e) {
                     wrong.add(e + " at " + e.getStackTrace()[0] + " by " + bad);
--- a/src/test/java/martenslip/exchange/WireWorld.java
+++ b/src/test/java/martenslip/exchange/SimulatedExchange.java
@@ -12,51 +12,51 @@
 import java.util.Set;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
-import martenslip.EveryOrder;
-import martenslip.EveryOrder.Event;
-import martenslip.FiveRules;
-import martenslip.Logic;
+import martenslip.InterleavingExplorer;
+import martenslip.InterleavingExplorer.Event;
+import martenslip.RoutingPolicy;
+import martenslip.RuleChecker;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.configuration.ExchangeFile;
+import martenslip.configuration.InvalidFileException;
 import martenslip.control.Controller.ListKind;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.provision.Rejected;
-import martenslip.provision.Site;
-import martenslip.provision.SiteFile;
-import martenslip.signal.Neighbour;
-import martenslip.signal.Release;
-import martenslip.signal.SwitchText;
-import martenslip.sip.dialog.CallIn;
-import martenslip.sip.dialog.CallOut;
-import martenslip.sip.dialog.CallUser;
-import martenslip.sip.dialog.Calls;
-import martenslip.sip.dialog.Ending;
-import martenslip.sip.message.BadValue;
+import martenslip.control.SwitchEntry;
+import martenslip.eventloop.TimerWheel;
+import martenslip.signaling.EventPackageCodec;
+import martenslip.signaling.ListedSwitch;
+import martenslip.signaling.ReleaseCause;
+import martenslip.sip.dialog.CallEndReason;
+import martenslip.sip.dialog.DialogLayer;
+import martenslip.sip.dialog.UacCall;
+import martenslip.sip.dialog.UasCall;
+import martenslip.sip.dialog.UserAgentCore;
 import martenslip.sip.message.Headers;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Message;
-import martenslip.sip.message.Parsed;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
+import martenslip.sip.message.ParseResult;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 import martenslip.sip.message.SipUri;
-import martenslip.sip.transaction.Branches;
-import martenslip.sip.transaction.Failure;
-import martenslip.sip.transaction.Outlet;
+import martenslip.sip.transaction.IdGenerator;
+import martenslip.sip.transaction.MessageSender;
+import martenslip.sip.transaction.RequestFailure;
 import martenslip.sip.transaction.ServerTransaction;
-import martenslip.sip.transaction.Timers;
-import martenslip.sip.transport.Arrival;
-import martenslip.sip.transport.Drops;
+import martenslip.sip.transaction.TransactionTimers;
+import martenslip.sip.transport.DropCounter;
 import martenslip.sip.transport.Hop;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.TransportEvent;
 
 /**
  * One exchange's real SIP, contacts, decider and module on driven time, between a caller and two switches that are
  * real ends too. It says which events may come next; the rules are judged by what leaves and reaches the exchange.
  */
-final class WireWorld implements EveryOrder.World {
+final class SimulatedExchange implements InterleavingExplorer.Simulation {
     private static final int CALLER = 1000;
     private static final int EXCHANGE = 2000;
-    private static final Site SITE = site(300);
+    private static final ExchangeConfiguration SITE = site(300);
     private static final Span SLACK = Span.ofMillis(20);
     private static final Span SILENCE = Span.ofMillis(300);
     /** No message is longer under way. */
@@ -64,88 +64,95 @@
 
     private static final int LONGEST = 80_000;
 
-    record Plan(
+    record Scenario(
             boolean tcp, int circuits, int losses, int refusals, boolean callerLeaves, boolean byes, boolean breaks) {}
 
-    private record Flying(int from, int to, Message message, byte[] bytes, Moment since) {}
+    private record InFlightMessage(int from, int to, Message message, byte[] bytes, Moment since) {}
 
-    private final class End implements CallUser {
+    private final class SimulatedEndpoint implements UserAgentCore {
         final int port;
-        final Calls calls;
-        final List<CallIn> ringing = new ArrayList<>();
-        final List<CallIn> standing = new ArrayList<>();
+        final DialogLayer calls;
+        final List<UasCall> ringing = new ArrayList<>();
+        final List<UasCall> standing = new ArrayList<>();
 
-        End(int port) {
+        SimulatedEndpoint(int port) {
             this.port = port;
-            calls = new Calls(wheel, Timers.QUICK, outlet(port), new Branches(port), this, new Drops(), 1000);
+            calls = new DialogLayer(
+                    wheel,
+                    TransactionTimers.DELAYED_TRYING,
+                    outlet(port),
+                    new IdGenerator(port),
+                    this,
+                    new DropCounter(),
+                    1000);
         }
 
         @Override
-        public void incoming(CallIn call) {
+        public void inviteReceived(UasCall call) {
             if (port == EXCHANGE) {
                 contacts.incoming(call);
                 return;
             }
             ringing.add(call);
             call.progress(call.response(180, "Ringing"));
-            call.listen(new CallIn.Listener() {
+            call.setListener(new UasCall.Listener() {
                 @Override
                 public void cancelled() {
                     ringing.remove(call);
                 }
 
                 @Override
-                public void ended(Ending why, Request bye) {
+                public void ended(CallEndReason why, Request bye) {
                     standing.remove(call);
                 }
             });
         }
 
         @Override
-        public void requested(ServerTransaction transaction) {
-            transaction.respond(transaction.request().answer(200, "OK", "t"));
+        public void requestReceived(ServerTransaction transaction) {
+            transaction.respond(transaction.request().createResponse(200, "OK", "t"));
         }
 
         @Override
-        public void broken(Hop hop, boolean everUp) {
+        public void connectionLost(Hop hop, boolean everUp) {
             // The calls are told by themselves.
         }
 
         @Override
-        public Set<String> methods() {
+        public Set<String> additionalMethods() {
             return Set.of("OPTIONS");
         }
     }
 
     /** A ring as the wire shows it. */
-    private static final class Ring {
+    private static final class ObservedRing {
         final String contact;
         final Moment first;
         boolean heard;
         boolean over;
         Moment last;
 
-        Ring(String contact, Moment at) {
+        ObservedRing(String contact, Moment at) {
             this.contact = contact;
             first = at;
             last = at;
         }
     }
 
-    private final FiveRules rules;
-    private final Plan plan;
+    private final RuleChecker rules;
+    private final Scenario plan;
     private final BiPredicate<Message, Integer> doubles;
-    private final Wheel wheel = new Wheel(new Moment(0));
-    private final Map<Integer, End> ends = new LinkedHashMap<>();
-    private final List<Flying> flying = new ArrayList<>();
-    private final Map<String, Ring> rings = new LinkedHashMap<>();
+    private final TimerWheel wheel = new TimerWheel(new Moment(0));
+    private final Map<Integer, SimulatedEndpoint> ends = new LinkedHashMap<>();
+    private final List<InFlightMessage> flying = new ArrayList<>();
+    private final Map<String, ObservedRing> rings = new LinkedHashMap<>();
     private final Map<String, String> contactOf = new HashMap<>();
     private final Map<String, String> answers = new HashMap<>();
     private final Set<String> offered = new HashSet<>();
     private final Contacts contacts;
     private final Decider decider;
-    private final Estate estate = new Estate(0, 1);
-    private CallOut call;
+    private final HandoverStore estate = new HandoverStore(0, 1);
+    private UacCall call;
     private boolean callStands;
     private boolean callOver;
     private int losses;
@@ -155,60 +162,62 @@
     private boolean broke;
     private long now;
 
-    WireWorld(Plan plan, Span release, BiPredicate<Message, Integer> doubles) {
+    SimulatedExchange(Scenario plan, Span release, BiPredicate<Message, Integer> doubles) {
         this(SITE, plan, release, doubles);
     }
 
-    WireWorld(Site site, Plan plan, Span release, BiPredicate<Message, Integer> doubles) {
+    SimulatedExchange(ExchangeConfiguration site, Scenario plan, Span release, BiPredicate<Message, Integer> doubles) {
         this.plan = plan;
         this.doubles = doubles;
-        rules = new FiveRules(Span.ofMillis(500), release, Span.ofMillis(1000));
+        rules = new RuleChecker(Span.ofMillis(500), release, Span.ofMillis(1000));
         EventLog log = new EventLog(0);
-        ToLanes hands = new ToLanes(1, new ToLanes.Way() {
+        LaneCommandDispatcher hands = new LaneCommandDispatcher(1, new LaneCommandDispatcher.Channel() {
             @Override
             public void toContacts(int lane, Consumer<Contacts> order) {
                 order.accept(contacts);
             }
 
             @Override
-            public void toSurroundings(Consumer<Surroundings> order) {
+            public void toSurroundings(Consumer<NetworkMonitor> order) {
                 // Nothing is asked of the list's service here.
             }
         });
-        decider = new Decider(site, Logic::new, 1, wheel, hands, log);
-        ToDecider reports = new ToDecider((report, refusable) -> {
+        decider = new Decider(site, RoutingPolicy::new, 1, wheel, hands, log);
+        LaneReportDispatcher reports = new LaneReportDispatcher((report, refusable) -> {
             report.accept(decider);
             return true;
         });
         for (int port : new int[] {CALLER, EXCHANGE, 3001, 3002}) {
-            ends.put(port, new End(port));
+            ends.put(port, new SimulatedEndpoint(port));
         }
-        contacts = new Contacts(site, ends.get(EXCHANGE).calls, 0, estate, reports, () -> false, log, new Figures());
+        contacts = new Contacts(
+                site, ends.get(EXCHANGE).calls, 0, estate, reports, () -> false, log, new ExchangeStatistics());
         world();
     }
 
     private void world() {
-        List<Neighbour> lines = new ArrayList<>();
+        List<ListedSwitch> lines = new ArrayList<>();
         for (int number = 0; number < 3; number++) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", 3000 + number);
             try {
-                lines.add(new Neighbour(
-                        new SwitchLine(SwitchText.id(at), number, SwitchLine.State.READY, null, 0),
+                lines.add(new ListedSwitch(
+                        new SwitchEntry(EventPackageCodec.switchId(at), number, SwitchEntry.State.READY, null, 0),
                         SipUri.of(null, "127.0.0.1", 3000 + number),
                         hop(3000 + number)));
-            } catch (BadValue e) {
+            } catch (InvalidValueException e) {
                 throw new IllegalStateException(e);
             }
         }
-        decider.listed(ListKind.WHOLE, lines);
-        decider.circuits(
-                List.of(new SwitchText.GroupState("g1", 4, plan.circuits), new SwitchText.GroupState("g2", 4, 4)));
+        decider.listed(ListKind.FULL, lines);
+        decider.circuits(List.of(
+                new EventPackageCodec.GroupState("g1", 4, plan.circuits),
+                new EventPackageCodec.GroupState("g2", 4, 4)));
         decider.begin();
         decider.tellAll();
     }
 
     /** {@code silence} is after how many milliseconds a ring without a word is given up. */
-    static Site site(int silence) {
+    static ExchangeConfiguration site(int silence) {
         String text = """
                 <exchange xmlns="urn:martenslip:exchange:1" number="0" region="r" seed="1">
                 <listen host="127.0.0.1" udp="2000" tcp="2000"/><circuits uri="sip:c@127.0.0.1:9"/>
@@ -223,25 +232,25 @@
                 <reports fields="allowed depth"/><peers/></exchange>
                 """.formatted(silence);
         try {
-            return SiteFile.read("test", text.getBytes(StandardCharsets.UTF_8), Path.of("."));
-        } catch (Rejected e) {
+            return ExchangeFile.read("test", text.getBytes(StandardCharsets.UTF_8), Path.of("."));
+        } catch (InvalidFileException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private Hop hop(int port) {
-        return new Hop(plan.tcp ? Hop.Kind.TCP : Hop.Kind.UDP, new InetSocketAddress("127.0.0.1", port), 0);
+        return new Hop(plan.tcp ? Hop.Protocol.TCP : Hop.Protocol.UDP, new InetSocketAddress("127.0.0.1", port), 0);
     }
 
     private Moment at() {
         return wheel.now();
     }
 
-    private Outlet outlet(int port) {
-        return new Outlet() {
+    private MessageSender outlet(int port) {
+        return new MessageSender() {
             @Override
             public boolean send(byte[] bytes, Hop to) {
-                Message message = Parser.datagram(bytes, bytes.length).message();
+                Message message = MessageParser.parse(bytes, bytes.length).message();
                 int times =
                         port == EXCHANGE && doubles.test(message, to.address().getPort()) ? 2 : 1;
                 for (int i = 0; i < times; i++) {
@@ -249,13 +258,13 @@
                     if (port == EXCHANGE) {
                         leaves(one, to.address().getPort());
                     }
-                    flying.add(new Flying(port, to.address().getPort(), one, one.bytes(), at()));
+                    flying.add(new InFlightMessage(port, to.address().getPort(), one, one.bytes(), at()));
                 }
                 return true;
             }
 
             @Override
-            public String sentBy(Hop.Kind kind) {
+            public String sentBy(Hop.Protocol kind) {
                 return "127.0.0.1:" + port;
             }
         };
@@ -264,7 +273,7 @@
     /** The planted fault: the same in another transaction, or another final answer. */
     private static Message other(Message message) {
         byte[] bytes = message.bytes();
-        Message copy = Parser.datagram(bytes, bytes.length).message();
+        Message copy = MessageParser.parse(bytes, bytes.length).message();
         if (copy instanceof Request) {
             copy.headers().set("Call-ID", copy.callId() + "x");
             return copy;
@@ -283,14 +292,14 @@
                 String is = response.status() + " " + response.to().tag();
                 String before = answers.putIfAbsent(response.callId(), is);
                 if (before == null || !before.equals(is)) {
-                    rules.answered(at(), response.callId());
+                    rules.contactAnswered(at(), response.callId());
                 }
-            } else if (message instanceof Request request && request.is("INVITE") && to >= 3000) {
+            } else if (message instanceof Request request && request.hasMethod("INVITE") && to >= 3000) {
                 ring(request, to);
-            } else if (message instanceof Request request && request.is("CANCEL")) {
+            } else if (message instanceof Request request && request.hasMethod("CANCEL")) {
                 over(request.callId(), true);
             }
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             // A 400 bears what was wrong; it is an answer to no contact.
             return;
         }
@@ -298,48 +307,49 @@
 
     private void ring(Request request, int to) {
         String contact = contactOf.get(request.headers().first("Session-ID"));
-        Ring known = rings.get(request.callId());
+        ObservedRing known = rings.get(request.callId());
         if (known != null) {
             known.last = at();
             boolean beside = rings.values().stream().anyMatch(one -> one != known && !one.over);
             if (known.over || answers.containsKey(contact) || beside) {
-                rules.ring(at(), "0", contact, to);
+                rules.ringSent(at(), "0", contact, to);
             }
             return;
         }
-        for (Ring one : rings.values()) {
+        for (ObservedRing one : rings.values()) {
             if (!one.over && !one.heard && !at().before(one.first.plus(SILENCE))) {
                 // Given up without a word: nothing of it may go out after this.
                 one.over = true;
-                rules.ended(one.last, contact, true);
+                rules.ringEnded(one.last, contact, true);
             }
         }
-        rings.put(request.callId(), new Ring(contact, at()));
-        rules.ring(at(), "0", contact, to);
+        rings.put(request.callId(), new ObservedRing(contact, at()));
+        rules.ringSent(at(), "0", contact, to);
     }
 
     private void over(String callId, boolean held) {
-        Ring ring = rings.get(callId);
+        ObservedRing ring = rings.get(callId);
         if (ring != null && !ring.over) {
             ring.over = true;
-            rules.ended(at(), ring.contact, held);
+            rules.ringEnded(at(), ring.contact, held);
         }
     }
 
     private void reaches(Message message) {
         try {
             if (message instanceof Request request
-                    && request.is("INVITE")
+                    && request.hasMethod("INVITE")
                     && request.to().tag().isEmpty()
                     && offered.add(request.callId())) {
                 contactOf.put(request.headers().first("Session-ID"), request.callId());
-                rules.taken(request.callId(), at().plus(Span.ofMillis(1000)).plus(SLACK));
+                rules.contactTaken(
+                        request.callId(), at().plus(Span.ofMillis(1000)).plus(SLACK));
             } else if (message instanceof Response response
                     && rings.containsKey(response.callId())
                     && response.cseq().method().equals("INVITE")) {
                 rings.get(response.callId()).heard = true;
-                Release release = Release.of(response);
-                boolean beyond = release != null && release.from(Release.TRANSIT);
+                ReleaseCause release = ReleaseCause.of(response);
+                boolean beyond = release != null && release.hasLocation(ReleaseCause.TRANSIT_NETWORK);
                 if (response.status() >= 300) {
                     over(
                             response.callId(),
@@ -348,7 +358,7 @@
                                     || response.status() == 504 && !beyond);
                 }
             }
-        } catch (BadValue e) {
+        } catch (InvalidValueException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -356,14 +366,14 @@
     // What may come next.
 
     @Override
-    public List<Event> enabled() {
+    public List<Event> enabledEvents() {
         List<Event> all = new ArrayList<>();
         if (call == null) {
             all.add(new Event("call", this::call));
             return all;
         }
         Set<String> pairs = new HashSet<>();
-        for (Flying one : List.copyOf(flying)) {
+        for (InFlightMessage one : List.copyOf(flying)) {
             String name = one.from + ">" + one.to + " " + word(one.message);
             boolean next = plan.tcp ? pairs.add(one.from + ">" + one.to) : pairs.add(name);
             if (next) {
@@ -400,8 +410,8 @@
 
     private void switches(List<Event> all) {
         for (int port : new int[] {3001, 3002}) {
-            End end = ends.get(port);
-            for (CallIn one : List.copyOf(end.ringing)) {
+            SimulatedEndpoint end = ends.get(port);
+            for (UasCall one : List.copyOf(end.ringing)) {
                 all.add(new Event(port + " answers", () -> {
                     end.ringing.remove(one);
                     end.standing.add(one);
@@ -415,7 +425,7 @@
                     }));
                 }
             }
-            for (CallIn one : plan.byes && !hungUp ? List.copyOf(end.standing) : List.<CallIn>of()) {
+            for (UasCall one : plan.byes && !hungUp ? List.copyOf(end.standing) : List.<UasCall>of()) {
                 all.add(new Event(port + " hangs up", () -> {
                     hungUp = true;
                     end.standing.remove(one);
@@ -438,14 +448,14 @@
                 .add("Expires", "1");
         Request invite =
                 new Request("INVITE", "sip:+1555@127.0.0.1:2000" + (plan.tcp ? ";transport=tcp" : ""), headers);
-        call = ends.get(CALLER).calls.call(invite, hop(EXCHANGE), new CallOut.Listener() {
+        call = ends.get(CALLER).calls.startCall(invite, hop(EXCHANGE), new UacCall.Listener() {
             @Override
             public void progress(Response response) {
                 // Not judged.
             }
 
             @Override
-            public void stood(Response response) {
+            public void established(Response response) {
                 callStands = true;
             }
 
@@ -455,24 +465,24 @@
             }
 
             @Override
-            public void failed(Failure why) {
+            public void failed(RequestFailure why) {
                 callOver = true;
             }
 
             @Override
-            public void ended(Ending why, Request bye) {
+            public void ended(CallEndReason why, Request bye) {
                 callOver = true;
             }
         });
     }
 
-    private void deliver(Flying one) {
+    private void deliver(InFlightMessage one) {
         flying.remove(one);
         if (one.to == EXCHANGE) {
             reaches(one.message);
         }
-        Message read = Parser.datagram(one.bytes, one.bytes.length).message();
-        ends.get(one.to).calls.transactions().arrived(new Arrival.Received(read, hop(one.from)));
+        Message read = MessageParser.parse(one.bytes, one.bytes.length).message();
+        ends.get(one.to).calls.transactionLayer().handleEvent(new TransportEvent.MessageReceived(read, hop(one.from)));
         decider.tellAll();
     }
 
@@ -482,15 +492,21 @@
         flying.removeIf(one -> one.from >= 3000 || one.to >= 3000);
         rings.keySet().forEach(callId -> over(callId, true));
         for (int port : new int[] {3001, 3002}) {
-            ends.get(EXCHANGE).calls.transactions().arrived(new Arrival.Broken(hop(port), true, "planted"));
-            ends.get(port).calls.transactions().arrived(new Arrival.Broken(hop(EXCHANGE), true, "planted"));
+            ends.get(EXCHANGE)
+                    .calls
+                    .transactionLayer()
+                    .handleEvent(new TransportEvent.ConnectionLost(hop(port), true, "planted"));
+            ends.get(port)
+                    .calls
+                    .transactionLayer()
+                    .handleEvent(new TransportEvent.ConnectionLost(hop(EXCHANGE), true, "planted"));
         }
         decider.tellAll();
     }
 
     /** Bytes that come from one of the ends, as the socket's reader hands them up. True where they are a request. */
     boolean arrive(byte[] bytes, int from) {
-        Parsed read = Parser.datagram(bytes, bytes.length);
+        ParseResult read = MessageParser.parse(bytes, bytes.length);
         if (read.message() == null || read.status() != 0 && !(read.message() instanceof Request)) {
             return false;
         }
@@ -499,11 +515,12 @@
         }
         ends.get(EXCHANGE)
                 .calls
-                .transactions()
-                .arrived(
+                .transactionLayer()
+                .handleEvent(
                         read.status() == 0
-                                ? new Arrival.Received(read.message(), hop(from))
-                                : new Arrival.Wrong((Request) read.message(), read.status(), read.fault(), hop(from)));
+                                ? new TransportEvent.MessageReceived(read.message(), hop(from))
+                                : new TransportEvent.InvalidRequest(
+                                        (Request) read.message(), read.status(), read.fault(), hop(from)));
         decider.tellAll();
         return read.message() instanceof Request;
     }
@@ -511,7 +528,7 @@
     void passes(int ms) {
         for (int i = 0; i < ms; i += 5) {
             now += 5;
-            wheel.turn(new Moment(Span.ofMillis(now).ns()));
+            wheel.advanceTo(new Moment(Span.ofMillis(now).ns()));
             decider.tellAll();
         }
     }
@@ -520,14 +537,15 @@
     List<Message> sentTo(int port) {
         return flying.stream()
                 .filter(one -> one.from == EXCHANGE && (port < 0 || one.to == port))
-                .map(Flying::message)
+                .map(InFlightMessage::message)
                 .toList();
     }
 
     private boolean busy() {
         return ends.values().stream()
-                        .anyMatch(end ->
-                                end.calls.open() + end.calls.transactions().open() > 0)
+                        .anyMatch(end -> end.calls.openDialogCount()
+                                        + end.calls.transactionLayer().openCount()
+                                > 0)
                 || decider.size() > 0
                 || contacts.open() > 0;
     }
@@ -538,8 +556,10 @@
 
     private int digest() {
         int sum = flying.size() * 31 + decider.size() * 7 + contacts.open();
-        for (End end : ends.values()) {
-            sum = sum * 13 + end.calls.open() * 3 + end.calls.transactions().open();
+        for (SimulatedEndpoint end : ends.values()) {
+            sum = sum * 13
+                    + end.calls.openDialogCount() * 3
+                    + end.calls.transactionLayer().openCount();
         }
         return sum;
     }
@@ -548,34 +568,34 @@
     private void time() {
         int before = digest();
         for (int i = 0; i < LONGEST && digest() == before && busy() && !old(); i++) {
-            now += Math.max(1, wheel.quiet().ns() / 1_000_000);
-            wheel.turn(new Moment(Span.ofMillis(now).ns()));
+            now += Math.max(1, wheel.timeUntilNextTimer().ns() / 1_000_000);
+            wheel.advanceTo(new Moment(Span.ofMillis(now).ns()));
             decider.tellAll();
-            rules.at(at());
+            rules.checkDeadlines(at());
         }
     }
 
     @Override
-    public FiveRules rules() {
+    public RuleChecker rules() {
         return rules;
     }
 
     @Override
-    public void quiet() {
+    public void checkQuiescent() {
         if (busy() || !estate.wills().isEmpty()) {
             StringBuilder left = new StringBuilder("at the end: roll " + decider.size() + ", contacts "
                     + contacts.open() + ", wills " + estate.wills().size());
             ends.forEach((port, end) -> left.append(", ")
                     .append(port)
                     .append(" dialogs ")
-                    .append(end.calls.open())
+                    .append(end.calls.openDialogCount())
                     .append(" transactions ")
-                    .append(end.calls.transactions().open()));
-            rules.wrong("quiet", left.toString());
+                    .append(end.calls.transactionLayer().openCount()));
+            rules.addViolation("quiet", left.toString());
         }
         if (decider.switchboard().toward(1).free != plan.circuits
                 || decider.switchboard().toward(2).free != 4) {
-            rules.wrong("quiet", "circuits are still held");
+            rules.addViolation("quiet", "circuits are still held");
         }
     }
 }
--- a/src/test/java/martenslip/exchange/KeptListTest.java
+++ b/src/test/java/martenslip/exchange/SwitchListStoreTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class KeptListTest {
+public class SwitchListStoreTest {
     private final List<String> trouble = new CopyOnWriteArrayList<>();
     private Path folder;
 
@@ -23,8 +23,8 @@
         folder = Files.createTempDirectory("kept");
     }
 
-    private KeptList at(Path file) {
-        return new KeptList(file, trouble::add);
+    private SwitchListStore at(Path file) {
+        return new SwitchListStore(file, trouble::add);
     }
 
     @Test
@@ -32,7 +32,7 @@
         Path file = folder.resolve("a/b.xml");
         Files.createDirectories(folder.resolve("a"));
         Files.writeString(folder.resolve("a/b.xml.new"), "half of a");
-        try (KeptList kept = at(file)) {
+        try (SwitchListStore kept = at(file)) {
             assertNull(kept.read());
             kept.keep(new byte[] {1});
             kept.keep(new byte[] {2});
@@ -45,7 +45,7 @@
     public void aPlaceThatCannotBeWrittenIsToldAndTheNextListIsTriedAgain() throws IOException, InterruptedException {
         Path inTheWay = Files.writeString(folder.resolve("a"), "a file");
         Path file = folder.resolve("a/b.xml");
-        try (KeptList kept = at(file)) {
+        try (SwitchListStore kept = at(file)) {
             kept.keep(new byte[] {1});
             waitFor(1);
             Files.delete(inTheWay);
@@ -58,7 +58,7 @@
     /** A path without a folder above it threw another kind of fault, which ended the thread without a word. */
     @Test
     public void aFaultOfAnotherKindIsToldToo() throws InterruptedException {
-        try (KeptList kept = at(Path.of("/"))) {
+        try (SwitchListStore kept = at(Path.of("/"))) {
             kept.keep(new byte[] {1});
             waitFor(1);
             kept.keep(new byte[] {2});
@@ -69,11 +69,11 @@
     @Test
     public void whatIsNoListOfThisProgramIsNotRead() throws IOException, InterruptedException {
         Path large = folder.resolve("large");
-        Files.write(large, new byte[KeptList.MOST_BYTES + 1]);
-        try (KeptList kept = at(large)) {
+        Files.write(large, new byte[SwitchListStore.MOST_BYTES + 1]);
+        try (SwitchListStore kept = at(large)) {
             assertThrows(IOException.class, kept::read);
         }
-        try (KeptList kept = at(folder)) {
+        try (SwitchListStore kept = at(folder)) {
             assertThrows(IOException.class, kept::read);
         }
     }
--- a/src/test/java/martenslip/expect/ExampleTest.java
+++ b/src/test/java/martenslip/expect/ExampleExpectationsTest.java
@@ -13,53 +13,54 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import martenslip.Logic;
-import martenslip.provision.Rejected;
-import martenslip.provision.Site;
-import martenslip.provision.SiteFile;
+import martenslip.RoutingPolicy;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.configuration.ExchangeFile;
+import martenslip.configuration.InvalidFileException;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** The example of 200 lines on 51 desks: it holds, and breaks planted in the configuration are named. */
-public class ExampleTest {
+public class ExampleExpectationsTest {
     private static final Path FOLDER = Path.of("examples", "expect");
     private static final int[] TANDEMS = {3, 11, 19, 27, 35, 43};
 
-    private static Map<Integer, Site> others() throws IOException, Rejected {
-        Map<Integer, Site> sites = new TreeMap<>();
+    private static Map<Integer, ExchangeConfiguration> others() throws IOException, InvalidFileException {
+        Map<Integer, ExchangeConfiguration> sites = new TreeMap<>();
         try (Stream<Path> all = Files.list(FOLDER.resolve("others"))) {
             for (Path one : all.sorted().toList()) {
-                Site site = SiteFile.read(one);
+                ExchangeConfiguration site = ExchangeFile.read(one);
                 sites.put(site.number(), site);
             }
         }
         return sites;
     }
 
-    private static Site site(String xml) throws Rejected {
-        return SiteFile.read("desk07.xml", xml.getBytes(StandardCharsets.UTF_8), FOLDER);
+    private static ExchangeConfiguration site(String xml) throws InvalidFileException {
+        return ExchangeFile.read("desk07.xml", xml.getBytes(StandardCharsets.UTF_8), FOLDER);
     }
 
-    private static ExpectFile.Read lines(Site site) throws IOException, Rejected {
-        return ExpectFile.read("desk07.expect", Files.readString(FOLDER.resolve("desk07.expect")), site);
+    private static ExpectationFile.Contents lines(ExchangeConfiguration site) throws IOException, InvalidFileException {
+        return ExpectationFile.read("desk07.expect", Files.readString(FOLDER.resolve("desk07.expect")), site);
     }
 
-    private static Check check(Site site, ExpectFile.Read read) throws IOException, Rejected {
-        Map<Integer, Site> sites = others();
+    private static ExpectationChecker check(ExchangeConfiguration site, ExpectationFile.Contents read)
+            throws IOException, InvalidFileException {
+        Map<Integer, ExchangeConfiguration> sites = others();
         sites.put(7, site);
-        return new Check(sites, 7, read, Logic::new);
+        return new ExpectationChecker(sites, 7, read, RoutingPolicy::new);
     }
 
     @Test
     public void allOfItHoldsAndNoneContradictsAnother() throws Exception {
-        Site site = site(Files.readString(FOLDER.resolve("desk07.xml")));
-        ExpectFile.Read read = lines(site);
+        ExchangeConfiguration site = site(Files.readString(FOLDER.resolve("desk07.xml")));
+        ExpectationFile.Contents read = lines(site);
         assertEquals(read.expectations().size(), 200);
-        assertEquals(Contradictions.among(read.expectations()), List.of());
-        Check check = check(site, read);
+        assertEquals(Contradictions.find(read.expectations()), List.of());
+        ExpectationChecker check = check(site, read);
         for (Expectation one : read.expectations()) {
-            Check.Verdict verdict = check.of(one);
-            assertTrue(verdict.holds(), one.text() + ": " + verdict.why());
+            ExpectationChecker.Result verdict = check.check(one);
+            assertTrue(verdict.holds(), one.text() + ": " + verdict.reason());
         }
     }
 
@@ -94,11 +95,11 @@
             throws Exception {
         String xml = Files.readString(FOLDER.resolve("desk07.xml"));
         assertTrue(xml.contains(was), was);
-        Site site = site(xml.replace(was, becomes));
+        ExchangeConfiguration site = site(xml.replace(was, becomes));
         // A line may ask for more circuits than the group now has, which is told when the file is read.
         String text = Files.readString(FOLDER.resolve("desk07.expect")).replaceAll("(?m)^.* has 30 free$", "");
-        ExpectFile.Read read = ExpectFile.read("desk07.expect", text, site);
-        Check check = check(site, read);
+        ExpectationFile.Contents read = ExpectationFile.read("desk07.expect", text, site);
+        ExpectationChecker check = check(site, read);
         List<String> broken = new ArrayList<>();
         for (Expectation one : read.expectations()) {
             // A tandem with a single circuit is still drawn, and what it was drawn for is deferred near full.
@@ -106,11 +107,11 @@
                     || becomes.contains("\"1\"") && one.text().contains("tandems");
             // Of those that may not mind, every tenth.
             if ((one.text().contains(touched) || one.line() % 10 == 0)
-                    && !check.of(one).holds()) {
+                    && !check.check(one).holds()) {
                 broken.add(one.text());
                 assertTrue(
                         mentions,
-                        "broken beside: " + one.text() + ": " + check.of(one).why());
+                        "broken beside: " + one.text() + ": " + check.check(one).reason());
             }
         }
         assertTrue(broken.stream().anyMatch(one -> one.startsWith(named)), named + " not in " + broken);
@@ -126,9 +127,9 @@
             for (String becomes : new String[] {"", line.replace("60", "29")}) {
                 try {
                     lines(site(xml.replace(line, becomes)));
-                } catch (Rejected e) {
+                } catch (InvalidFileException e) {
                     assertTrue(e.getMessage().contains(group), e.getMessage());
-                    assertFalse(e.faults().isEmpty());
+                    assertFalse(e.errors().isEmpty());
                     continue;
                 }
                 throw new AssertionError("taken: " + group + " as '" + becomes + "'");
--- a/src/test/java/martenslip/expect/ExpectTest.java
+++ b/src/test/java/martenslip/expect/ExpectationCheckerTest.java
@@ -13,23 +13,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import martenslip.Logic;
+import martenslip.RoutingPolicy;
+import martenslip.configuration.ExchangeConfiguration;
+import martenslip.configuration.ExchangeFile;
+import martenslip.configuration.InvalidFileException;
 import martenslip.expect.Expectation.Condition;
-import martenslip.expect.Expectation.Often;
 import martenslip.expect.Expectation.Outcome;
+import martenslip.expect.Expectation.Quantifier;
 import martenslip.expect.Expectation.Route;
-import martenslip.provision.Rejected;
-import martenslip.provision.Site;
-import martenslip.provision.SiteFile;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** A small world: exchange 0 has groups to 1, 2 and 3, none to 4; all have their own files. */
-public class ExpectTest {
+public class ExpectationCheckerTest {
     private static final String DESKS = "desk d0 is exchange 0 in north\ndesk d1 is exchange 1 in north\n"
             + "desk d2 is exchange 2 in north\ndesk d3 is exchange 3 in south\ndesk d4 is exchange 4 in south\n";
 
-    private static Site site(int number, Map<Integer, Integer> groups) throws Exception {
+    private static ExchangeConfiguration site(int number, Map<Integer, Integer> groups) throws Exception {
         StringBuilder prefixes = new StringBuilder();
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < 5; i++) {
@@ -48,7 +48,7 @@
                 .append("' circuits='")
                 .append(circuits)
                 .append("'/>"));
-        return SiteFile.read(
+        return ExchangeFile.read(
                 "test",
                 ("<exchange xmlns='urn:martenslip:exchange:1' number='" + number
                                 + "' region='north' seed='1'><listen host='127.0.0.1' udp='0'/><circuits uri='sip:c@127.0.0.1:9'/>"
@@ -66,8 +66,8 @@
                 Path.of("."));
     }
 
-    private static Map<Integer, Site> world(Map<Integer, Integer> own) throws Exception {
-        Map<Integer, Site> sites = new HashMap<>();
+    private static Map<Integer, ExchangeConfiguration> world(Map<Integer, Integer> own) throws Exception {
+        Map<Integer, ExchangeConfiguration> sites = new HashMap<>();
         sites.put(0, site(0, own));
         sites.put(1, site(1, Map.of(0, 30, 2, 30, 3, 30, 4, 30)));
         sites.put(2, site(2, Map.of(0, 30, 1, 30, 3, 30, 4, 30)));
@@ -77,10 +77,11 @@
 
     private static final Map<Integer, Integer> OWN = Map.of(1, 30, 2, 30, 3, 30);
 
-    private static List<Check.Verdict> check(Map<Integer, Site> sites, String lines) throws Exception {
-        ExpectFile.Read read = ExpectFile.read("test.expect", DESKS + lines, sites.get(0));
-        Check check = new Check(sites, 0, read, Logic::new);
-        return read.expectations().stream().map(check::of).toList();
+    private static List<ExpectationChecker.Result> check(Map<Integer, ExchangeConfiguration> sites, String lines)
+            throws Exception {
+        ExpectationFile.Contents read = ExpectationFile.read("test.expect", DESKS + lines, sites.get(0));
+        ExpectationChecker check = new ExpectationChecker(sites, 0, read, RoutingPolicy::new);
+        return read.expectations().stream().map(check::check).toList();
     }
 
     @DataProvider
@@ -105,8 +106,8 @@
 
     @Test(dataProvider = "holding")
     public void whatTheModuleDoesHolds(String line) throws Exception {
-        Check.Verdict verdict = check(world(OWN), line).get(0);
-        assertTrue(verdict.holds(), verdict.why());
+        ExpectationChecker.Result verdict = check(world(OWN), line).get(0);
+        assertTrue(verdict.holds(), verdict.reason());
     }
 
     @DataProvider
@@ -127,9 +128,9 @@
 
     @Test(dataProvider = "broken")
     public void whatItDoesNotIsToldWithTheWayTaken(String line, String told) throws Exception {
-        Check.Verdict verdict = check(world(OWN), line).get(0);
+        ExpectationChecker.Result verdict = check(world(OWN), line).get(0);
         assertFalse(verdict.holds());
-        assertTrue(verdict.why().contains(told), verdict.why());
+        assertTrue(verdict.reason().contains(told), verdict.reason());
     }
 
     /** Faults planted in the configuration are told with the expectation that they break, and no other. */
@@ -137,15 +138,15 @@
     public void aChangedConfigurationBreaksWhatItTouches() throws Exception {
         String lines = "status to d1 goes direct\nslot to d2 goes direct\nstatus to d3 goes direct\n"
                 + "nothing goes via d3 while it is draining\nanything to d4 stands";
-        assertTrue(check(world(OWN), lines).stream().allMatch(Check.Verdict::holds));
-        List<Check.Verdict> noRoute = check(world(Map.of(2, 30, 3, 30)), lines);
+        assertTrue(check(world(OWN), lines).stream().allMatch(ExpectationChecker.Result::holds));
+        List<ExpectationChecker.Result> noRoute = check(world(Map.of(2, 30, 3, 30)), lines);
         assertEquals(
                 noRoute.stream()
                         .filter(one -> !one.holds())
                         .map(one -> one.expectation().text())
                         .toList(),
                 List.of("status to d1 goes direct"));
-        List<Check.Verdict> shrunk = check(world(Map.of(1, 30, 2, 2, 3, 30)), lines);
+        List<ExpectationChecker.Result> shrunk = check(world(Map.of(1, 30, 2, 2, 3, 30)), lines);
         assertEquals(
                 shrunk.stream()
                         .filter(one -> !one.holds())
@@ -156,11 +157,11 @@
 
     @Test
     public void whatIsWeakIsFoundWithoutAnExpectation() throws Exception {
-        Map<Integer, Site> sites = world(Map.of(3, 30));
+        Map<Integer, ExchangeConfiguration> sites = world(Map.of(3, 30));
         sites.remove(1);
         sites.remove(2);
-        ExpectFile.Read read = ExpectFile.read("test.expect", DESKS, sites.get(0));
-        List<String> found = new Check(sites, 0, read, Logic::new).findings();
+        ExpectationFile.Contents read = ExpectationFile.read("test.expect", DESKS, sites.get(0));
+        List<String> found = new ExpectationChecker(sites, 0, read, RoutingPolicy::new).findings();
         assertTrue(found.contains("d1 is reached by one tandem alone, d3"), found.toString());
         assertTrue(found.stream().anyMatch(one -> one.startsWith("nothing reaches d4")), found.toString());
         assertEquals(found.size(), 3, found.toString());
@@ -185,16 +186,16 @@
     @Test(dataProvider = "malformed")
     public void aMalformedLineIsRefusedWithItsPlace(String line, String told) throws Exception {
         try {
-            ExpectFile.read("test.expect", DESKS + line, world(OWN).get(0));
-        } catch (Rejected e) {
+            ExpectationFile.read("test.expect", DESKS + line, world(OWN).get(0));
+        } catch (InvalidFileException e) {
             assertTrue(e.getMessage().contains(told), e.getMessage());
             return;
         }
         throw new AssertionError("taken: " + line);
     }
 
-    private static List<Contradictions.Pair> contradictions(String lines) throws Exception {
-        return Contradictions.among(ExpectFile.read(
+    private static List<Contradictions.Contradiction> contradictions(String lines) throws Exception {
+        return Contradictions.find(ExpectationFile.read(
                         "test.expect",
                         DESKS + "set all = d1, d2, d3\n" + lines,
                         world(OWN).get(0))
@@ -242,7 +243,7 @@
         for (int round = 0; round < 3000; round++) {
             Expectation one = drawn(chance, 1);
             Expectation other = drawn(chance, 2);
-            boolean said = !Contradictions.among(List.of(one, other)).isEmpty();
+            boolean said = !Contradictions.find(List.of(one, other)).isEmpty();
             assertEquals(said, !possible(one, other), one + " against " + other);
             found += said ? 1 : 0;
         }
@@ -257,11 +258,11 @@
             }
         }
         Outcome outcome = switch (chance.nextInt(4)) {
-            case 0 -> new Outcome.Stands();
+            case 0 -> new Outcome.Established();
             case 1 -> new Outcome.Deferred();
-            default -> new Outcome.Goes(List.of(new Route(via)));
+            default -> new Outcome.Routed(List.of(new Route(via)));
         };
-        Often often = chance.nextInt(3) == 0 ? Often.NEVER : Often.ALWAYS;
+        Quantifier often = chance.nextInt(3) == 0 ? Quantifier.NEVER : Quantifier.ALWAYS;
         List<Condition> conditions = new ArrayList<>();
         if (chance.nextInt(2) == 0) {
             conditions.add(new Condition.Desk(
@@ -321,13 +322,13 @@
 
     /** A first ring, 0 direct and -1 none, and an end: 0 standing, 1 deferred, 2 abandoned. */
     private static boolean suits(Expectation one, int first, int end) {
-        boolean is = one.outcome() instanceof Outcome.Stands
+        boolean is = one.outcome() instanceof Outcome.Established
                 ? end == 0
-                : one.outcome() instanceof Outcome.Deferred ? end == 1 : goes((Outcome.Goes) one.outcome(), first);
-        return is == (one.often() != Often.NEVER);
+                : one.outcome() instanceof Outcome.Deferred ? end == 1 : goes((Outcome.Routed) one.outcome(), first);
+        return is == (one.often() != Quantifier.NEVER);
     }
 
-    private static boolean goes(Outcome.Goes goes, int first) {
+    private static boolean goes(Outcome.Routed goes, int first) {
         Set<Integer> via = goes.routes().get(0).via();
         return via.isEmpty() ? first == 0 : via.contains(first);
     }
--- a/src/test/java/martenslip/platform/RehearsalTest.java
+++ b/src/test/java/martenslip/platform/CdsTrainingRunTest.java
@@ -3,20 +3,20 @@
 import static org.testng.Assert.assertThrows;
 
 import java.io.IOException;
-import martenslip.Logic;
+import martenslip.RoutingPolicy;
 import org.testng.annotations.Test;
 
-public class RehearsalTest {
+public class CdsTrainingRunTest {
     @Test
     public void theControllerServesItsRehearsal() throws IOException {
-        Rehearsal.run(Logic::new);
+        CdsTrainingRun.run(RoutingPolicy::new);
     }
 
     @Test
     public void aControllerThatCantBeMadeFailsTheBuild() {
         assertThrows(
                 IllegalStateException.class,
-                () -> Rehearsal.run((settings, seed, now, orders) -> {
+                () -> CdsTrainingRun.run((settings, seed, now, orders) -> {
                     throw new IllegalStateException("planted");
                 }));
     }
--- a/src/test/java/martenslip/platform/ConfigurationTest.java
+++ b/src/test/java/martenslip/platform/ConfigurationTest.java
@@ -14,10 +14,10 @@
 
 /** Each setting in turn gone, of a wrong type, sign or range: it is taken with its default, or refused by its path. */
 public class ConfigurationTest {
-    private static final String GOOD = StandIn.configuration(1, StandIn.event(1, true));
+    private static final String GOOD = PlatformStandIn.configuration(1, PlatformStandIn.event(1, true));
 
     private static void read(String text) throws IOException {
-        Path file = StandIn.written(text);
+        Path file = PlatformStandIn.written(text);
         try {
             Configuration.read(file);
         } finally {
--- a/src/test/java/martenslip/platform/ServeTest.java
+++ b/src/test/java/martenslip/platform/ControllerServiceTest.java
@@ -1,7 +1,7 @@
 package martenslip.platform;
 
-import static martenslip.platform.StandIn.event;
-import static martenslip.platform.StandIn.line;
+import static martenslip.platform.PlatformStandIn.event;
+import static martenslip.platform.PlatformStandIn.line;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
@@ -14,36 +14,36 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import martenslip.Logic;
-import martenslip.platform.StandIn.Line;
-import martenslip.platform.StandIn.Machine;
-import martenslip.platform.StandIn.Said;
+import martenslip.RoutingPolicy;
+import martenslip.platform.PlatformStandIn.CallerConnection;
+import martenslip.platform.PlatformStandIn.ReceivedMessage;
+import martenslip.platform.PlatformStandIn.SwitchStandIn;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** The controller in service between a stand-in of the platform's other parties, on loopback. */
-public class ServeTest {
+public class ControllerServiceTest {
     private static final String TAG = "9b1f03aa5c7e2d41";
     private static final String OTHER = "9b1f03aa5c7e2d42";
     private static final String BODY = "v=0\r\nc=IN \"\\\u20ac\r\n";
     private static final PrintStream SILENT = new PrintStream(OutputStream.nullOutputStream());
-    private StandIn world;
-    private List<Machine> machines;
-    private StandIn.Feed feed;
+    private PlatformStandIn world;
+    private List<SwitchStandIn> machines;
+    private PlatformStandIn.JournalStandIn feed;
     private Path file;
-    private Serve serve;
+    private ControllerService serve;
 
     @BeforeMethod
     public void begin() throws IOException {
-        world = new StandIn();
+        world = new PlatformStandIn();
         machines = world.machines(3);
-        feed = world.new Feed();
-        file = StandIn.written(StandIn.configuration(feed.port(), list("up")));
+        feed = world.new JournalStandIn();
+        file = PlatformStandIn.written(PlatformStandIn.configuration(feed.port(), list("up")));
         feed.tell(list("up"));
-        serve = new Serve(file, Logic::new, SILENT);
-        serve.open();
+        serve = new ControllerService(file, RoutingPolicy::new, SILENT);
+        serve.startServing();
     }
 
     private String list(String state) {
@@ -61,35 +61,35 @@
         world.close();
     }
 
-    private Line caller() throws IOException {
-        return world.new Line(serve.listens());
+    private CallerConnection caller() throws IOException {
+        return world.new CallerConnection(serve.listens());
     }
 
     /** Tests until one passes: only then are the states of the groups there. */
-    private Line ready() throws IOException {
-        return StandIn.ready(world, serve);
+    private CallerConnection ready() throws IOException {
+        return PlatformStandIn.ready(world, serve);
     }
 
-    private Said stood(Line line) throws Exception {
+    private ReceivedMessage stood(CallerConnection line) throws Exception {
         line.invite(TAG, "dear", 3000, BODY);
-        Said start = machines.get(1).next("START");
+        ReceivedMessage start = machines.get(1).next("START");
         start.started("m=audio");
         assertTrue(line.next().endsWith("m=audio"));
-        line.say(Line.message("ACK", TAG, "", ""));
+        line.say(CallerConnection.message("ACK", TAG, "", ""));
         return start;
     }
 
     @Test
     public void aContactIsSetUpAndReleased() throws Exception {
-        Line line = ready();
+        CallerConnection line = ready();
         line.invite(TAG, "dear", 3000, BODY);
-        Said start = machines.get(1).next("START");
+        ReceivedMessage start = machines.get(1).next("START");
         assertEquals(start.description(), BODY);
         assertEquals(start.tag(), TAG);
         start.started("m=audio 31000");
         String answer = line.next();
         assertTrue(answer.startsWith("SIP/2.0 200 ") && answer.endsWith("m=audio 31000"), answer);
-        line.say(Line.message("ACK", TAG, "", ""));
+        line.say(CallerConnection.message("ACK", TAG, "", ""));
         start.finish(16, "");
         String bye = line.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16"), bye);
@@ -98,20 +98,20 @@
     @Test
     public void aCallersByeFromAnotherLineReachesTheSwitch() throws Exception {
         stood(ready());
-        Line other = caller().say(Line.message("BYE", TAG, "Reason: Q.850;cause=16\r\n", ""));
+        CallerConnection other = caller().say(CallerConnection.message("BYE", TAG, "Reason: Q.850;cause=16\r\n", ""));
         assertTrue(other.next().startsWith("SIP/2.0 200 "));
         assertEquals(machines.get(1).next("FINISH").tag(), TAG);
     }
 
     @Test
     public void aSpoiltLineCutsTheRingAndNotWhatStands() throws Exception {
-        Line line = ready();
-        Said standing = stood(line);
+        CallerConnection line = ready();
+        ReceivedMessage standing = stood(line);
         line.invite(OTHER, "dear", 3000, BODY);
-        Said start = machines.get(1).next("START");
+        ReceivedMessage start = machines.get(1).next("START");
         start.answer("{\"verb\":\"STARTED\",\"tag\":\"" + OTHER + "\",\"opts\":{},\"blob\":\"half");
         // The module tries again after the release, on what connection there is by then.
-        Said again = machines.get(1).next("START");
+        ReceivedMessage again = machines.get(1).next("START");
         again.started("whole");
         assertTrue(line.next().endsWith("whole"));
         standing.by().close();
@@ -127,16 +127,16 @@
     /** A release by the second connection is read after the state that the first told since: it must not undo it. */
     @Test
     public void anOldReportDoesNotStandForANewState() throws Exception {
-        Line line = ready();
-        Said standing = stood(line);
-        Machine machine = machines.get(1);
+        CallerConnection line = ready();
+        ReceivedMessage standing = stood(line);
+        SwitchStandIn machine = machines.get(1);
         java.net.Socket first = standing.by();
         java.net.Socket second =
                 machine.links.stream().filter(link -> link != first).findFirst().orElseThrow();
         first.getOutputStream()
                 .write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:0;x1:9\"}}\n".getBytes());
         // Heard by the order of one connection: the switch's release of an unknown id is answered after the state.
-        new Said(first, "", OTHER, "").finish(16, "");
+        new ReceivedMessage(first, "", OTHER, "").finish(16, "");
         machine.next("FINISHED");
         second.getOutputStream()
                 .write(("{\"verb\":\"FINISH\",\"tag\":\"" + TAG + "\",\"opts\":{\"load\":\"x0:1;x1:9\"},\"rc\":16}\n")
@@ -149,7 +149,7 @@
 
     @Test
     public void whatStoodOnAMachineThatDiedIsReleased() throws Exception {
-        Line line = ready();
+        CallerConnection line = ready();
         stood(line);
         machines.get(1).stop();
         String bye = line.next();
@@ -159,9 +159,9 @@
     /** On the churn's day 393 contacts that stood were released as if the process had ended: it only took no more. */
     @Test
     public void aSwitchThatDrainsMayRefuseConnectionsAndKeepsWhatStands() throws Exception {
-        Line line = ready();
-        Said standing = stood(line);
-        Machine machine = machines.get(1);
+        CallerConnection line = ready();
+        ReceivedMessage standing = stood(line);
+        SwitchStandIn machine = machines.get(1);
         feed.tell(event(2, false, line("s-1", machine.port(), 1, "draining")));
         // The new switch is connected to once the list is taken, and so is known to drain by then.
         feed.tell(event(3, false, line("s-8", machines.get(2).port(), 3, "up")));
@@ -179,7 +179,7 @@
 
     @Test
     public void anAddressThatIsUsedAgainIsANewSwitch() throws Exception {
-        Line line = ready();
+        CallerConnection line = ready();
         stood(line);
         int port = machines.get(1).port();
         feed.tell(event(2, false, line("s-1", port, 1, "removed"), line("s-9", port, 1, "up")));
@@ -203,7 +203,7 @@
     /** The feed breaks off amid an event; it is asked for again from the last whole one, and doubles are skipped. */
     @Test(dataProvider = "broken")
     public void theFeedGoesOnAfterABreak(String spoilt) throws Exception {
-        Line line = ready();
+        CallerConnection line = ready();
         assertEquals(feed.asked(), 1);
         feed.broken = spoilt;
         assertEquals(feed.asked(), 1);
@@ -215,7 +215,7 @@
         // Two connections to each switch: four once the new one at the same address is known. That it has told its
         // state
         // is one thing more, and a busy machine may take it up later.
-        StandIn.awaits(serve, () -> machines.get(2).links.size() >= 4 && serve.groupsTold());
+        PlatformStandIn.awaits(serve, () -> machines.get(2).links.size() >= 4 && serve.groupsTold());
         line.invite(TAG, "dear", 3000, BODY);
         machines.get(2).next("START").started("at the new one");
         assertTrue(line.next().endsWith("at the new one"));
@@ -225,14 +225,14 @@
     public void aReloadMovesTheFeedAndPositionsGoOn() throws Exception {
         ready();
         assertEquals(feed.asked(), 1);
-        StandIn.Feed moved = world.new Feed();
-        Files.writeString(file, StandIn.configuration(moved.port(), list("up")));
+        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
+        Files.writeString(file, PlatformStandIn.configuration(moved.port(), list("up")));
         serve.reload();
         assertEquals(moved.asked(), 1);
     }
 
-    private void moveTo(StandIn.Feed to) throws IOException {
-        Files.writeString(file, StandIn.configuration(to.port(), list("up")));
+    private void moveTo(PlatformStandIn.JournalStandIn to) throws IOException {
+        Files.writeString(file, PlatformStandIn.configuration(to.port(), list("up")));
         serve.reload();
     }
 
@@ -240,28 +240,28 @@
     @Test
     public void theOldFeedIsHeardUntilTheNewOneTalks() throws Exception {
         ready();
-        StandIn.Feed moved = world.new Feed();
+        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
         moved.silent = true;
         moveTo(moved);
         assertEquals(moved.asked(), 1);
         feed.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
-        StandIn.awaits(serve, () -> serve.position() == 2);
+        PlatformStandIn.awaits(serve, () -> serve.position() == 2);
         moved.tell(list("up"));
         moved.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
         moved.tell(event(3, false, line("s-1", machines.get(1).port(), 1, "removed")));
         moved.silent = false;
-        StandIn.awaits(serve, () -> serve.position() == 3);
+        PlatformStandIn.awaits(serve, () -> serve.position() == 3);
     }
 
     /** Reload, and at once a drain: what the new address tells counts, and it is the only one left. */
     @Test
     public void aDrainRightAfterAReloadIsHeard() throws Exception {
-        Line line = ready();
-        StandIn.Feed moved = world.new Feed();
+        CallerConnection line = ready();
+        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
         moved.tell(list("up"));
         moved.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
         moveTo(moved);
-        StandIn.awaits(serve, () -> serve.position() == 2);
+        PlatformStandIn.awaits(serve, () -> serve.position() == 2);
         line.invite(TAG, "dear", 3000, BODY);
         assertTrue(line.next().startsWith("SIP/2.0 503 "));
     }
@@ -269,49 +269,49 @@
     @Test
     public void twoReloadsWhileTheFirstIsNotYetReadEndAtTheSecond() throws Exception {
         ready();
-        StandIn.Feed nowhere = world.new Feed();
+        PlatformStandIn.JournalStandIn nowhere = world.new JournalStandIn();
         nowhere.silent = true;
         moveTo(nowhere);
-        StandIn.Feed moved = world.new Feed();
+        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
         moved.tell(list("up"));
         moved.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
         moveTo(moved);
-        StandIn.awaits(serve, () -> serve.position() == 2);
+        PlatformStandIn.awaits(serve, () -> serve.position() == 2);
         nowhere.tell(list("up"));
         nowhere.tell(list("up"));
         nowhere.tell(event(3, true));
         nowhere.silent = false;
         moved.tell(event(3, false, line("s-1", machines.get(1).port(), 1, "up")));
-        StandIn.awaits(serve, () -> serve.position() == 3);
+        PlatformStandIn.awaits(serve, () -> serve.position() == 3);
         assertTrue(serve.groupsTold());
     }
 
     /** A restart finds contacts that stand, and is killed while it takes them: the next one takes them all the same. */
     @Test
     public void takenOverAgainAfterAKillAmidSetUpsThatStandAlready() throws Exception {
-        Line line = ready();
-        line.say(Line.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
+        CallerConnection line = ready();
+        line.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
         line.say("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
         line.next();
         // Killed: what it knew is gone with it, and nobody was told a thing.
         serve.close();
         machines.get(1).said.clear();
-        serve = new Serve(file, Logic::new, SILENT);
-        serve.open();
-        Line again = ready();
-        again.say(Line.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
-        again.say(Line.message("INVITE", OTHER, "Routing-Data: at:s-none\r\n", ""));
+        serve = new ControllerService(file, RoutingPolicy::new, SILENT);
+        serve.startServing();
+        CallerConnection again = ready();
+        again.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
+        again.say(CallerConnection.message("INVITE", OTHER, "Routing-Data: at:s-none\r\n", ""));
         String over = again.next();
         assertTrue(over.startsWith("BYE ") && over.contains(OTHER), over);
         java.net.Socket link = machines.get(1).links.get(machines.get(1).links.size() - 1);
-        new Said(link, "", TAG, "").finish(16, "");
+        new ReceivedMessage(link, "", TAG, "").finish(16, "");
         String bye = again.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(TAG), bye);
     }
 
     @Test
     public void aBrokenConfigurationAtAReloadChangesNothing() throws Exception {
-        Line line = ready();
+        CallerConnection line = ready();
         Files.writeString(file, "{\"name\":");
         serve.reload();
         stood(line);
@@ -319,7 +319,7 @@
 
     @DataProvider
     public Object[][] configurations() {
-        String good = StandIn.configuration(1, event(1, true));
+        String good = PlatformStandIn.configuration(1, event(1, true));
         return new Object[][] {
             {"{", "end-of-input"},
             {"[]", "no object"},
@@ -335,8 +335,8 @@
 
     @Test(dataProvider = "configurations")
     public void aConfigurationThatIsNoneSaysWhereAndWhy(String text, String expected) throws IOException {
-        Path bad = StandIn.written(text);
-        try (Serve never = new Serve(bad, Logic::new, SILENT)) {
+        Path bad = PlatformStandIn.written(text);
+        try (ControllerService never = new ControllerService(bad, RoutingPolicy::new, SILENT)) {
             throw new AssertionError("it was taken: " + never);
         } catch (IOException e) {
             assertTrue(e.getMessage().contains(expected), e.getMessage());
@@ -345,11 +345,11 @@
 
     @Test
     public void termAmidASetUpAnswersItAndEnds() throws Exception {
-        Line line = ready();
+        CallerConnection line = ready();
         line.invite(TAG, "dear", 3000, BODY);
-        Said start = machines.get(1).next("START");
-        serve.term();
-        Line late = caller();
+        ReceivedMessage start = machines.get(1).next("START");
+        serve.requestShutdown();
+        CallerConnection late = caller();
         late.invite(OTHER, "dear", 3000, BODY);
         machines.get(1).next("START").started("late");
         assertTrue(late.next().endsWith("late"));
@@ -382,15 +382,15 @@
             {head.replace("Call-ID: " + TAG + "\r\n", "") + "Content-Length: 0\r\n\r\n"},
             {head.replace("INVITE ", "JUMP ") + "Content-Length: 0\r\n\r\n"},
             {(head + "Content-Length: 0\r\n\r\n").repeat(2)},
-            {Line.message("BYE", TAG, "", "")},
-            {Line.message("CANCEL", TAG, "", "")},
+            {CallerConnection.message("BYE", TAG, "", "")},
+            {CallerConnection.message("CANCEL", TAG, "", "")},
         };
     }
 
     @Test(dataProvider = "bad")
     public void badCallersGetAWordOrAnEndInTime(String text) throws Exception {
         ready();
-        Line line = caller();
+        CallerConnection line = caller();
         long begun = System.nanoTime();
         line.say(text);
         String answer = line.next();
@@ -400,7 +400,7 @@
 
     @Test
     public void afterBadOnesTheUsualCallersAreServed() throws Exception {
-        Line usual = ready();
+        CallerConnection usual = ready();
         for (int i = 0; i < 60; i++) {
             caller().say("nonsense" + i + "\r\n\r\n");
         }
@@ -410,19 +410,19 @@
     /** What a controller that starts from nothing learns of contacts that stand: no answer, and a release like others. */
     @Test
     public void aContactThatStandsAlreadyIsReleasedByItsSwitch() throws Exception {
-        Line line = ready();
-        line.say(Line.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
+        CallerConnection line = ready();
+        line.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
         line.say("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
         assertTrue(line.next().contains("CSeq: 1 OPTIONS"), "a set-up with at is not answered");
-        new Said(machines.get(1).links.get(0), "", TAG, "").finish(16, "");
+        new ReceivedMessage(machines.get(1).links.get(0), "", TAG, "").finish(16, "");
         String bye = line.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(TAG), bye);
     }
 
     @Test
     public void oneThatStandsAtASwitchThatIsNowhereIsOver() throws Exception {
-        Line line = ready();
-        line.say(Line.message("INVITE", TAG, "Routing-Data: at:s-none\r\n", ""));
+        CallerConnection line = ready();
+        line.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-none\r\n", ""));
         String bye = line.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=41"), bye);
     }
@@ -445,6 +445,8 @@
 
     @Test
     public void aConfigurationThatIsNotThereIsTold() {
-        assertThrows(IOException.class, () -> new Serve(Path.of("/nowhere/at/all.json"), Logic::new, SILENT));
+        assertThrows(
+                IOException.class,
+                () -> new ControllerService(Path.of("/nowhere/at/all.json"), RoutingPolicy::new, SILENT));
     }
 }
--- a/src/test/java/martenslip/platform/GatedSockets.java
+++ b/src/test/java/martenslip/platform/GatedSockets.java
@@ -11,7 +11,7 @@
 /** Sockets toward switches whose connecting and writing wait at a gate that the test opens. */
 final class GatedSockets implements Supplier<Socket> {
     /** One gate; who comes while it is shut waits. */
-    static final class Door {
+    static final class Gate {
         private boolean shut;
         private int waiting;
 
@@ -51,8 +51,8 @@
         }
     }
 
-    final Door connect = new Door();
-    final Door write = new Door();
+    final Gate connect = new Gate();
+    final Gate write = new Gate();
     final AtomicInteger made = new AtomicInteger();
 
     @Override
--- a/src/test/java/martenslip/platform/StandIn.java
+++ b/src/test/java/martenslip/platform/PlatformStandIn.java
@@ -22,7 +22,7 @@
 import martenslip.platform.json.Json;
 
 /** A small platform on loopback, written from the protocol's page: switches, a journal service, callers' lines. */
-final class StandIn implements AutoCloseable {
+final class PlatformStandIn implements AutoCloseable {
     private static final int WAIT_S = 10;
     private final List<AutoCloseable> open = new CopyOnWriteArrayList<>();
 
@@ -38,12 +38,12 @@
         return next;
     }
 
-    private ServerSocket serve(int port, Rehearsal.Served served) throws IOException {
+    private ServerSocket serve(int port, CdsTrainingRun.ConnectionHandler served) throws IOException {
         ServerSocket listener = new ServerSocket();
         listener.setReuseAddress(true);
         listener.bind(loopback(port), 64);
         open.add(listener);
-        Rehearsal.each(listener, socket -> {
+        CdsTrainingRun.each(listener, socket -> {
             open.add(socket);
             served.by(socket);
         });
@@ -51,8 +51,8 @@
     }
 
     /** A line of a switch with the socket it came by. */
-    record Said(Socket by, String verb, String tag, String description, long left) {
-        Said(Socket by, String verb, String tag, String description) {
+    record ReceivedMessage(Socket by, String verb, String tag, String description, long left) {
+        ReceivedMessage(Socket by, String verb, String tag, String description) {
             this(by, verb, tag, description, -1);
         }
 
@@ -70,12 +70,12 @@
         }
     }
 
-    final class Machine {
-        final LinkedBlockingQueue<Said> said = new LinkedBlockingQueue<>();
+    final class SwitchStandIn {
+        final LinkedBlockingQueue<ReceivedMessage> said = new LinkedBlockingQueue<>();
         final List<Socket> links = new CopyOnWriteArrayList<>();
         private final ServerSocket listener;
 
-        Machine(int port) throws IOException {
+        SwitchStandIn(int port) throws IOException {
             listener = serve(port, socket -> {
                 links.add(socket);
                 socket.getOutputStream()
@@ -85,7 +85,7 @@
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     java.util.Map<?, ?> map = (java.util.Map<?, ?>) Json.read(line.getBytes(StandardCharsets.UTF_8));
-                    said.add(new Said(
+                    said.add(new ReceivedMessage(
                             socket,
                             (String) map.get("verb"),
                             (String) map.get("tag"),
@@ -106,8 +106,8 @@
         }
 
         /** The next line of this type; others are passed over. */
-        Said next(String verb) throws InterruptedException {
-            Said next = within(said, verb);
+        ReceivedMessage next(String verb) throws InterruptedException {
+            ReceivedMessage next = within(said, verb);
             return next.verb.equals(verb) ? next : next(verb);
         }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    final class Feed {
+    final class JournalStandIn {
         final LinkedBlockingQueue<Long> askedFrom = new LinkedBlockingQueue<>();
         private final List<String> events = new CopyOnWriteArrayList<>();
         private final ServerSocket listener;
@@ -138,7 +138,7 @@
         /** It takes the question and says nothing, not even that. */
         volatile boolean silent;
 
-        Feed() throws IOException {
+        JournalStandIn() throws IOException {
             listener = serve(0, socket -> {
                 BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
                 long from = -1;
@@ -228,11 +228,11 @@
     }
 
     /** A caller's line. */
-    final class Line {
+    final class CallerConnection {
         final Socket socket = new Socket();
         private final InputStream in;
 
-        Line(InetSocketAddress at) throws IOException {
+        CallerConnection(InetSocketAddress at) throws IOException {
             socket.connect(at, 5000);
             socket.setSoTimeout(WAIT_S * 1000);
             socket.setTcpNoDelay(true);
@@ -240,12 +240,12 @@
             open.add(socket);
         }
 
-        Line say(String text) throws IOException {
+        CallerConnection say(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return this;
         }
 
-        Line invite(String tag, String kind, int withinMs, String body) throws IOException {
+        CallerConnection invite(String tag, String kind, int withinMs, String body) throws IOException {
             return say(message(
                     "INVITE",
                     tag,
@@ -284,7 +284,7 @@
      * Looks until it holds, each time on the deciding thread, and once more has everything that was queued before it
      * held go first: a position is known as soon as its event is queued, not when it is decided about.
      */
-    static void awaits(Serve serve, BooleanSupplier held) throws InterruptedException {
+    static void awaits(ControllerService serve, BooleanSupplier held) throws InterruptedException {
         long begun = System.nanoTime();
         while (!looked(serve, held)) {
             if (System.nanoTime() - begun > WAIT_S * 1_000_000_000L) {
@@ -294,7 +294,7 @@
         looked(serve, () -> true);
     }
 
-    private static boolean looked(Serve serve, BooleanSupplier held) throws InterruptedException {
+    private static boolean looked(ControllerService serve, BooleanSupplier held) throws InterruptedException {
         AtomicBoolean holds = new AtomicBoolean();
         CountDownLatch looked = new CountDownLatch(1);
         serve.turn(() -> {
@@ -306,8 +306,8 @@
     }
 
     /** A caller's line on which a test has passed: only then are the states of the groups there. */
-    static Line ready(StandIn world, Serve serve) throws IOException {
-        Line line = world.new Line(serve.listens());
+    static CallerConnection ready(PlatformStandIn world, ControllerService serve) throws IOException {
+        CallerConnection line = world.new CallerConnection(serve.listens());
         // By the clock: two thousand tests were over in half a second on a busy machine, before the threads had begun.
         for (long begun = System.nanoTime(); System.nanoTime() - begun < 10_000_000_000L; ) {
             line.say("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
@@ -318,10 +318,10 @@
         throw new AssertionError("never ready");
     }
 
-    List<Machine> machines(int count) throws IOException {
-        List<Machine> all = new ArrayList<>();
+    List<SwitchStandIn> machines(int count) throws IOException {
+        List<SwitchStandIn> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(new Machine(0));
+            all.add(new SwitchStandIn(0));
         }
         return all;
     }
--- a/src/test/java/martenslip/platform/SignalsTest.java
+++ b/src/test/java/martenslip/platform/ProcessSignalsTest.java
@@ -1,7 +1,7 @@
 package martenslip.platform;
 
-import static martenslip.platform.StandIn.event;
-import static martenslip.platform.StandIn.line;
+import static martenslip.platform.PlatformStandIn.event;
+import static martenslip.platform.PlatformStandIn.line;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -15,19 +15,19 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import martenslip.platform.StandIn.Line;
-import martenslip.platform.StandIn.Machine;
-import martenslip.platform.StandIn.Said;
+import martenslip.platform.PlatformStandIn.CallerConnection;
+import martenslip.platform.PlatformStandIn.ReceivedMessage;
+import martenslip.platform.PlatformStandIn.SwitchStandIn;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** The program as the platform starts it, a process of its own, under real signals. */
-public class SignalsTest {
+public class ProcessSignalsTest {
     private static final String TAG = "9b1f03aa5c7e2d41";
-    private StandIn world;
-    private List<Machine> machines;
-    private StandIn.Feed feed;
+    private PlatformStandIn world;
+    private List<SwitchStandIn> machines;
+    private PlatformStandIn.JournalStandIn feed;
     private Path file;
     private int port;
     private Process process;
@@ -35,14 +35,14 @@
 
     @BeforeMethod
     public void begin() throws Exception {
-        world = new StandIn();
+        world = new PlatformStandIn();
         machines = world.machines(2);
-        feed = world.new Feed();
+        feed = world.new JournalStandIn();
         feed.tell(list());
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
-        file = StandIn.written(configuration(feed));
+        file = PlatformStandIn.written(configuration(feed));
         start();
     }
 
@@ -54,8 +54,8 @@
                 line("s-1", machines.get(1).port(), 1, "up"));
     }
 
-    private String configuration(StandIn.Feed from) {
-        return StandIn.configuration(from.port(), list()).replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
+    private String configuration(PlatformStandIn.JournalStandIn from) {
+        return PlatformStandIn.configuration(from.port(), list()).replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
     }
 
     private void start() throws IOException {
@@ -95,26 +95,26 @@
                 0);
     }
 
-    private Line caller() throws IOException {
-        return world.new Line(new InetSocketAddress("127.0.0.1", port));
+    private CallerConnection caller() throws IOException {
+        return world.new CallerConnection(new InetSocketAddress("127.0.0.1", port));
     }
 
     @Test(timeOut = 60_000)
     public void aReloadFollowedAtOnceByADrainOfTheWholeProcess() throws Exception {
         logged("ready");
-        StandIn.Feed moved = world.new Feed();
+        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
         moved.tell(list());
         Files.writeString(file, configuration(moved));
-        Line line = caller().invite(TAG, "dear", 3000, "m=audio");
-        Said start = machines.get(1).next("START");
+        CallerConnection line = caller().invite(TAG, "dear", 3000, "m=audio");
+        ReceivedMessage start = machines.get(1).next("START");
         signal("HUP");
         signal("TERM");
         assertEquals(moved.asked(), 1, "what the reload asked for is asked for amid the drain too");
         logged("term");
         start.started("m=audio 1");
         assertTrue(line.next().startsWith("SIP/2.0 200 "));
-        line.say(Line.message("ACK", TAG, "", ""));
-        Line late = caller().invite("9b1f03aa5c7e2d42", "dear", 3000, "m=audio");
+        line.say(CallerConnection.message("ACK", TAG, "", ""));
+        CallerConnection late = caller().invite("9b1f03aa5c7e2d42", "dear", 3000, "m=audio");
         machines.get(1).next("START").started("m=audio 2");
         assertTrue(late.next().startsWith("SIP/2.0 200 "), "still taken right after SIGTERM");
         logged("end");
@@ -126,19 +126,19 @@
     @Test(timeOut = 60_000)
     public void aKillRightAfterAcceptAndTheNextStart() throws Exception {
         logged("ready");
-        Line line = caller();
-        line.say(Line.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
+        CallerConnection line = caller();
+        line.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
         signal("KILL");
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         int links = machines.get(1).links.size();
         start();
         logged("ready");
-        Line again = caller();
-        again.say(Line.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
+        CallerConnection again = caller();
+        again.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
         again.say("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
         assertTrue(again.next().contains("CSeq: 1 OPTIONS"), "a set-up with at is not answered");
         Socket link = machines.get(1).links.get(links);
-        new Said(link, "", TAG, "").finish(16, "");
+        new ReceivedMessage(link, "", TAG, "").finish(16, "");
         String bye = again.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(TAG), bye);
     }
--- a/src/test/java/martenslip/platform/ReloadsTest.java
+++ b/src/test/java/martenslip/platform/ReloadSignalTest.java
@@ -8,19 +8,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-public class ReloadsTest {
+public class ReloadSignalTest {
     private final AtomicInteger done = new AtomicInteger();
 
     @Test
     public void oneThatComesBeforeServiceIsDoneOnceItBegins() {
         done.set(0);
-        Reloads reloads = new Reloads();
-        reloads.ask();
-        reloads.ask();
+        ReloadSignal reloads = new ReloadSignal();
+        reloads.request();
+        reloads.request();
         assertEquals(done.get(), 0);
-        reloads.begin(done::incrementAndGet);
+        reloads.start(done::incrementAndGet);
         assertEquals(done.get(), 1);
-        reloads.ask();
+        reloads.request();
         assertEquals(done.get(), 2);
     }
 
@@ -29,7 +29,7 @@
     public void oneThatCrossesTheBeginningIsDone() throws Exception {
         for (int i = 0; i < 2000; i++) {
             done.set(0);
-            Reloads reloads = new Reloads();
+            ReloadSignal reloads = new ReloadSignal();
             CyclicBarrier both = new CyclicBarrier(2);
             Thread signal = new Thread(() -> {
                 try {
@@ -37,11 +37,11 @@
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
-                reloads.ask();
+                reloads.request();
             });
             signal.start();
             both.await(10, TimeUnit.SECONDS);
-            reloads.begin(done::incrementAndGet);
+            reloads.start(done::incrementAndGet);
             signal.join();
             assertTrue(done.get() >= 1, "lost at " + i);
         }
--- a/src/test/java/martenslip/platform/FlatTest.java
+++ b/src/test/java/martenslip/platform/SettingsFlattenerTest.java
@@ -8,9 +8,9 @@
 import martenslip.platform.json.Json;
 import org.testng.annotations.Test;
 
-public class FlatTest {
+public class SettingsFlattenerTest {
     private static Map<String, String> flat(String json) throws IOException {
-        return Flat.of((Map<?, ?>) Json.read(json.getBytes(StandardCharsets.UTF_8)));
+        return SettingsFlattener.of((Map<?, ?>) Json.read(json.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
--- a/src/test/java/martenslip/platform/CrossingTest.java
+++ b/src/test/java/martenslip/platform/WriteRaceTest.java
@@ -1,7 +1,7 @@
 package martenslip.platform;
 
-import static martenslip.platform.StandIn.event;
-import static martenslip.platform.StandIn.line;
+import static martenslip.platform.PlatformStandIn.event;
+import static martenslip.platform.PlatformStandIn.line;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -9,44 +9,44 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.util.List;
-import martenslip.Logic;
-import martenslip.platform.StandIn.Line;
-import martenslip.platform.StandIn.Machine;
-import martenslip.platform.StandIn.Said;
+import martenslip.RoutingPolicy;
+import martenslip.platform.PlatformStandIn.CallerConnection;
+import martenslip.platform.PlatformStandIn.ReceivedMessage;
+import martenslip.platform.PlatformStandIn.SwitchStandIn;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** Crossings forced over loopback: an order waits at a gate, and something comes before it is written. */
-public class CrossingTest {
+public class WriteRaceTest {
     private static final String TAG = "9b1f03aa5c7e2d41";
     private static final String OTHER = "9b1f03aa5c7e2d42";
     private static final String LAST = "9b1f03aa5c7e2d43";
     private final GatedSockets sockets = new GatedSockets();
-    private StandIn world;
-    private List<Machine> machines;
-    private StandIn.Feed feed;
-    private Serve serve;
+    private PlatformStandIn world;
+    private List<SwitchStandIn> machines;
+    private PlatformStandIn.JournalStandIn feed;
+    private ControllerService serve;
 
     @BeforeMethod
     public void begin() throws IOException {
         sockets.open();
-        world = new StandIn();
+        world = new PlatformStandIn();
         machines = world.machines(2);
-        feed = world.new Feed();
+        feed = world.new JournalStandIn();
         String list = event(
                 1,
                 true,
                 line("s-0", machines.get(0).port(), 0, "up"),
                 line("s-1", machines.get(1).port(), 1, "up"));
         feed.tell(list);
-        serve = new Serve(
-                StandIn.written(StandIn.configuration(feed.port(), list)),
-                Logic::new,
+        serve = new ControllerService(
+                PlatformStandIn.written(PlatformStandIn.configuration(feed.port(), list)),
+                RoutingPolicy::new,
                 new PrintStream(OutputStream.nullOutputStream()),
                 sockets);
-        serve.open();
+        serve.startServing();
     }
 
     @AfterMethod
@@ -57,7 +57,7 @@
     }
 
     /** What ends a set-up for its caller. */
-    enum Leaves {
+    enum CallerExit {
         CANCEL,
         BYE,
         END,
@@ -66,13 +66,13 @@
 
     @DataProvider
     public Object[][] leaves() {
-        return new Object[][] {{Leaves.CANCEL}, {Leaves.BYE}, {Leaves.END}, {Leaves.RESET}};
+        return new Object[][] {{CallerExit.CANCEL}, {CallerExit.BYE}, {CallerExit.END}, {CallerExit.RESET}};
     }
 
-    private void leave(Line line, Leaves how) throws IOException {
+    private void leave(CallerConnection line, CallerExit how) throws IOException {
         switch (how) {
             case CANCEL, BYE -> {
-                line.say(Line.message(how.name(), TAG, "", ""));
+                line.say(CallerConnection.message(how.name(), TAG, "", ""));
                 assertTrue(line.next().contains(" 200 "));
                 assertTrue(line.next().contains(" 487 "));
             }
@@ -86,14 +86,14 @@
 
     /** Waits until the controller knows of no open set-up: then whatever ended it has been decided about. */
     private void nothingOpen() throws Exception {
-        StandIn.awaits(serve, () -> serve.openSetUps() == 0);
+        PlatformStandIn.awaits(serve, () -> serve.openSetUps() == 0);
     }
 
     /** A set-up for another is the mark: by one connection, what was queued before it is read before it. */
     private void nextStartIs(String tag) throws Exception {
-        Line other = world.new Line(serve.listens());
+        CallerConnection other = world.new CallerConnection(serve.listens());
         other.invite(tag, "dear", 3000, "m=audio");
-        Said first = machines.get(1).said.poll(10, java.util.concurrent.TimeUnit.SECONDS);
+        ReceivedMessage first = machines.get(1).said.poll(10, java.util.concurrent.TimeUnit.SECONDS);
         assertTrue(first != null, "no START came");
         assertEquals(first.verb() + " " + first.tag(), "START " + tag, "something went out for a caller who has gone");
         first.started("m=audio 1");
@@ -104,24 +104,24 @@
      * Asks on this connection for a set-up that waits to be written. The writer is held by another's START, which has
      * begun and so is an attempt like any other; the connection of its caller is returned.
      */
-    private Line behindAHeldWriter(Line line) throws Exception {
-        Line first = world.new Line(serve.listens());
+    private CallerConnection behindAHeldWriter(CallerConnection line) throws Exception {
+        CallerConnection first = world.new CallerConnection(serve.listens());
         sockets.write.shut();
         first.invite(OTHER, "dear", 3000, "m=audio");
         sockets.write.awaits(1);
         line.invite(TAG, "dear", 3000, "m=audio");
-        StandIn.awaits(serve, () -> serve.openSetUps() == 2);
+        PlatformStandIn.awaits(serve, () -> serve.openSetUps() == 2);
         return first;
     }
 
     @Test(dataProvider = "leaves")
-    public void nothingIsWrittenForACallerWhoLeftWhileTheWriterWasHeld(Leaves how) throws Exception {
-        Line line = StandIn.ready(world, serve);
-        Line first = behindAHeldWriter(line);
+    public void nothingIsWrittenForACallerWhoLeftWhileTheWriterWasHeld(CallerExit how) throws Exception {
+        CallerConnection line = PlatformStandIn.ready(world, serve);
+        CallerConnection first = behindAHeldWriter(line);
         leave(line, how);
-        StandIn.awaits(serve, () -> serve.openSetUps() == 1);
+        PlatformStandIn.awaits(serve, () -> serve.openSetUps() == 1);
         sockets.write.open();
-        Said begun = machines.get(1).next("START");
+        ReceivedMessage begun = machines.get(1).next("START");
         assertEquals(begun.tag(), OTHER);
         begun.started("m=audio 0");
         assertTrue(first.next().startsWith("SIP/2.0 200 "));
@@ -129,9 +129,9 @@
     }
 
     @Test(dataProvider = "leaves")
-    public void nothingIsWrittenForACallerWhoLeftBeforeTheConnectionCameUp(Leaves how) throws Exception {
-        Line line = StandIn.ready(world, serve);
-        StandIn.awaits(serve, () -> machines.get(1).links.size() == 2);
+    public void nothingIsWrittenForACallerWhoLeftBeforeTheConnectionCameUp(CallerExit how) throws Exception {
+        CallerConnection line = PlatformStandIn.ready(world, serve);
+        PlatformStandIn.awaits(serve, () -> machines.get(1).links.size() == 2);
         sockets.connect.shut();
         int before = sockets.made.get();
         for (java.net.Socket link : machines.get(1).links) {
@@ -139,32 +139,32 @@
         }
         // Its two connections are asked for anew, and stand before the gate.
         sockets.connect.awaits(1);
-        StandIn.awaits(serve, () -> sockets.made.get() >= before + 2);
+        PlatformStandIn.awaits(serve, () -> sockets.made.get() >= before + 2);
         line.invite(TAG, "dear", 3000, "m=audio");
-        StandIn.awaits(serve, () -> serve.openSetUps() == 1);
+        PlatformStandIn.awaits(serve, () -> serve.openSetUps() == 1);
         leave(line, how);
         nothingOpen();
         sockets.connect.open();
-        StandIn.ready(world, serve);
+        PlatformStandIn.ready(world, serve);
         nextStartIs(LAST);
     }
 
     /** A writer that is held takes the time that its caller gave: what is left says so, and at its end there is none. */
     @Test
     public void whatIsLeftIsTrueWhenItIsWritten() throws Exception {
-        StandIn.ready(world, serve);
-        Line first = world.new Line(serve.listens());
+        PlatformStandIn.ready(world, serve);
+        CallerConnection first = world.new CallerConnection(serve.listens());
         sockets.write.shut();
         first.invite(OTHER, "dear", 3000, "m=audio");
         sockets.write.awaits(1);
         long queued = System.nanoTime();
-        Line second = world.new Line(serve.listens()).invite(TAG, "dear", 3000, "m=audio");
-        Line third = world.new Line(serve.listens()).invite(LAST, "dear", 300, "m=audio");
+        CallerConnection second = world.new CallerConnection(serve.listens()).invite(TAG, "dear", 3000, "m=audio");
+        CallerConnection third = world.new CallerConnection(serve.listens()).invite(LAST, "dear", 300, "m=audio");
         assertTrue(third.next().startsWith("SIP/2.0 50"), "its time is over");
         long held = (System.nanoTime() - queued) / 1_000_000;
         sockets.write.open();
         assertEquals(machines.get(1).next("START").tag(), OTHER);
-        Said said = machines.get(1).next("START");
+        ReceivedMessage said = machines.get(1).next("START");
         assertEquals(said.tag(), TAG);
         assertTrue(said.left() <= 3000 - held + 1, said.left() + " ms left after " + held);
         said.started("m=audio 2");
@@ -175,10 +175,10 @@
     /** Drained while the set-up waits for its connection: it is never sent there, and its caller is answered. */
     @Test
     public void aSwitchThatDrainsMeanwhileGetsNothingNew() throws Exception {
-        Line line = StandIn.ready(world, serve);
-        Line first = behindAHeldWriter(line);
+        CallerConnection line = PlatformStandIn.ready(world, serve);
+        CallerConnection first = behindAHeldWriter(line);
         feed.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
-        StandIn.awaits(serve, () -> serve.position() == 2);
+        PlatformStandIn.awaits(serve, () -> serve.position() == 2);
         sockets.write.open();
         assertTrue(line.next().startsWith("SIP/2.0 503 "), "there is no other way to it");
         machines.get(1).next("START").started("m=audio 3");
@@ -187,8 +187,8 @@
     }
 
     /** Waits until two connections to the switch are up on both sides. */
-    private void linked(Machine machine, int links) throws Exception {
-        StandIn.awaits(serve, () -> machine.links.size() >= links && serve.groupsTold());
+    private void linked(SwitchStandIn machine, int links) throws Exception {
+        PlatformStandIn.awaits(serve, () -> machine.links.size() >= links && serve.groupsTold());
     }
 
     /**
@@ -197,15 +197,15 @@
      */
     @Test
     public void theEndOfOneAttemptIsNotSaidAgainOverTheNext() throws Exception {
-        Line line = StandIn.ready(world, serve);
-        Machine machine = machines.get(1);
+        CallerConnection line = PlatformStandIn.ready(world, serve);
+        SwitchStandIn machine = machines.get(1);
         linked(machine, 2);
         line.invite(TAG, "dear", 3000, "m=audio");
-        Said first = machine.next("START");
+        ReceivedMessage first = machine.next("START");
         // Good but for its description: it is given up, and tried again after the release.
         first.answer("{\"verb\":\"STARTED\",\"tag\":\"" + TAG + "\",\"opts\":{}}");
         assertEquals(machine.next("FINISH").tag(), TAG);
-        Said second = machine.next("START");
+        ReceivedMessage second = machine.next("START");
         assertEquals(second.tag(), TAG);
         machine.links.stream()
                 .filter(link -> link != second.by())
@@ -214,8 +214,8 @@
                 .close();
         linked(machine, 3);
         // Asked on the new connection, it answers behind all that it said there by itself.
-        new Said(machine.links.get(2), "", OTHER, "").finish(16, "");
-        for (Said said = machine.said.poll(10, java.util.concurrent.TimeUnit.SECONDS); ; ) {
+        new ReceivedMessage(machine.links.get(2), "", OTHER, "").finish(16, "");
+        for (ReceivedMessage said = machine.said.poll(10, java.util.concurrent.TimeUnit.SECONDS); ; ) {
             assertTrue(said != null, "nothing came on the new connection");
             assertTrue(!(said.verb().equals("FINISH") && said.tag().equals(TAG)), "the second attempt was ended");
             if (said.verb().equals("FINISHED")) {
@@ -230,11 +230,11 @@
     /** A connection that stays open and says nothing while another of the same switch speaks costs its own contact. */
     @Test
     public void aConnectionThatSaysNothingCostsWhatWentByIt() throws Exception {
-        Line line = StandIn.ready(world, serve);
-        Machine machine = machines.get(1);
+        CallerConnection line = PlatformStandIn.ready(world, serve);
+        SwitchStandIn machine = machines.get(1);
         linked(machine, 2);
-        Line silent = world.new Line(serve.listens()).invite(TAG, "dear", 400, "m=audio");
-        Said swallowed = machine.next("START");
+        CallerConnection silent = world.new CallerConnection(serve.listens()).invite(TAG, "dear", 400, "m=audio");
+        ReceivedMessage swallowed = machine.next("START");
         for (java.net.Socket other : machine.links) {
             if (other != swallowed.by()) {
                 other.getOutputStream()
--- a/src/test/java/martenslip/platform/caller/CallersTest.java
+++ b/src/test/java/martenslip/platform/caller/CallerConnectionsTest.java
@@ -16,18 +16,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import martenslip.control.Span;
-import martenslip.platform.desk.SetUp;
-import martenslip.platform.desk.Terms;
+import martenslip.platform.contact.ContactSettings;
+import martenslip.platform.contact.SetUpRequest;
 import martenslip.sip.message.Request;
-import martenslip.sip.transport.Bounds;
-import martenslip.sip.transport.Drops;
-import martenslip.sip.transport.Writers;
+import martenslip.sip.transport.ConnectionThreadPool;
+import martenslip.sip.transport.DropCounter;
+import martenslip.sip.transport.TransportLimits;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class CallersTest {
-    private static final Bounds TWO = new Bounds(
+public class CallerConnectionsTest {
+    private static final TransportLimits TWO = new TransportLimits(
             2,
             Span.ofMillis(5000),
             Span.ofMillis(20_000),
@@ -35,12 +35,12 @@
             100_000,
             Span.ofMillis(3000),
             Span.ofMillis(500));
-    private final LinkedBlockingQueue<SetUp> heard = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<SetUpRequest> heard = new LinkedBlockingQueue<>();
     private CountDownLatch go;
     private volatile boolean full;
     private AtomicInteger broken;
     private ServerSocket listener;
-    private Callers callers;
+    private CallerConnections callers;
     private InetSocketAddress at;
 
     @BeforeMethod
@@ -59,35 +59,35 @@
                 return super.accept();
             }
         };
-        callers = new Callers(
-                new Terms(List.of("dear"), 10, Span.ofMillis(9000), Span.ofMillis(20)),
+        callers = new CallerConnections(
+                new ContactSettings(List.of("dear"), 10, Span.ofMillis(9000), Span.ofMillis(20)),
                 TWO,
-                new Writers("test", 4),
-                new Drops(),
-                new Callers.Heard() {
+                new ConnectionThreadPool("test", 4),
+                new DropCounter(),
+                new CallerConnections.Listener() {
                     @Override
-                    public boolean setUp(SetUp asked) {
+                    public boolean setUpReceived(SetUpRequest asked) {
                         return !full && heard.add(asked);
                     }
 
                     @Override
-                    public void request(long line, Request request) {
+                    public void requestReceived(long line, Request request) {
                         // Not asked here.
                     }
 
                     @Override
-                    public void releaseHeard(String tag) throws InterruptedException {
+                    public void releaseAcknowledged(String tag) throws InterruptedException {
                         // The deciding thread has no room: the reader waits.
                         go.await();
                     }
 
                     @Override
-                    public void over(long line) {
+                    public void connectionEnded(long line) {
                         // Counted by the lines themselves.
                     }
 
                     @Override
-                    public boolean ready() {
+                    public boolean isReady() {
                         return true;
                     }
                 },
@@ -121,8 +121,8 @@
                         + "Content-Length: 0\r\n\r\n");
     }
 
-    private SetUp next() throws InterruptedException {
-        SetUp asked = heard.poll(10, TimeUnit.SECONDS);
+    private SetUpRequest next() throws InterruptedException {
+        SetUpRequest asked = heard.poll(10, TimeUnit.SECONDS);
         assertTrue(asked != null, "no set-up came");
         return asked;
     }
@@ -140,7 +140,7 @@
         try (Socket quiet = line();
                 Socket owed = line()) {
             invite(owed, 1);
-            long waiting = next().line();
+            long waiting = next().connectionId();
             try (Socket third = line()) {
                 invite(third, 2);
                 next();
@@ -177,7 +177,7 @@
             next();
             try (Socket third = line()) {
                 assertTrue(ended(third));
-                assertEquals(callers.count(), 2);
+                assertEquals(callers.connectionCount(), 2);
             }
         }
     }
@@ -191,19 +191,19 @@
             invite(unread, 1);
             say(quiet, "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
             assertTrue(quiet.getInputStream().read() == 'S');
-            while (callers.count() < 2) {
+            while (callers.connectionCount() < 2) {
                 Thread.onSpinWait();
             }
-            Thread ends = new Thread(() -> callers.hangUp(Span.ofMillis(20_000)));
+            Thread ends = new Thread(() -> callers.closeGracefully(Span.ofMillis(20_000)));
             ends.start();
             while (quiet.getInputStream().read() >= 0) {
                 // The rest of its answer, then the end.
             }
             assertEquals(heard.size(), 0);
             go.countDown();
-            SetUp asked = next();
-            assertTrue(callers.send(asked.line(), "bye".getBytes(StandardCharsets.US_ASCII)));
-            callers.settled(asked.line(), asked.tag());
+            SetUpRequest asked = next();
+            assertTrue(callers.send(asked.connectionId(), "bye".getBytes(StandardCharsets.US_ASCII)));
+            callers.contactAnswered(asked.connectionId(), asked.tag());
             assertEquals(new String(unread.getInputStream().readNBytes(3), StandardCharsets.US_ASCII), "bye");
             assertTrue(ended(unread));
             ends.join(10_000);
@@ -230,22 +230,22 @@
         try (Socket socket = line()) {
             invite(socket, 1);
             invite(socket, 2);
-            SetUp cancelled = next();
-            SetUp left = next();
-            assertTrue(!cancelled.caller().made());
+            SetUpRequest cancelled = next();
+            SetUpRequest left = next();
+            assertTrue(!cancelled.cancellation().isCancelled());
             say(
                     socket,
                     "CANCEL sip:00000000000000aa@net SIP/2.0\r\nCall-ID: " + cancelled.tag()
                             + "\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n");
             waits(cancelled);
-            assertTrue(!left.caller().made());
+            assertTrue(!left.cancellation().isCancelled());
             socket.close();
             waits(left);
         }
     }
 
-    private static void waits(SetUp asked) {
-        for (long begun = System.nanoTime(); !asked.caller().made(); Thread.onSpinWait()) {
+    private static void waits(SetUpRequest asked) {
+        for (long begun = System.nanoTime(); !asked.cancellation().isCancelled(); Thread.onSpinWait()) {
             assertTrue(System.nanoTime() - begun < 10_000_000_000L, "never marked");
         }
     }
@@ -256,17 +256,17 @@
         try (Socket owed = line();
                 Socket quiet = line()) {
             invite(owed, 1);
-            SetUp asked = next();
-            while (callers.count() < 2) {
+            SetUpRequest asked = next();
+            while (callers.connectionCount() < 2) {
                 Thread.onSpinWait();
             }
-            for (long begun = System.nanoTime(); callers.count() > 1; ) {
+            for (long begun = System.nanoTime(); callers.connectionCount() > 1; ) {
                 // It counts as quiet once it has been so for longer than a reader may be late.
-                callers.allow(1);
+                callers.setConnectionLimit(1);
                 assertTrue(System.nanoTime() - begun < 10_000_000_000L, "none was ended");
             }
             assertTrue(ended(quiet));
-            assertTrue(callers.send(asked.line(), "x".getBytes(StandardCharsets.US_ASCII)));
+            assertTrue(callers.send(asked.connectionId(), "x".getBytes(StandardCharsets.US_ASCII)));
         }
     }
 
@@ -274,7 +274,7 @@
     @Test
     public void acceptThatFailsMakesRoomAndDoesNotSpin() throws Exception {
         try (Socket quiet = line()) {
-            while (callers.count() < 1) {
+            while (callers.connectionCount() < 1) {
                 Thread.onSpinWait();
             }
             // Under the 5 s after which one that says nothing is ended in any case.
--- a/src/test/java/martenslip/platform/caller/FitTest.java
+++ b/src/test/java/martenslip/platform/caller/SetUpParserTest.java
@@ -6,16 +6,17 @@
 import java.util.List;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.platform.desk.SetUp;
-import martenslip.platform.desk.Terms;
-import martenslip.platform.desk.Withdrawal;
+import martenslip.platform.contact.CallerCancellation;
+import martenslip.platform.contact.ContactSettings;
+import martenslip.platform.contact.SetUpRequest;
 import martenslip.sip.message.Headers;
 import martenslip.sip.message.Request;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class FitTest {
-    private final Fit fit = new Fit(new Terms(List.of("voice", "text"), 10, Span.ofMillis(9000), Span.ofMillis(20)));
+public class SetUpParserTest {
+    private final SetUpParser fit =
+            new SetUpParser(new ContactSettings(List.of("voice", "text"), 10, Span.ofMillis(9000), Span.ofMillis(20)));
 
     private static Request invite(String tag, String uri, String kind, String within, String figures) {
         Headers headers = new Headers();
@@ -34,20 +35,20 @@
         return request;
     }
 
-    private SetUp read(Request request) throws Fit.Unfit {
+    private SetUpRequest read(Request request) throws SetUpParser.InvalidSetUpException {
         return fit.setUp(4, request, new Moment(5), CALLER);
     }
 
-    private static final Withdrawal CALLER = new Withdrawal();
+    private static final CallerCancellation CALLER = new CallerCancellation();
     private static final String TAG = "9b1f03aa5c7e2d41";
     private static final String URI = "sip:ff3a9c21e0b4d655@net";
 
     @Test
-    public void figuresAreReadForWhatTheyAre() throws Fit.Unfit {
-        SetUp asked = read(invite(TAG, URI, "text", "1500", "dest:2;width:1;via:-1;transit:1;again:1"));
+    public void figuresAreReadForWhatTheyAre() throws SetUpParser.InvalidSetUpException {
+        SetUpRequest asked = read(invite(TAG, URI, "text", "1500", "dest:2;width:1;via:-1;transit:1;again:1"));
         assertEquals(
                 asked,
-                new SetUp(
+                new SetUpRequest(
                         4,
                         asked.invite(),
                         TAG,
@@ -66,8 +67,8 @@
     }
 
     @Test
-    public void oneThatStandsNeedsNothingElse() throws Fit.Unfit {
-        assertEquals(read(invite(TAG, URI, null, null, "at:s-00c41f7a")).standsAt(), "s-00c41f7a");
+    public void oneThatStandsNeedsNothingElse() throws SetUpParser.InvalidSetUpException {
+        assertEquals(read(invite(TAG, URI, null, null, "at:s-00c41f7a")).establishedSwitch(), "s-00c41f7a");
     }
 
     @DataProvider
@@ -101,13 +102,13 @@
 
     @Test(dataProvider = "wrong")
     public void whatIsUnfitIsRefused(Request request) {
-        assertThrows(Fit.Unfit.class, () -> read(request));
+        assertThrows(SetUpParser.InvalidSetUpException.class, () -> read(request));
     }
 
     @Test
     public void aDescriptionThatJsonCantCarryIsRefused() {
         Request request = invite(TAG, URI, "text", "1500", "dest:2");
         request.body("application/sdp", new byte[] {(byte) 0xff, 'x'});
-        assertThrows(Fit.Unfit.class, () -> read(request));
+        assertThrows(SetUpParser.InvalidSetUpException.class, () -> read(request));
     }
 }
