--- a/src/test/java/martenslip/platform/desk/TinyDesk.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableHarness.java
@@ -1,4 +1,4 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -10,37 +10,38 @@
 import martenslip.control.Moment;
 import martenslip.control.RingEnd;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
+import martenslip.control.SwitchEntry;
+import martenslip.eventloop.TimerWheel;
 import martenslip.sip.message.Headers;
-import martenslip.sip.message.Parsed;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
+import martenslip.sip.message.ParseResult;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transport.Queued;
-import martenslip.sip.transport.Revocable;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.QueuedMessage;
+import martenslip.sip.transport.RevocableMessage;
 
 /** A desk on driven time. What it sends and what it tells a module that decides nothing is kept as lines of text. */
-final class TinyDesk implements Outward, Controller {
+final class ContactTableHarness implements OutboundMessages, Controller {
     static final long SWITCH = 7;
     static final long LINK = 40;
-    static final Terms TERMS = new Terms(List.of("cheap", "dear"), 3, Span.ofMillis(9000), Span.ofMillis(20));
-    final Wheel wheel = new Wheel(new Moment(0));
+    static final ContactSettings TERMS =
+            new ContactSettings(List.of("cheap", "dear"), 3, Span.ofMillis(9000), Span.ofMillis(20));
+    final TimerWheel wheel = new TimerWheel(new Moment(0));
     final List<String> sent = new ArrayList<>();
     final List<String> told = new ArrayList<>();
     final Set<Long> closed = new HashSet<>();
-    final Desk desk = new Desk(wheel, TERMS, this);
+    final ContactTable desk = new ContactTable(wheel, TERMS, this);
     boolean unreachable;
     /** What is queued stays so until {@link #write}, ends until {@link #written}. */
     boolean held;
 
     boolean heldEnds;
-    private final List<Revocable> waiting = new ArrayList<>();
+    private final List<RevocableMessage> waiting = new ArrayList<>();
     private final List<Runnable> ends = new ArrayList<>();
     long any = 1;
 
-    TinyDesk() {
-        desk.module(this);
+    ContactTableHarness() {
+        desk.setController(this);
     }
 
     static String tag(int number) {
@@ -54,16 +55,16 @@
     }
 
     /** Whether callers have gone, of the set-up that was asked for last. */
-    Withdrawal caller;
+    CallerCancellation caller;
 
-    SetUp asked(long line, int number, double ms) {
-        SetUp asked = ask(line, number, ms);
-        caller = asked.caller();
+    SetUpRequest asked(long line, int number, double ms) {
+        SetUpRequest asked = ask(line, number, ms);
+        caller = asked.cancellation();
         return asked;
     }
 
-    static SetUp ask(long line, int number, double ms) {
-        return new SetUp(
+    static SetUpRequest ask(long line, int number, double ms) {
+        return new SetUpRequest(
                 line,
                 request("INVITE", number),
                 tag(number),
@@ -78,11 +79,11 @@
                 false,
                 null,
                 "v=0\r\n",
-                new Withdrawal());
+                new CallerCancellation());
     }
 
-    TinyDesk at(double ms) {
-        wheel.turn(new Moment(Span.ofMillis(ms).ns()));
+    ContactTableHarness at(double ms) {
+        wheel.advanceTo(new Moment(Span.ofMillis(ms).ns()));
         return this;
     }
 
@@ -100,7 +101,7 @@
     }
 
     private static String plain(byte[] message) {
-        Parsed parsed = Parser.lean(message, message.length);
+        ParseResult parsed = MessageParser.parseMinimal(message, message.length);
         if (parsed.message() instanceof Response answer) {
             String away = answer.headers().first("Come-Back-Ms");
             return answer.status() + " " + answer.headers().first("CSeq").substring(2)
@@ -112,7 +113,7 @@
     }
 
     @Override
-    public boolean toCaller(long line, byte[] message) {
+    public boolean sendToCaller(long line, byte[] message) {
         if (closed.contains(line)) {
             return false;
         }
@@ -121,29 +122,29 @@
     }
 
     @Override
-    public long anyLine(long but) {
+    public long anyConnection(long but) {
         return any;
     }
 
     @Override
-    public void settled(long line, String tag) {
+    public void contactAnswered(long line, String tag) {
         // Counted by the lines; nothing that the desk is judged by.
     }
 
     @Override
-    public void drop(long line, String why) {
+    public void disconnect(long line, String why) {
         sent.add(line + ": dropped");
-        desk.lineOver(line);
+        desk.callerConnectionEnded(line);
     }
 
     @Override
-    public Queued start(long target, Start start, Runnable unsent) {
-        caller = start.caller();
-        long left = start.until().since(wheel.now()).ns() / 1_000_000;
-        Revocable message = new Revocable(
+    public QueuedMessage sendStart(long target, SwitchStartRequest start, Runnable unsent) {
+        caller = start.cancellation();
+        long left = start.deadline().since(wheel.now()).ns() / 1_000_000;
+        RevocableMessage message = new RevocableMessage(
                 0,
                 () -> {
-                    if (start.caller().made()) {
+                    if (start.cancellation().isCancelled()) {
                         return null;
                     }
                     sent.add("START " + target + " " + Long.parseLong(start.tag(), 16) + " " + start.skill() + " "
@@ -158,18 +159,18 @@
         if (!held) {
             write();
         }
-        return new Queued(LINK, message);
+        return new QueuedMessage(LINK, message);
     }
 
     /** The connection's writer comes to all that was queued. */
     void write() {
-        List<Revocable> now = List.copyOf(waiting);
+        List<RevocableMessage> now = List.copyOf(waiting);
         waiting.clear();
-        now.forEach(Revocable::bytes);
+        now.forEach(RevocableMessage::bytes);
     }
 
     @Override
-    public void finish(long target, long connection, String tag, int cause, Runnable written) {
+    public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
         sent.add("FINISH " + target + " " + connection + " " + Long.parseLong(tag, 16) + " " + cause);
         ends.add(written);
         if (!heldEnds) {
@@ -184,12 +185,12 @@
     }
 
     @Override
-    public void finished(long target, long connection, String tag) {
+    public void sendFinished(long target, long connection, String tag) {
         // Free on the platform: nothing is judged by it.
     }
 
     @Override
-    public void note(int peer, byte[] note) {
+    public void sendNote(int peer, byte[] note) {
         sent.add("note " + peer);
     }
 
@@ -199,24 +200,24 @@
     }
 
     @Override
-    public void listed(Moment now, ListKind kind, List<SwitchLine> lines) {
+    public void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> lines) {
         told.add("listed " + kind);
     }
 
     @Override
-    public void offered(Moment now, Contact contact) {
+    public void contactOffered(Moment now, Contact contact) {
         told.add("offered " + contact.id() + " " + contact.skill() + " to " + contact.destination() + " patience "
                 + contact.patience().ns() / 1_000_000);
     }
 
     @Override
-    public void stands(Moment now, long contact, int ring, long target, Span took) {
+    public void established(Moment now, long contact, int ring, long target, Span took) {
         told.add("stands " + contact + " " + ring + " " + target);
     }
 
     @Override
     public void ringEnded(Moment now, RingEnd end) {
-        told.add("end " + end.contact() + " " + end.ring() + " " + end.cause() + " " + end.blame() + " "
+        told.add("end " + end.contact() + " " + end.ring() + " " + end.cause() + " " + end.rejectionReason() + " "
                 + end.answered() + (end.report().length == 0 ? "" : " " + java.util.Arrays.toString(end.report())));
     }
 
@@ -226,17 +227,17 @@
     }
 
     @Override
-    public void clockRung(Moment now, long token) {
+    public void timerExpired(Moment now, long token) {
         told.add("clock " + token);
     }
 
     @Override
-    public void reported(Moment now, long target, boolean reached, Span took, float[] report) {
+    public void switchReported(Moment now, long target, boolean reached, Span took, float[] report) {
         told.add("report " + target + " " + report.length);
     }
 
     @Override
-    public void peerNote(Moment now, int peer, byte[] note) {
+    public void peerNoteReceived(Moment now, int peer, byte[] note) {
         told.add("note " + peer);
     }
 
--- /dev/null
+++ b/src/test/java/martenslip/platform/contact/ContactTableInterleavingTest.java
@@ -0,0 +1,47 @@
+package martenslip.platform.contact;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import martenslip.InterleavingExplorer;
+import martenslip.InterleavingExplorer.SearchResult;
+import martenslip.control.Span;
+import martenslip.platform.contact.ContactTableModel.Scenario;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** The desk with the very module through every order of what callers, switches and connections may do. */
+public class ContactTableInterleavingTest {
+    private static final Span RELEASE = Span.ofMillis(300);
+
+    private static SearchResult search(Scenario plan, int depth, Span release) {
+        return InterleavingExplorer.search(() -> new ContactTableModel(plan, release), depth);
+    }
+
+    /** Name, plan (offers, circuits, refusals, a caller leaves, a connection breaks, a process dies), choices. */
+    @DataProvider
+    public Object[][] worlds() {
+        return new Object[][] {
+            {"one caller, refused and reset", new Scenario(1, 2, 2, true, false, false), 12},
+            {"two callers, one circuit", new Scenario(2, 1, 1, true, false, false), 7},
+            {"two callers, a connection breaks", new Scenario(2, 2, 1, true, true, false), 7},
+            {"two callers, a process dies", new Scenario(2, 2, 0, true, true, true), 11},
+            {"over the tandem", new Scenario(2, 0, 1, true, true, false), 6},
+        };
+    }
+
+    @Test(dataProvider = "worlds")
+    public void rulesHoldInEveryOrder(String name, Scenario plan, int depth) {
+        SearchResult found = search(plan, depth, RELEASE);
+        assertEquals(found.fault(), null, name);
+        assertTrue(found.sequences() > 400, name + ": only " + found.sequences());
+    }
+
+    /** The check itself: held to a longer release than the module knows, the same world must be found wanting. */
+    @Test
+    public void aReleaseThatIsTooShortIsFound() {
+        assertTrue(search(new Scenario(1, 2, 2, true, false, false), 6, Span.ofMillis(400))
+                        .fault()
+                != null);
+    }
+}
--- a/src/test/java/martenslip/platform/desk/DeskWorld.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableModel.java
@@ -1,40 +1,40 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import martenslip.EveryOrder;
-import martenslip.EveryOrder.Event;
-import martenslip.FiveRules;
-import martenslip.Logic;
+import martenslip.InterleavingExplorer;
+import martenslip.InterleavingExplorer.Event;
+import martenslip.RoutingPolicy;
+import martenslip.RuleChecker;
 import martenslip.control.Controller.ListKind;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
+import martenslip.control.SwitchEntry;
+import martenslip.eventloop.TimerWheel;
 import martenslip.sip.message.Headers;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transport.Queued;
-import martenslip.sip.transport.Revocable;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.QueuedMessage;
+import martenslip.sip.transport.RevocableMessage;
 
 /**
  * The very desk and module between a caller and two switches that hold to the platform's protocol. It says what may
  * come next; the rules are judged by what crosses the wire.
  */
-final class DeskWorld extends JudgedOutward implements EveryOrder.World {
+final class ContactTableModel extends CheckedOutboundMessages implements InterleavingExplorer.Simulation {
     private static final Span PATIENCE = Span.ofMillis(1500);
     private static final Span SLACK = Span.ofMillis(50);
     private static final Span STEP = Span.ofMillis(60);
     private static final long LINK = 9;
 
-    record Plan(int offers, int circuits, int refusals, boolean cancels, boolean breaks, boolean dies) {}
+    record Scenario(int offers, int circuits, int refusals, boolean cancels, boolean breaks, boolean dies) {}
 
-    private final Plan plan;
-    private final Wheel wheel = new Wheel(new Moment(0));
-    private final Desk desk;
+    private final Scenario plan;
+    private final TimerWheel wheel = new TimerWheel(new Moment(0));
+    private final ContactTable desk;
     /** By tag: the switch where the ring is out, or where the contact stands. */
     private final Map<String, Long> ringing = new LinkedHashMap<>();
 
@@ -47,19 +47,22 @@
     private int died;
 
     /** {@code release} is what the rules hold the program to; the module is told 300 ms. */
-    DeskWorld(Plan plan, Span release) {
-        super(new FiveRules(Span.ofMillis(2000), release, Span.ofMillis(10_000)), "switch-over");
+    ContactTableModel(Scenario plan, Span release) {
+        super(new RuleChecker(Span.ofMillis(2000), release, Span.ofMillis(10_000)), "switch-over");
         this.plan = plan;
-        desk = new Desk(wheel, new Terms(List.of("cheap", "dear"), 100, Span.ofMillis(9000), Span.ofMillis(20)), this);
-        Logic logic = new Logic(settings(), 7, wheel.now(), desk);
-        desk.module(logic);
-        List<SwitchLine> lines = new ArrayList<>();
+        desk = new ContactTable(
+                wheel,
+                new ContactSettings(List.of("cheap", "dear"), 100, Span.ofMillis(9000), Span.ofMillis(20)),
+                this);
+        RoutingPolicy logic = new RoutingPolicy(settings(), 7, wheel.now(), desk);
+        desk.setController(logic);
+        List<SwitchEntry> lines = new ArrayList<>();
         for (int number = 0; number < 3; number++) {
-            lines.add(new SwitchLine(100 + number, number, SwitchLine.State.READY, null, 0));
+            lines.add(new SwitchEntry(100 + number, number, SwitchEntry.State.READY, null, 0));
         }
-        desk.tell(to -> to.listed(wheel.now(), ListKind.REMEMBERED, lines));
-        desk.load(101, new float[] {plan.circuits, Math.max(1, plan.circuits), -1});
-        desk.load(102, new float[] {9, 9, -1});
+        desk.notifyController(to -> to.switchListReceived(wheel.now(), ListKind.CACHED, lines));
+        desk.loadReported(101, new float[] {plan.circuits, Math.max(1, plan.circuits), -1});
+        desk.loadReported(102, new float[] {9, 9, -1});
     }
 
     static Map<String, String> settings() {
@@ -76,9 +79,9 @@
     }
 
     @Override
-    public List<Event> enabled() {
+    public List<Event> enabledEvents() {
         List<Event> all = new ArrayList<>();
-        if (!callers.isEmpty() || !ringing.isEmpty() || desk.unheardReleases() > 0) {
+        if (!callers.isEmpty() || !ringing.isEmpty() || desk.unacknowledgedReleaseCount() > 0) {
             all.add(new Event("time", this::time));
         }
         if (offered < plan.offers) {
@@ -110,26 +113,27 @@
     }
 
     @Override
-    public void quiet() {
-        if (!desk.known().isEmpty() || desk.open() != 0 || desk.standing() != 0) {
-            rules.wrong("kept", "left over: " + desk.known() + " " + desk.open() + " " + desk.standing());
+    public void checkQuiescent() {
+        if (!desk.known().isEmpty() || desk.openCount() != 0 || desk.establishedCount() != 0) {
+            rules.addViolation(
+                    "kept", "left over: " + desk.known() + " " + desk.openCount() + " " + desk.establishedCount());
         }
     }
 
     private void time() {
         Moment now = wheel.now().plus(STEP);
-        wheel.turn(now);
-        rules.at(now);
+        wheel.advanceTo(now);
+        rules.checkDeadlines(now);
     }
 
     private void offer() {
         int number = ++offered;
-        String tag = TinyDesk.tag(number);
+        String tag = ContactTableHarness.tag(number);
         callers.put(tag, true);
-        rules.taken(tag, wheel.now().plus(PATIENCE).plus(SLACK));
-        desk.setUp(new SetUp(
+        rules.contactTaken(tag, wheel.now().plus(PATIENCE).plus(SLACK));
+        desk.setUpReceived(new SetUpRequest(
                 1,
-                TinyDesk.request("INVITE", number),
+                ContactTableHarness.request("INVITE", number),
                 tag,
                 "00000000000000aa",
                 number % 2,
@@ -142,12 +146,12 @@
                 false,
                 null,
                 "v=0",
-                new Withdrawal()));
+                new CallerCancellation()));
     }
 
     private void stands(String tag, long target) {
         ringing.remove(tag);
-        rules.ended(wheel.now(), tag, false);
+        rules.ringEnded(wheel.now(), tag, false);
         standing.put(tag, target);
         desk.started(target, LINK, tag, "c=" + tag);
     }
@@ -155,17 +159,17 @@
     private void refuse(String tag, long target, int cause) {
         refused++;
         ringing.remove(tag);
-        rules.ended(wheel.now(), tag, cause == 41);
+        rules.ringEnded(wheel.now(), tag, cause == 41);
         desk.ended(target, LINK, tag, cause, cause == 34 ? "no_circuit" : null, new float[0]);
     }
 
     private void cancel(String tag) {
         cancelled++;
         callers.remove(tag);
-        rules.gone(tag);
+        rules.callerGone(tag);
         Headers headers = new Headers();
         headers.add("Call-ID", tag).add("CSeq", "1 CANCEL");
-        desk.withdrawn(1, new Request("CANCEL", "sip:00000000000000aa@net", headers));
+        desk.cancelReceived(1, new Request("CANCEL", "sip:00000000000000aa@net", headers));
     }
 
     private void released(String tag, long target) {
@@ -176,26 +180,26 @@
     private void breaks() {
         broken++;
         List<String> all = List.copyOf(ringing.keySet());
-        all.forEach(tag -> rules.ended(wheel.now(), tag, true));
+        all.forEach(tag -> rules.ringEnded(wheel.now(), tag, true));
         ringing.clear();
-        desk.connectionOver(101, LINK, true);
+        desk.switchConnectionEnded(101, LINK, true);
     }
 
     private void dies() {
         died++;
         standing.values().removeIf(target -> target == 101);
-        desk.switchOver(101, null);
+        desk.switchProcessEnded(101, null);
     }
 
     @Override
-    public boolean toCaller(long line, byte[] bytes) {
-        var message = Parser.lean(bytes, bytes.length).message();
+    public boolean sendToCaller(long line, byte[] bytes) {
+        var message = MessageParser.parseMinimal(bytes, bytes.length).message();
         String tag = message.callId();
         if (message instanceof Request) {
             if (callers.containsKey(tag)) {
-                rules.wrong(1, tag + " was released before its answer");
+                rules.addViolation(1, tag + " was released before its answer");
             }
-            desk.tell(to -> desk.releaseHeard(tag));
+            desk.notifyController(to -> desk.releaseAcknowledged(tag));
             return true;
         }
         Response answer = (Response) message;
@@ -203,30 +207,30 @@
             return true;
         }
         callers.remove(tag);
-        rules.answered(wheel.now(), tag);
-        if (answer.success()) {
+        rules.contactAnswered(wheel.now(), tag);
+        if (answer.isSuccess()) {
             if (!new String(answer.body()).equals("c=" + tag) || !standing.containsKey(tag)) {
-                rules.wrong(1, tag + " was served with what no switch made for it");
+                rules.addViolation(1, tag + " was served with what no switch made for it");
             }
             // The caller's own acknowledgement comes after the desk is done with this.
-            desk.tell(to -> desk.acknowledged(tag));
+            desk.notifyController(to -> desk.ackReceived(tag));
         }
         return true;
     }
 
     @Override
-    public Queued start(long target, Start start, Runnable unsent) {
-        rules.ring(wheel.now(), "0", start.tag(), target);
+    public QueuedMessage sendStart(long target, SwitchStartRequest start, Runnable unsent) {
+        rules.ringSent(wheel.now(), "0", start.tag(), target);
         ringing.put(start.tag(), target);
-        Revocable message = new Revocable(0, () -> new byte[0], unsent);
+        RevocableMessage message = new RevocableMessage(0, () -> new byte[0], unsent);
         message.bytes();
-        return new Queued(LINK, message);
+        return new QueuedMessage(LINK, message);
     }
 
     @Override
-    public void finish(long target, long connection, String tag, int cause, Runnable written) {
+    public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
         if (ringing.remove(tag) != null) {
-            rules.ended(wheel.now(), tag, true);
+            rules.ringEnded(wheel.now(), tag, true);
         }
         standing.remove(tag);
         written.run();
--- a/src/test/java/martenslip/platform/desk/DeskTest.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableTest.java
@@ -1,10 +1,10 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
-import static martenslip.platform.desk.TinyDesk.LINK;
-import static martenslip.platform.desk.TinyDesk.SWITCH;
-import static martenslip.platform.desk.TinyDesk.ask;
-import static martenslip.platform.desk.TinyDesk.request;
-import static martenslip.platform.desk.TinyDesk.tag;
+import static martenslip.platform.contact.ContactTableHarness.LINK;
+import static martenslip.platform.contact.ContactTableHarness.SWITCH;
+import static martenslip.platform.contact.ContactTableHarness.ask;
+import static martenslip.platform.contact.ContactTableHarness.request;
+import static martenslip.platform.contact.ContactTableHarness.tag;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -14,21 +14,21 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class DeskTest {
+public class ContactTableTest {
     private static final float[] NONE = {};
-    private TinyDesk tiny;
-    private Desk desk;
+    private ContactTableHarness tiny;
+    private ContactTable desk;
 
     @BeforeMethod
     public void begin() {
-        tiny = new TinyDesk();
+        tiny = new ContactTableHarness();
         desk = tiny.desk;
     }
 
     /** A contact of line 1 that is offered and rung. */
     private void rung() {
-        desk.setUp(ask(1, 1, 3000));
-        desk.tell(to -> desk.ring(1, SWITCH, Span.ofMillis(2990)));
+        desk.setUpReceived(ask(1, 1, 3000));
+        desk.notifyController(to -> desk.ring(1, SWITCH, Span.ofMillis(2990)));
         tiny.told();
         tiny.sent();
     }
@@ -36,7 +36,7 @@
     private void stood() {
         rung();
         desk.started(SWITCH, LINK, tag(1), "c=x\r\n");
-        desk.acknowledged(tag(1));
+        desk.ackReceived(tag(1));
         tiny.told();
         tiny.sent();
     }
@@ -76,38 +76,38 @@
     @Test
     public void patienceCountsFromWhenTheLastByteWasRead() {
         tiny.at(400);
-        desk.setUp(ask(1, 1, 3000));
+        desk.setUpReceived(ask(1, 1, 3000));
         assertEquals(tiny.told(), List.of("offered 1 1 to 2 patience 2600"));
     }
 
     @Test
     public void deferredSaysWhenToComeBack() {
-        desk.setUp(ask(1, 1, 3000));
-        desk.tell(to -> desk.defer(1, Span.ofMillis(700)));
+        desk.setUpReceived(ask(1, 1, 3000));
+        desk.notifyController(to -> desk.defer(1, Span.ofMillis(700)));
         assertEquals(tiny.sent(), List.of("1: 503 INVITE away 700"));
-        assertEquals(desk.open(), 0);
+        assertEquals(desk.openCount(), 0);
         assertEquals(desk.known(), List.of());
     }
 
     @Test
     public void abandonedIsAnotherRefusal() {
-        desk.setUp(ask(1, 1, 3000));
-        desk.tell(to -> desk.abandon(1));
+        desk.setUpReceived(ask(1, 1, 3000));
+        desk.notifyController(to -> desk.abandon(1));
         assertEquals(tiny.sent(), List.of("1: 500 INVITE"));
     }
 
     @Test
     public void noSecondAnswerFollowsTheFirst() {
-        desk.setUp(ask(1, 1, 3000));
-        desk.tell(to -> desk.defer(1, Span.ZERO));
-        desk.tell(to -> desk.abandon(1));
+        desk.setUpReceived(ask(1, 1, 3000));
+        desk.notifyController(to -> desk.defer(1, Span.ZERO));
+        desk.notifyController(to -> desk.abandon(1));
         tiny.at(10_000);
         assertEquals(tiny.sent(), List.of("1: 503 INVITE"));
     }
 
     @Test
     public void theLastWordWaitsForTheModulesOwn() {
-        desk.setUp(ask(1, 1, 3000));
+        desk.setUpReceived(ask(1, 1, 3000));
         tiny.at(3000);
         assertEquals(tiny.sent(), List.of());
         tiny.at(3020);
@@ -126,10 +126,10 @@
     @Test
     public void aCallerWhoGivesUpIsToldSoAndNothingAfter() {
         rung();
-        desk.withdrawn(1, request("CANCEL", 1));
+        desk.cancelReceived(1, request("CANCEL", 1));
         assertEquals(tiny.sent(), List.of("1: 200 CANCEL", "1: 487 INVITE"));
         assertEquals(tiny.told(), List.of("gone 1"));
-        desk.tell(to -> desk.callOff(1, 0));
+        desk.notifyController(to -> desk.cancel(1, 0));
         assertEquals(tiny.sent(), List.of("FINISH 7 40 1 16"));
         assertEquals(tiny.told(), List.of("end 1 0 CALLED_OFF NONE true"));
         assertEquals(desk.known(), List.of());
@@ -138,7 +138,7 @@
     @Test
     public void aRingThatStandsAfterItsCallerLeftIsReleased() {
         rung();
-        desk.lineOver(1);
+        desk.callerConnectionEnded(1);
         tiny.told();
         desk.started(SWITCH, LINK, tag(1), "c=x\r\n");
         assertEquals(tiny.sent(), List.of("FINISH 7 40 1 16"));
@@ -150,8 +150,8 @@
     public void anAttemptNotYetWrittenIsTakenBackWithItsCaller() {
         tiny.held = true;
         rung();
-        desk.withdrawn(1, request("CANCEL", 1));
-        desk.tell(to -> desk.callOff(1, 0));
+        desk.cancelReceived(1, request("CANCEL", 1));
+        desk.notifyController(to -> desk.cancel(1, 0));
         assertEquals(tiny.sent(), List.of("1: 200 CANCEL", "1: 487 INVITE"));
         assertEquals(tiny.told(), List.of("gone 1", "end 1 0 NOT_SENT NONE true"));
         tiny.write();
@@ -173,7 +173,7 @@
     public void aConnectionThatEndsWithTheAttemptUnwrittenCutsNothing() {
         tiny.held = true;
         rung();
-        desk.connectionOver(SWITCH, LINK, true);
+        desk.switchConnectionEnded(SWITCH, LINK, true);
         assertEquals(tiny.told(), List.of("end 1 0 NOT_SENT NONE false"));
         assertEquals(tiny.sent(), List.of());
     }
@@ -191,34 +191,34 @@
     /** The reader has seen the caller's end, and the news of it waits behind what comes first here. */
     @Test
     public void nothingGoesOutForACallerWhoseEndStillWaitsInTheInbox() {
-        desk.setUp(tiny.asked(1, 1, 3000));
-        tiny.caller.make();
+        desk.setUpReceived(tiny.asked(1, 1, 3000));
+        tiny.caller.cancel();
         tiny.told();
-        desk.tell(to -> desk.ring(1, SWITCH, Span.ofMillis(2990)));
+        desk.notifyController(to -> desk.ring(1, SWITCH, Span.ofMillis(2990)));
         assertEquals(tiny.sent(), List.of("1: 487 INVITE"));
         assertEquals(tiny.told(), List.of("gone 1"));
-        desk.tell(to -> desk.callOff(1, 0));
+        desk.notifyController(to -> desk.cancel(1, 0));
         assertEquals(tiny.sent(), List.of());
-        desk.lineOver(1);
+        desk.callerConnectionEnded(1);
         assertEquals(desk.known(), List.of());
     }
 
     @Test
     public void anAnswerForACallerWhoseEndStillWaitsIsReleasedAndNotPassedOn() {
         rung();
-        tiny.caller.make();
+        tiny.caller.cancel();
         desk.started(SWITCH, LINK, tag(1), "c=x\r\n");
         assertEquals(tiny.sent(), List.of("1: 487 INVITE", "FINISH 7 40 1 16"));
         assertEquals(tiny.told(), List.of("gone 1", "end 1 0 CALLED_OFF NONE true"));
-        desk.lineOver(1);
+        desk.callerConnectionEnded(1);
         assertEquals(desk.known(), List.of());
     }
 
     @Test
     public void aSetUpWhoseCallerHasGoneIsNotOffered() {
-        SetUp asked = ask(1, 1, 3000);
-        asked.caller().make();
-        desk.setUp(asked);
+        SetUpRequest asked = ask(1, 1, 3000);
+        asked.cancellation().cancel();
+        desk.setUpReceived(asked);
         assertEquals(tiny.told(), List.of());
         assertEquals(tiny.sent(), List.of("1: 487 INVITE"));
         assertEquals(desk.known(), List.of());
@@ -228,7 +228,7 @@
     public void aReasonThatFellAwayAsItsTurnCameIsNews() {
         tiny.held = true;
         rung();
-        tiny.caller.make();
+        tiny.caller.cancel();
         tiny.write();
         assertEquals(tiny.sent(), List.of());
         assertEquals(tiny.told(), List.of("end 1 0 NOT_SENT NONE false"));
@@ -256,20 +256,20 @@
         assertEquals(tiny.sent(), List.of("1: BYE Q.850;cause=16"));
         tiny.closed.add(1L);
         tiny.any = 2;
-        desk.lineOver(1);
+        desk.callerConnectionEnded(1);
         assertEquals(tiny.sent(), List.of("2: BYE Q.850;cause=16"));
         tiny.any = 3;
-        desk.lineOver(2);
+        desk.callerConnectionEnded(2);
         assertEquals(tiny.sent(), List.of("3: BYE Q.850;cause=16"));
-        desk.releaseHeard(tag(1));
-        desk.lineOver(3);
+        desk.releaseAcknowledged(tag(1));
+        desk.callerConnectionEnded(3);
         assertEquals(tiny.sent(), List.of());
     }
 
     @Test
     public void anotherLineCantWithdrawAContact() {
         rung();
-        desk.withdrawn(2, request("CANCEL", 1));
+        desk.cancelReceived(2, request("CANCEL", 1));
         assertEquals(tiny.sent(), List.of("2: 481 CANCEL"));
         assertEquals(tiny.told(), List.of());
     }
@@ -277,7 +277,7 @@
     @Test
     public void twoSetUpsUnderOneIdOnALineEndTheLine() {
         rung();
-        desk.setUp(ask(1, 1, 3000));
+        desk.setUpReceived(ask(1, 1, 3000));
         assertEquals(tiny.sent(), List.of("1: dropped"));
         assertEquals(tiny.told(), List.of("gone 1"));
     }
@@ -285,7 +285,7 @@
     @Test
     public void theIdOfAnOpenContactOnAnotherLineIsRefused() {
         rung();
-        desk.setUp(ask(2, 1, 3000));
+        desk.setUpReceived(ask(2, 1, 3000));
         assertEquals(tiny.sent(), List.of("2: 482 INVITE"));
         assertEquals(tiny.told(), List.of());
     }
@@ -293,10 +293,10 @@
     @Test
     public void moreThanMayBeOpenIsRefusedUnseen() {
         for (int i = 1; i <= 4; i++) {
-            desk.setUp(ask(1, i, 3000));
+            desk.setUpReceived(ask(1, i, 3000));
         }
         assertEquals(tiny.sent(), List.of("1: 503 INVITE"));
-        assertEquals(desk.open(), 3);
+        assertEquals(desk.openCount(), 3);
     }
 
     @Test
@@ -315,10 +315,10 @@
         desk.ended(SWITCH, LINK, tag(1), 41, null, NONE);
         tiny.at(401);
         assertEquals(tiny.sent(), List.of("1: BYE Q.850;cause=41", "1: BYE Q.850;cause=41"));
-        desk.releaseHeard(tag(1));
+        desk.releaseAcknowledged(tag(1));
         tiny.at(5000);
         assertEquals(tiny.sent(), List.of());
-        assertEquals(desk.unheardReleases(), 0);
+        assertEquals(desk.unacknowledgedReleaseCount(), 0);
     }
 
     @Test
@@ -337,26 +337,26 @@
     @Test
     public void aCallersByeReleasesTheSwitch() {
         stood();
-        desk.released(9, request("BYE", 1));
+        desk.byeReceived(9, request("BYE", 1));
         assertEquals(tiny.sent(), List.of("9: 200 BYE", "FINISH 7 40 1 16"));
         assertEquals(tiny.told(), List.of("end 1 0 CALLED_OFF NONE true"));
     }
 
     @Test
     public void aByeForNobodyIsAnswered() {
-        desk.released(9, request("BYE", 1));
+        desk.byeReceived(9, request("BYE", 1));
         assertEquals(tiny.sent(), List.of("9: 481 BYE"));
     }
 
     /** On the calm day a group was filled and not told, and set-ups went on to it: each moot one now tells it. */
     @Test
     public void aSetUpThatFoundNoCircuitTellsTheStateOfItsGroup() {
-        desk.load(SWITCH, new float[] {52, 52, -1});
+        desk.loadReported(SWITCH, new float[] {52, 52, -1});
         rung();
         desk.ended(SWITCH, LINK, tag(1), 102, "no_circuit", NONE);
         assertEquals(tiny.told(), List.of("end 1 0 NOT_SENT NO_CIRCUIT false [0.0, 52.0]"));
-        desk.forget(SWITCH);
-        desk.tell(to -> desk.ring(1, SWITCH, Span.ofMillis(900)));
+        desk.switchRemoved(SWITCH);
+        desk.notifyController(to -> desk.ring(1, SWITCH, Span.ofMillis(900)));
         desk.ended(SWITCH, LINK, tag(1), 102, "no_circuit", NONE);
         assertEquals(tiny.told(), List.of("end 1 1 NOT_SENT NO_CIRCUIT false"));
     }
@@ -364,26 +364,26 @@
     @Test
     public void aLostConnectionCutsItsRingsAndNothingThatStands() {
         stood();
-        desk.setUp(ask(1, 2, 3000));
-        desk.tell(to -> desk.ring(2, SWITCH, Span.ofMillis(2990)));
+        desk.setUpReceived(ask(1, 2, 3000));
+        desk.notifyController(to -> desk.ring(2, SWITCH, Span.ofMillis(2990)));
         tiny.told();
-        desk.connectionOver(SWITCH, LINK, true);
+        desk.switchConnectionEnded(SWITCH, LINK, true);
         assertEquals(tiny.told(), List.of("end 2 0 CUT NONE false"));
-        assertEquals(desk.standing(), 1);
+        assertEquals(desk.establishedCount(), 1);
     }
 
     @Test
     public void aConnectionThatNeverCameUpProvesThatNothingRan() {
         rung();
-        desk.connectionOver(SWITCH, LINK, false);
+        desk.switchConnectionEnded(SWITCH, LINK, false);
         assertEquals(tiny.told(), List.of("end 1 0 UNREACHABLE NONE false"));
     }
 
     @Test
     public void noConnectionAtAllIsToldAfterTheOrder() {
         tiny.unreachable = true;
-        desk.setUp(ask(1, 1, 3000));
-        desk.tell(to -> {
+        desk.setUpReceived(ask(1, 1, 3000));
+        desk.notifyController(to -> {
             desk.ring(1, SWITCH, Span.ofMillis(2990));
             tiny.told.add("order given");
         });
@@ -393,7 +393,7 @@
     @Test
     public void whatStoodOnAProcessThatEndedIsReleased() {
         stood();
-        desk.switchOver(SWITCH, null);
+        desk.switchProcessEnded(SWITCH, null);
         assertEquals(tiny.sent(), List.of("1: BYE Q.850;cause=41", "log switch-over"));
         assertEquals(tiny.told(), List.of("end 1 0 CUT NONE true"));
     }
@@ -402,13 +402,13 @@
     public void whatStandsSinceTheRestartStays() {
         tiny.at(1000);
         stood();
-        desk.switchOver(SWITCH, new Moment(Span.ofMillis(500).ns()));
-        assertEquals(desk.standing(), 1);
+        desk.switchProcessEnded(SWITCH, new Moment(Span.ofMillis(500).ns()));
+        assertEquals(desk.establishedCount(), 1);
     }
 
     @Test
     public void anInheritedContactIsReleasedLikeOthersAndNoNewsOfTheModule() {
-        SetUp asked = new SetUp(
+        SetUpRequest asked = new SetUpRequest(
                 3,
                 request("INVITE", 4),
                 tag(4),
@@ -423,10 +423,10 @@
                 false,
                 "s-1",
                 "",
-                new Withdrawal());
-        desk.stoodBefore(asked, SWITCH);
-        desk.stoodBefore(asked, SWITCH);
-        assertEquals(desk.standing(), 1);
+                new CallerCancellation());
+        desk.establishedElsewhere(asked, SWITCH);
+        desk.establishedElsewhere(asked, SWITCH);
+        assertEquals(desk.establishedCount(), 1);
         assertEquals(tiny.sent(), List.of());
         desk.ended(SWITCH, LINK, tag(4), 16, null, NONE);
         assertEquals(tiny.sent(), List.of("3: BYE Q.850;cause=16"));
@@ -435,7 +435,7 @@
 
     @Test
     public void oneThatStoodNowhereIsOver() {
-        desk.stoodNowhere(ask(3, 4, 0));
+        desk.establishedAtUnknownSwitch(ask(3, 4, 0));
         assertEquals(tiny.sent(), List.of("3: BYE Q.850;cause=41"));
     }
 
@@ -447,7 +447,7 @@
         tiny.told();
         tiny.closed.add(1L);
         tiny.any = 2;
-        desk.lineOver(1);
+        desk.callerConnectionEnded(1);
         assertEquals(tiny.sent(), List.of("log unsure", "FINISH 7 40 1 16", "2: BYE Q.850;cause=41"));
         assertEquals(tiny.told(), List.of("end 1 0 CALLED_OFF NONE true"));
     }
@@ -455,26 +455,26 @@
     @Test
     public void oneThatWasAcknowledgedBelongsToNoLine() {
         stood();
-        desk.lineOver(1);
-        assertEquals(desk.standing(), 1);
+        desk.callerConnectionEnded(1);
+        assertEquals(desk.establishedCount(), 1);
         assertEquals(tiny.sent(), List.of());
     }
 
     @Test
     public void whileClosingNewContactsAreRefusedAndOpenOnesAnswered() {
         rung();
-        desk.closing();
-        desk.setUp(ask(1, 2, 3000));
+        desk.refuseNewContacts();
+        desk.setUpReceived(ask(1, 2, 3000));
         desk.started(SWITCH, LINK, tag(1), "c=x\r\n");
         assertEquals(tiny.sent(), List.of("1: 503 INVITE", "1: 200 INVITE c=x\r\n"));
     }
 
     @Test
     public void aFaultOfTheModuleEndsNothing() {
-        desk.tell(to -> {
+        desk.notifyController(to -> {
             throw new IllegalStateException("planted");
         });
-        desk.setUp(ask(1, 1, 3000));
+        desk.setUpReceived(ask(1, 1, 3000));
         assertEquals(tiny.sent(), List.of("log fault"));
         assertEquals(tiny.told().size(), 1);
     }
@@ -482,14 +482,14 @@
     @Test
     public void nothingIsKeptOfContactsThatAreOver() {
         for (int i = 1; i < 200; i++) {
-            desk.setUp(ask(1, i, 3000));
+            desk.setUpReceived(ask(1, i, 3000));
             int id = i;
-            desk.tell(to -> desk.ring(id, SWITCH, Span.ofMillis(2990)));
+            desk.notifyController(to -> desk.ring(id, SWITCH, Span.ofMillis(2990)));
             desk.started(SWITCH, LINK, tag(i), "c=x\r\n");
             desk.ended(SWITCH, LINK, tag(i), 16, null, NONE);
-            desk.releaseHeard(tag(i));
+            desk.releaseAcknowledged(tag(i));
         }
         assertEquals(desk.known(), List.of());
-        assertEquals(desk.standing() + desk.open() + desk.unheardReleases(), 0);
+        assertEquals(desk.establishedCount() + desk.openCount() + desk.unacknowledgedReleaseCount(), 0);
     }
 }
--- a/src/test/java/martenslip/platform/desk/QueueWorld.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueModel.java
@@ -1,4 +1,4 @@
-package martenslip.platform.desk;
+package martenslip.platform.contact;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,30 +7,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import martenslip.EveryOrder;
-import martenslip.EveryOrder.Event;
-import martenslip.FiveRules;
-import martenslip.Logic;
+import martenslip.InterleavingExplorer;
+import martenslip.InterleavingExplorer.Event;
+import martenslip.RoutingPolicy;
+import martenslip.RuleChecker;
 import martenslip.control.Controller.ListKind;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
-import martenslip.sip.message.Parser;
+import martenslip.control.SwitchEntry;
+import martenslip.eventloop.TimerWheel;
+import martenslip.sip.message.MessageParser;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transport.Outgoing;
-import martenslip.sip.transport.Queued;
-import martenslip.sip.transport.Revocable;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.OutgoingMessage;
+import martenslip.sip.transport.QueuedMessage;
+import martenslip.sip.transport.RevocableMessage;
 
 /**
  * The very desk, module and revocable messages between callers and one switch, with the places where something may
  * wait: the inbox of the deciding thread, a connection that is not up, a writer that is held. Anything may come while
  * something waits. It judges by what is written to the switch and to callers, and when.
  */
-final class QueueWorld extends JudgedOutward implements EveryOrder.World {
+final class WriteQueueModel extends CheckedOutboundMessages implements InterleavingExplorer.Simulation {
     /** A fault planted to see that the check finds it. */
-    enum Plant {
+    enum InjectedFault {
         NONE,
         DEPARTED,
         DRAINED,
@@ -47,16 +47,16 @@
     private static final Span TURN = Span.ofMillis(25);
     private static final long TARGET = 101;
 
-    record Plan(int offers, int circuits, boolean up) {}
+    record Scenario(int offers, int circuits, boolean up) {}
 
-    private final Plan plan;
-    private final Plant plant;
-    private final Wheel wheel = new Wheel(new Moment(0));
-    private final Desk desk;
+    private final Scenario plan;
+    private final InjectedFault plant;
+    private final TimerWheel wheel = new TimerWheel(new Moment(0));
+    private final ContactTable desk;
     private final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
-    private final ArrayDeque<Outgoing> unsent = new ArrayDeque<>();
+    private final ArrayDeque<OutgoingMessage> unsent = new ArrayDeque<>();
     private final Set<String> callers = new LinkedHashSet<>();
-    private final Map<String, Withdrawal> marks = new LinkedHashMap<>();
+    private final Map<String, CallerCancellation> marks = new LinkedHashMap<>();
     private final Set<String> written = new LinkedHashSet<>();
     private final Set<String> standing = new LinkedHashSet<>();
     private final Set<String> done = new LinkedHashSet<>();
@@ -67,28 +67,31 @@
     private boolean takesNew = true;
     private int offered;
 
-    QueueWorld(Plan plan, Plant plant) {
-        super(new FiveRules(Span.ZERO, Span.ofMillis(300), Span.ofMillis(10_000)), "switch-over", "unsure");
+    WriteQueueModel(Scenario plan, InjectedFault plant) {
+        super(new RuleChecker(Span.ZERO, Span.ofMillis(300), Span.ofMillis(10_000)), "switch-over", "unsure");
         this.plan = plan;
         this.plant = plant;
         up = plan.up;
-        desk = new Desk(wheel, new Terms(List.of("cheap", "dear"), 100, Span.ofMillis(9000), Span.ofMillis(20)), this);
-        desk.module(new Logic(DeskWorld.settings(), 7, wheel.now(), desk));
-        list(SwitchLine.State.READY);
-        desk.load(TARGET, new float[] {plan.circuits, plan.circuits, -1});
+        desk = new ContactTable(
+                wheel,
+                new ContactSettings(List.of("cheap", "dear"), 100, Span.ofMillis(9000), Span.ofMillis(20)),
+                this);
+        desk.setController(new RoutingPolicy(ContactTableModel.settings(), 7, wheel.now(), desk));
+        list(SwitchEntry.State.READY);
+        desk.loadReported(TARGET, new float[] {plan.circuits, plan.circuits, -1});
     }
 
-    private void list(SwitchLine.State state) {
-        desk.tell(to -> to.listed(
+    private void list(SwitchEntry.State state) {
+        desk.notifyController(to -> to.switchListReceived(
                 wheel.now(),
                 ListKind.CHANGES,
                 List.of(
-                        new SwitchLine(100, 0, SwitchLine.State.READY, null, 0),
-                        new SwitchLine(TARGET, 1, state, null, 0))));
+                        new SwitchEntry(100, 0, SwitchEntry.State.READY, null, 0),
+                        new SwitchEntry(TARGET, 1, state, null, 0))));
     }
 
     @Override
-    public List<Event> enabled() {
+    public List<Event> enabledEvents() {
         List<Event> all = new ArrayList<>();
         if (deciderHeld) {
             all.add(event("decider goes on", () -> deciderHeld = false));
@@ -105,7 +108,7 @@
                 && (!callers.isEmpty()
                         || !written.isEmpty()
                         || !unsent.isEmpty()
-                        || desk.unheardReleases() > 0
+                        || desk.unacknowledgedReleaseCount() > 0
                         || !desk.known().isEmpty() && standing.isEmpty())) {
             all.add(event("time", this::time));
         }
@@ -133,7 +136,7 @@
         if (offered > 0) {
             once(all, "drain", () -> inbox.add(this::drain));
             once(all, "remove", () -> inbox.add(this::remove));
-            once(all, "term", () -> inbox.add(desk::closing));
+            once(all, "term", () -> inbox.add(desk::refuseNewContacts));
         }
         return all;
     }
@@ -160,40 +163,41 @@
             if (!deciderHeld && !inbox.isEmpty()) {
                 inbox.poll().run();
             } else {
-                Outgoing next = unsent.poll();
+                OutgoingMessage next = unsent.poll();
                 next.bytes();
-                next.done();
+                next.completed();
             }
         }
     }
 
     @Override
-    public void quiet() {
-        if (!desk.known().isEmpty() || desk.open() != 0 || desk.standing() != 0 || !inbox.isEmpty()) {
-            rules.wrong("kept", "left over: " + desk.known() + " " + desk.open() + " " + desk.standing());
+    public void checkQuiescent() {
+        if (!desk.known().isEmpty() || desk.openCount() != 0 || desk.establishedCount() != 0 || !inbox.isEmpty()) {
+            rules.addViolation(
+                    "kept", "left over: " + desk.known() + " " + desk.openCount() + " " + desk.establishedCount());
         }
         if (!written.isEmpty()) {
-            rules.wrong("kept", "still held at the switch: " + written);
+            rules.addViolation("kept", "still held at the switch: " + written);
         }
     }
 
     private void time() {
         for (Moment until = wheel.now().plus(STEP); wheel.now().before(until); settle()) {
-            wheel.turn(wheel.now().plus(TURN));
-            rules.at(wheel.now());
+            wheel.advanceTo(wheel.now().plus(TURN));
+            rules.checkDeadlines(wheel.now());
         }
     }
 
     private void offer() {
         int number = ++offered;
-        String tag = TinyDesk.tag(number);
-        Withdrawal caller = new Withdrawal();
+        String tag = ContactTableHarness.tag(number);
+        CallerCancellation caller = new CallerCancellation();
         callers.add(tag);
         marks.put(tag, caller);
-        rules.taken(tag, wheel.now().plus(PATIENCE).plus(SLACK));
-        SetUp asked = new SetUp(
+        rules.contactTaken(tag, wheel.now().plus(PATIENCE).plus(SLACK));
+        SetUpRequest asked = new SetUpRequest(
                 number,
-                TinyDesk.request("INVITE", number),
+                ContactTableHarness.request("INVITE", number),
                 tag,
                 "00000000000000aa",
                 number % 2,
@@ -207,29 +211,29 @@
                 null,
                 "v=0",
                 caller);
-        inbox.add(() -> desk.setUp(asked));
+        inbox.add(() -> desk.setUpReceived(asked));
     }
 
     private void leaves(String tag) {
         callers.remove(tag);
-        rules.gone(tag);
-        marks.get(tag).make();
+        rules.callerGone(tag);
+        marks.get(tag).cancel();
     }
 
     private void cancel(String tag) {
         leaves(tag);
         int number = (int) Long.parseLong(tag, 16);
-        inbox.add(() -> desk.withdrawn(number, TinyDesk.request("CANCEL", number)));
+        inbox.add(() -> desk.cancelReceived(number, ContactTableHarness.request("CANCEL", number)));
     }
 
     private void ends(String tag) {
         leaves(tag);
-        inbox.add(() -> desk.lineOver(Long.parseLong(tag, 16)));
+        inbox.add(() -> desk.callerConnectionEnded(Long.parseLong(tag, 16)));
     }
 
     private void answer(String tag) {
         written.remove(tag);
-        rules.ended(wheel.now(), tag, false);
+        rules.ringEnded(wheel.now(), tag, false);
         standing.add(tag);
         long by = link;
         inbox.add(() -> desk.started(TARGET, by, tag, "c=" + tag));
@@ -237,7 +241,7 @@
 
     private void over(String tag, int cause, boolean held) {
         if (written.remove(tag)) {
-            rules.ended(wheel.now(), tag, held);
+            rules.ringEnded(wheel.now(), tag, held);
         }
         standing.remove(tag);
         long by = link;
@@ -247,77 +251,77 @@
     /** Its connection is over and another is asked for, which is up at once where the first was. */
     private void lost(boolean everUp) {
         long by = link++;
-        List<Outgoing> never = List.copyOf(unsent);
+        List<OutgoingMessage> never = List.copyOf(unsent);
         unsent.clear();
-        written.forEach(tag -> rules.ended(wheel.now(), tag, true));
+        written.forEach(tag -> rules.ringEnded(wheel.now(), tag, true));
         written.clear();
-        never.forEach(Outgoing::done);
-        inbox.add(() -> desk.connectionOver(TARGET, by, everUp));
+        never.forEach(OutgoingMessage::completed);
+        inbox.add(() -> desk.switchConnectionEnded(TARGET, by, everUp));
     }
 
     private void drain() {
         takesNew = false;
-        rules.drains(wheel.now(), "0", TARGET, true);
-        list(SwitchLine.State.DRAINING);
+        rules.setDraining(wheel.now(), "0", TARGET, true);
+        list(SwitchEntry.State.DRAINING);
     }
 
     private void remove() {
         takesNew = false;
-        rules.drains(wheel.now(), "0", TARGET, true);
-        list(SwitchLine.State.GONE);
+        rules.setDraining(wheel.now(), "0", TARGET, true);
+        list(SwitchEntry.State.GONE);
         // Its process ends some time after; until then it may still say something.
-        wheel.after(PROCESS_ENDS, () -> {
+        wheel.scheduleAfter(PROCESS_ENDS, () -> {
             standing.clear();
             lost(true);
-            inbox.add(() -> desk.switchOver(TARGET, null));
+            inbox.add(() -> desk.switchProcessEnded(TARGET, null));
         });
     }
 
     // ---- what the desk sends
 
     @Override
-    public Queued start(long target, Start start, Runnable unsaid) {
+    public QueuedMessage sendStart(long target, SwitchStartRequest start, Runnable unsaid) {
         String tag = start.tag();
-        boolean looks = plant != Plant.DEPARTED;
-        Revocable message = new Revocable(
+        boolean looks = plant != InjectedFault.DEPARTED;
+        RevocableMessage message = new RevocableMessage(
                 0,
                 () -> {
                     boolean due = looks
-                            ? start.due(wheel.now())
-                            : start.left(wheel.now()).longerThan(Span.ZERO);
-                    if (!due || !takesNew && plant != Plant.DRAINED) {
+                            ? start.isDue(wheel.now())
+                            : start.remaining(wheel.now()).longerThan(Span.ZERO);
+                    if (!due || !takesNew && plant != InjectedFault.DRAINED) {
                         return null;
                     }
-                    rules.ring(wheel.now(), "0", tag, target);
+                    rules.ringSent(wheel.now(), "0", tag, target);
                     written.add(tag);
                     return new byte[0];
                 },
                 () -> inbox.add(unsaid));
-        if (plant == Plant.NOT_REVOKED) {
+        if (plant == InjectedFault.NOT_REVOKED) {
             // Written whatever became of it, as it was before: the sender's word comes too late.
-            unsent.add(Outgoing.of(new byte[0], () -> {
-                rules.ring(wheel.now(), "0", tag, target);
+            unsent.add(OutgoingMessage.of(new byte[0], () -> {
+                rules.ringSent(wheel.now(), "0", tag, target);
                 written.add(tag);
             }));
             message.bytes();
-            return new Queued(link, message);
+            return new QueuedMessage(link, message);
         }
         unsent.add(message);
-        return new Queued(link, message);
+        return new QueuedMessage(link, message);
     }
 
     @Override
-    public void finish(long target, long connection, String tag, int cause, Runnable told) {
-        if (plant == Plant.END_NOT_WRITTEN) {
+    public void sendFinish(long target, long connection, String tag, int cause, Runnable told) {
+        if (plant == InjectedFault.END_NOT_WRITTEN) {
             inbox.add(told);
         }
         Runnable end = () -> {
             if (written.remove(tag)) {
-                rules.ended(wheel.now(), tag, true);
+                rules.ringEnded(wheel.now(), tag, true);
             }
             standing.remove(tag);
         };
-        unsent.add(new Outgoing() {
+        unsent.add(new OutgoingMessage() {
             @Override
             public int size() {
                 return 0;
@@ -330,10 +334,10 @@
             }
 
             @Override
-            public void done() {
+            public void completed() {
                 // Lost with its connection, the switch gives up by itself what went by it.
                 end.run();
-                if (plant != Plant.END_NOT_WRITTEN) {
+                if (plant != InjectedFault.END_NOT_WRITTEN) {
                     inbox.add(told);
                 }
             }
@@ -341,34 +345,34 @@
     }
 
     @Override
-    public boolean toCaller(long line, byte[] bytes) {
-        var message = Parser.lean(bytes, bytes.length).message();
+    public boolean sendToCaller(long line, byte[] bytes) {
+        var message = MessageParser.parseMinimal(bytes, bytes.length).message();
         String tag = message.callId();
         if (message instanceof Request) {
             if (callers.contains(tag)) {
-                rules.wrong(1, tag + " was released before its answer");
+                rules.addViolation(1, tag + " was released before its answer");
             }
-            inbox.add(() -> desk.releaseHeard(tag));
+            inbox.add(() -> desk.releaseAcknowledged(tag));
             return true;
         }
         Response answer = (Response) message;
         if (!answer.headers().first("CSeq").endsWith("INVITE") || answer.status() == 487) {
             return true;
         }
-        if (marks.get(tag).made()) {
+        if (marks.get(tag).isCancelled()) {
             // A refusal may cross its leaving, and nobody waits for it; a good answer holds a circuit for nobody.
-            if (answer.success()) {
-                rules.wrong("departed", tag + " was served after it had left");
+            if (answer.isSuccess()) {
+                rules.addViolation("departed", tag + " was served after it had left");
             }
             return true;
         }
         callers.remove(tag);
-        rules.answered(wheel.now(), tag);
-        if (answer.success()) {
+        rules.contactAnswered(wheel.now(), tag);
+        if (answer.isSuccess()) {
             if (!new String(answer.body()).equals("c=" + tag)) {
-                rules.wrong(1, tag + " was served with what no switch made for it");
+                rules.addViolation(1, tag + " was served with what no switch made for it");
             }
-            inbox.add(() -> desk.acknowledged(tag));
+            inbox.add(() -> desk.ackReceived(tag));
         }
         return true;
     }
--- a/src/test/java/martenslip/platform/peer/PeersTest.java
+++ b/src/test/java/martenslip/platform/peer/PeerNoteTransportTest.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import martenslip.control.Orders;
-import martenslip.sip.transport.Drops;
+import martenslip.sip.transport.DropCounter;
 import org.testng.annotations.Test;
 
-public class PeersTest {
+public class PeerNoteTransportTest {
     private static InetSocketAddress local(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
@@ -28,9 +28,9 @@
             InetSocketAddress own = local(free.getLocalPort());
             free.close();
             LinkedBlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
-            Drops drops = new Drops();
+            DropCounter drops = new DropCounter();
             List<InetSocketAddress> listed = List.of(own, local(peer.getLocalPort()));
-            try (Peers peers = new Peers(
+            try (PeerNoteTransport peers = new PeerNoteTransport(
                     own,
                     listed,
                     local(all.getLocalPort()),
--- a/src/test/java/martenslip/platform/switchconnection/LoadTest.java
+++ b/src/test/java/martenslip/platform/switchconnection/LoadReportParserTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class LoadTest {
+public class LoadReportParserTest {
     private static final float ABSENT = Float.NaN;
 
     @DataProvider
@@ -28,12 +28,12 @@
 
     @Test(dataProvider = "reports")
     public void whatIsNotToldIsNeverZero(String text, float[] expected) {
-        assertEquals(new Load(List.of("spare", "total", "allowed")).read(text), expected, 0f);
+        assertEquals(new LoadReportParser(List.of("spare", "total", "allowed")).read(text), expected, 0f);
     }
 
     @Test
     public void ofAReportThatMayBeOldOnlyTheProcessorCounts() {
-        Load load = new Load(List.of("spare", "total", "allowed"));
+        LoadReportParser load = new LoadReportParser(List.of("spare", "total", "allowed"));
         assertEquals(load.processor("spare:12;total:40;allowed:3"), new float[] {ABSENT, ABSENT, 3}, 0f);
         assertEquals(load.processor(null), new float[] {});
     }
--- a/src/test/java/martenslip/platform/switchconnection/SwitchSaysTest.java
+++ b/src/test/java/martenslip/platform/switchconnection/SwitchMessageTest.java
@@ -6,11 +6,11 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import martenslip.sip.transport.Cutter;
+import martenslip.sip.transport.StreamFramer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class SwitchSaysTest {
+public class SwitchMessageTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
@@ -18,26 +18,26 @@
     @Test
     public void aDescriptionPassesUnchanged() throws IOException {
         String odd = "a\r\n\"\\\u0000\u001f\u20ac\ud83d\ude00 /</script>";
-        byte[] line = SwitchSays.start("00000000000000aa", "dear", 1500, "00000000000000bb", odd);
+        byte[] line = SwitchMessage.start("00000000000000aa", "dear", 1500, "00000000000000bb", odd);
         assertEquals(line[line.length - 1], '\n');
         assertEquals(
-                SwitchSays.read(Arrays.copyOf(line, line.length - 1)),
-                new SwitchSays("START", "00000000000000aa", null, null, 0, odd));
+                SwitchMessage.read(Arrays.copyOf(line, line.length - 1)),
+                new SwitchMessage("START", "00000000000000aa", null, null, 0, odd));
     }
 
     @Test
     public void allThatCountsIsRead() throws IOException {
         assertEquals(
-                SwitchSays.read(bytes("{\"verb\":\"FINISH\",\"tag\":\"t\",\"new\":{\"a\":[1]},\"opts\":{\"load\":"
+                SwitchMessage.read(bytes("{\"verb\":\"FINISH\",\"tag\":\"t\",\"new\":{\"a\":[1]},\"opts\":{\"load\":"
                         + "\"x0:1\",\"note\":\"overload\",\"other\":[{}]},\"rc\":34}")),
-                new SwitchSays("FINISH", "t", "x0:1", "overload", 34, null));
+                new SwitchMessage("FINISH", "t", "x0:1", "overload", 34, null));
     }
 
     @Test
     public void aStateIsKnownByItsTypeAndNotByATextThatNamesIt() {
-        assertEquals(SwitchSays.state(bytes("{\"opts\":{},\"tag\":\"0\",\"verb\":\"LOAD\"}")), true);
-        byte[] line = SwitchSays.start("00000000000000aa", "dear", 1500, "00000000000000bb", "\"verb\":\"LOAD\"");
-        assertEquals(SwitchSays.state(line), false);
+        assertEquals(SwitchMessage.state(bytes("{\"opts\":{},\"tag\":\"0\",\"verb\":\"LOAD\"}")), true);
+        byte[] line = SwitchMessage.start("00000000000000aa", "dear", 1500, "00000000000000bb", "\"verb\":\"LOAD\"");
+        assertEquals(SwitchMessage.state(line), false);
     }
 
     @DataProvider
@@ -60,41 +60,41 @@
 
     @Test(dataProvider = "spoilt")
     public void whatIsSpoiltIsRefused(String line) {
-        assertThrows(IOException.class, () -> SwitchSays.read(line.getBytes(StandardCharsets.ISO_8859_1)));
+        assertThrows(IOException.class, () -> SwitchMessage.read(line.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    private static void give(Cutter cutter, String text) {
+    private static void give(StreamFramer cutter, String text) {
         byte[] bytes = bytes(text);
-        byte[] room = cutter.room();
-        int at = cutter.at();
+        byte[] room = cutter.buffer();
+        int at = cutter.position();
         while (room.length - at < bytes.length) {
-            cutter.took(room.length - at);
-            room = cutter.room();
-            cutter.took(at - cutter.at());
+            cutter.advance(room.length - at);
+            room = cutter.buffer();
+            cutter.advance(at - cutter.position());
         }
         System.arraycopy(bytes, 0, room, at, bytes.length);
-        cutter.took(bytes.length);
+        cutter.advance(bytes.length);
     }
 
     @Test
-    public void linesAreCutWhereverReadsEnd() throws Cutter.Lost {
-        LineCutter cutter = new LineCutter();
+    public void linesAreCutWhereverReadsEnd() throws StreamFramer.FramingException {
+        LineFramer cutter = new LineFramer();
         give(cutter, "one\ntw");
-        assertEquals(new String(cutter.next()), "one");
-        assertEquals(cutter.next(), null);
+        assertEquals(new String(cutter.nextMessage()), "one");
+        assertEquals(cutter.nextMessage(), null);
         give(cutter, "o\n\n");
-        assertEquals(new String(cutter.next()), "two");
-        assertEquals(new String(cutter.next()), "");
-        assertEquals(cutter.amid(), false);
+        assertEquals(new String(cutter.nextMessage()), "two");
+        assertEquals(new String(cutter.nextMessage()), "");
+        assertEquals(cutter.hasPartialMessage(), false);
     }
 
     @Test
     public void aLineWithoutEndIsLost() {
-        LineCutter cutter = new LineCutter();
-        assertThrows(Cutter.Lost.class, () -> {
+        LineFramer cutter = new LineFramer();
+        assertThrows(StreamFramer.FramingException.class, () -> {
             for (int i = 0; i < 20; i++) {
                 give(cutter, "x".repeat(1000));
-                cutter.next();
+                cutter.nextMessage();
             }
         });
     }
--- a/src/test/java/martenslip/play/DiaryTest.java
+++ b/src/test/java/martenslip/scenario/EventReplayTest.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -8,22 +8,22 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Consumer;
-import martenslip.Logic;
+import martenslip.RoutingPolicy;
 import martenslip.control.Contact;
 import martenslip.control.Controller;
-import martenslip.control.Maker;
+import martenslip.control.ControllerFactory;
 import martenslip.control.Moment;
 import martenslip.control.Orders;
 import martenslip.control.RingEnd;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
+import martenslip.control.SwitchEntry;
 import martenslip.sip.transport.Hop;
 import org.testng.annotations.Test;
 
 /** What the module was told over sockets, told again directly, must bring the same orders: nothing else steers it. */
-public class DiaryTest {
+public class EventReplayTest {
     /** One exchange's module with all that it was told and ordered, each order after the event that brought it. */
-    private static final class Diary implements Controller {
+    private static final class RecordingController implements Controller {
         final Map<String, String> settings;
         final long seed;
         final Moment start;
@@ -32,11 +32,11 @@
         final List<String> ordered = new ArrayList<>();
         private final Controller module;
 
-        Diary(Map<String, String> settings, long seed, Moment now, Orders orders) {
+        RecordingController(Map<String, String> settings, long seed, Moment now, Orders orders) {
             this.settings = settings;
             this.seed = seed;
             start = now;
-            module = new Logic(settings, seed, now, written(ordered, orders));
+            module = new RoutingPolicy(settings, seed, now, written(ordered, orders));
         }
 
         private synchronized void tell(Consumer<Controller> what) {
@@ -47,7 +47,7 @@
 
         synchronized List<String> again() {
             List<String> orders = new ArrayList<>();
-            Controller fresh = new Logic(settings, seed, start, written(orders, null));
+            Controller fresh = new RoutingPolicy(settings, seed, start, written(orders, null));
             for (Consumer<Controller> what : told) {
                 orders.add("-");
                 what.accept(fresh);
@@ -56,19 +56,19 @@
         }
 
         @Override
-        public void listed(Moment now, ListKind kind, List<SwitchLine> lines) {
-            tell(to -> to.listed(now, kind, lines));
+        public void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> lines) {
+            tell(to -> to.switchListReceived(now, kind, lines));
         }
 
         @Override
-        public void offered(Moment now, Contact contact) {
+        public void contactOffered(Moment now, Contact contact) {
             offered.add(contact);
-            tell(to -> to.offered(now, contact));
+            tell(to -> to.contactOffered(now, contact));
         }
 
         @Override
-        public void stands(Moment now, long contact, int ring, long target, Span took) {
-            tell(to -> to.stands(now, contact, ring, target, took));
+        public void established(Moment now, long contact, int ring, long target, Span took) {
+            tell(to -> to.established(now, contact, ring, target, took));
         }
 
         @Override
@@ -82,18 +82,18 @@
         }
 
         @Override
-        public void clockRung(Moment now, long token) {
-            tell(to -> to.clockRung(now, token));
+        public void timerExpired(Moment now, long token) {
+            tell(to -> to.timerExpired(now, token));
         }
 
         @Override
-        public void reported(Moment now, long target, boolean reached, Span took, float[] report) {
-            tell(to -> to.reported(now, target, reached, took, report));
+        public void switchReported(Moment now, long target, boolean reached, Span took, float[] report) {
+            tell(to -> to.switchReported(now, target, reached, took, report));
         }
 
         @Override
-        public void peerNote(Moment now, int peer, byte[] note) {
-            tell(to -> to.peerNote(now, peer, note));
+        public void peerNoteReceived(Moment now, int peer, byte[] note) {
+            tell(to -> to.peerNoteReceived(now, peer, note));
         }
 
         @Override
@@ -116,27 +116,27 @@
 
     @Test
     public void theSameHappeningsBringTheSameOrders() throws Exception {
-        List<Diary> diaries = new CopyOnWriteArrayList<>();
-        Maker maker = (settings, seed, now, orders) -> {
-            Diary diary = new Diary(settings, seed, now, orders);
+        List<RecordingController> diaries = new CopyOnWriteArrayList<>();
+        ControllerFactory maker = (settings, seed, now, orders) -> {
+            RecordingController diary = new RecordingController(settings, seed, now, orders);
             diaries.add(diary);
             return diary;
         };
-        try (SmallWorld world = new SmallWorld(Hop.Kind.UDP, Span.ofMillis(4), maker)) {
-            world.trunks.keep("g-0-1", 0.05);
+        try (ThreeExchangeEnvironment world = new ThreeExchangeEnvironment(Hop.Protocol.UDP, Span.ofMillis(4), maker)) {
+            world.trunks.reduceCircuits("g-0-1", 0.05);
             for (int i = 0; i < 60; i++) {
                 world.callers.dial(i % 3, (i + 1 + i / 30) % 3, 0);
                 if (i == 30) {
                     // A tandem that is slow already would be passed over.
-                    SmallWorld.await(
+                    ThreeExchangeEnvironment.await(
                             () -> diaries.stream()
                                     .flatMap(one -> one.offered.stream())
                                     .anyMatch(Contact::inTransit),
                             "a contact in transit");
-                    world.machines.get(2).slow(30);
+                    world.machines.get(2).setSlowdown(30);
                 }
             }
-            SmallWorld.await(() -> world.ended() == 60, "all ended");
+            ThreeExchangeEnvironment.await(() -> world.ended() == 60, "all ended");
             // The first one of each exchange warmed its code and is thrown away.
             List<Contact> own = diaries.get(1).offered.stream()
                     .filter(one -> !one.inTransit())
@@ -145,9 +145,9 @@
             assertTrue(own.stream()
                     .allMatch(one -> one.patience().ns() == 2_000_000_000L
                             && one.width() == 1
-                            && one.hint() == -1
-                            && Long.toString(one.dialled()).startsWith("770" + one.destination())));
-            for (Diary diary : diaries) {
+                            && one.routingHint() == -1
+                            && Long.toString(one.dialledNumber()).startsWith("770" + one.destination())));
+            for (RecordingController diary : diaries) {
                 synchronized (diary) {
                     assertEquals(diary.again(), diary.ordered);
                 }
--- a/src/test/java/martenslip/play/PlantedRing.java
+++ b/src/test/java/martenslip/scenario/InjectedRing.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -12,17 +12,17 @@
 import martenslip.sip.transport.Hop;
 
 /** A second INVITE for a contact, from its controller's address, as a broken controller would send it. */
-final class PlantedRing {
-    private PlantedRing() {}
+final class InjectedRing {
+    private InjectedRing() {}
 
-    static void send(SmallWorld world, int exchange, Span patience) {
+    static void send(ThreeExchangeEnvironment world, int exchange, Span patience) {
         Thread thread = new Thread(() -> {
             try {
                 String[] session = new String[1];
-                SmallWorld.await(() -> (session[0] = session(world)) != null, "the first ring captured");
-                InetSocketAddress to = world.machines.get(2).at(Hop.Kind.UDP);
-                try (DatagramSocket from =
-                        new DatagramSocket(new InetSocketAddress(SmallWorld.address(1, 100 + exchange), 0))) {
+                ThreeExchangeEnvironment.await(() -> (session[0] = session(world)) != null, "the first ring captured");
+                InetSocketAddress to = world.machines.get(2).address(Hop.Protocol.UDP);
+                try (DatagramSocket from = new DatagramSocket(
+                        new InetSocketAddress(ThreeExchangeEnvironment.address(1, 100 + exchange), 0))) {
                     byte[] bytes = ("INVITE sip:+77020001;tgrp=g-0-2;trunk-context=t.example@" + to.getHostString()
                                     + ":"
                                     + to.getPort() + " SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.1.100:" + from.getLocalPort()
@@ -40,11 +40,11 @@
         thread.start();
     }
 
-    private static String session(SmallWorld world) {
+    private static String session(ThreeExchangeEnvironment world) {
         try {
             // The capture is written in blocks; facts fill the block that holds the ring.
             for (int i = 0; i < 400; i++) {
-                world.capture.fact("filler", "words=" + "x".repeat(3000));
+                world.capture.annotation("filler", "words=" + "x".repeat(3000));
             }
             String text = Files.readString(world.folder.resolve("capture"), StandardCharsets.ISO_8859_1);
             Matcher matcher = Pattern.compile("Session-ID: ([^\r\n]+)").matcher(text);
--- a/src/test/java/martenslip/play/SmallWorld.java
+++ b/src/test/java/martenslip/scenario/ThreeExchangeEnvironment.java
@@ -1,4 +1,4 @@
-package martenslip.play;
+package martenslip.scenario;
 
 import java.io.IOException;
 import java.net.DatagramSocket;
@@ -15,81 +15,83 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
-import martenslip.control.Maker;
+import martenslip.configuration.ExchangeFile;
+import martenslip.configuration.InvalidFileException;
+import martenslip.configuration.PrefixTable;
+import martenslip.configuration.Skill;
+import martenslip.control.ControllerFactory;
 import martenslip.control.Moment;
 import martenslip.control.Span;
-import martenslip.control.SwitchLine;
+import martenslip.control.SwitchEntry;
 import martenslip.exchange.Exchange;
-import martenslip.proof.CaptureFile;
-import martenslip.proof.Proof;
-import martenslip.proof.Verdict;
-import martenslip.provision.Prefixes;
-import martenslip.provision.Rejected;
-import martenslip.provision.SiteFile;
-import martenslip.provision.Skill;
 import martenslip.sip.transport.Hop;
-import martenslip.standin.Callers;
-import martenslip.standin.Capture;
-import martenslip.standin.Machine;
-import martenslip.standin.Network;
-import martenslip.standin.Office;
-import martenslip.standin.Processor;
-import martenslip.standin.Tally;
-import martenslip.standin.Trunks;
+import martenslip.standin.CallerStatistics;
+import martenslip.standin.CaptureWriter;
+import martenslip.standin.DirectoryService;
+import martenslip.standin.ProcessorModel;
+import martenslip.standin.SimulatedCallers;
+import martenslip.standin.SimulatedNetwork;
+import martenslip.standin.SimulatedSwitch;
+import martenslip.standin.TrunkGroups;
+import martenslip.verification.CaptureReader;
+import martenslip.verification.RuleResult;
+import martenslip.verification.RuleVerifier;
 
 /** Three exchanges in one process over real sockets, each with the module that a test gives it. */
-final class SmallWorld implements AutoCloseable {
+final class ThreeExchangeEnvironment implements AutoCloseable {
     static final int COUNT = 3;
     final Path folder = Files.createTempDirectory("small-world");
-    final Trunks trunks = new Trunks();
-    final Capture capture;
-    final Network network;
-    final Office office;
-    final Callers callers;
-    final List<Machine> machines = new ArrayList<>();
-    final List<Network.Wire> wires = new ArrayList<>();
+    final TrunkGroups trunks = new TrunkGroups();
+    final CaptureWriter capture;
+    final SimulatedNetwork network;
+    final DirectoryService office;
+    final SimulatedCallers callers;
+    final List<SimulatedSwitch> machines = new ArrayList<>();
+    final List<SimulatedNetwork.NetworkLink> wires = new ArrayList<>();
     final List<Exchange> exchanges = new ArrayList<>();
-    private final Hop.Kind kind;
+    private final Hop.Protocol kind;
     private final int lanes;
 
-    SmallWorld(Hop.Kind kind, Span unit, Maker maker) throws IOException, Rejected {
+    ThreeExchangeEnvironment(Hop.Protocol kind, Span unit, ControllerFactory maker)
+            throws IOException, InvalidFileException {
         this(kind, unit, maker, 1);
     }
 
-    SmallWorld(Hop.Kind kind, Span unit, Maker maker, int lanes) throws IOException, Rejected {
+    ThreeExchangeEnvironment(Hop.Protocol kind, Span unit, ControllerFactory maker, int lanes)
+            throws IOException, InvalidFileException {
         this.kind = kind;
         this.lanes = lanes;
-        capture = new Capture(folder.resolve("capture"));
-        network = new Network(capture, 1, Span.ofMillis(1), Span.ofMillis(1));
+        capture = new CaptureWriter(folder.resolve("capture"));
+        network = new SimulatedNetwork(capture, 1, Span.ofMillis(1), Span.ofMillis(1));
         for (int i = 0; i < COUNT; i++) {
             for (int j = i + 1; j < COUNT; j++) {
-                trunks.add("g-" + i + "-" + j, i, j, 60);
+                trunks.addGroup("g-" + i + "-" + j, i, j, 60);
             }
         }
-        office = new Office(network.wire("office", -1), trunks, List.of("north"), COUNT, Span.ZERO);
+        office = new DirectoryService(network.createLink("office", -1), trunks, List.of("north"), COUNT, Span.ZERO);
         office.open(address(3, 9));
         Skill skill = new Skill("status", 1, 1, Span.ofMillis(1200), Span.ofMillis(4000), Span.ofMillis(300), "");
         double[][] even = {{0, 1, 1}, {1, 0, 1}, {1, 1, 0}};
-        callers = new Callers(
-                new Callers.Ways(
+        callers = new SimulatedCallers(
+                new SimulatedCallers.CallerBehavior(
                         50, List.of(skill), List.of(1.0), 0, Span.ofMillis(500), 0.5, 0, Span.ofMillis(1e6), 0, "+77"),
                 even,
-                i -> Hop.udp(machines.get(i).at(Hop.Kind.UDP)),
-                martenslip.sip.transport.Gate.OPEN,
+                i -> Hop.udp(machines.get(i).address(Hop.Protocol.UDP)),
+                martenslip.sip.transport.MessageInterceptor.PASS_THROUGH,
                 5);
         callers.open(address(4, 9));
-        capture.fact("rules", "release-ms=500 drain-grace-ms=300 fall-multiple=3 fall-ms=1500");
-        Prefixes prefixes = new Prefixes();
+        capture.annotation("rules", "release-ms=500 drain-grace-ms=300 fall-multiple=3 fall-ms=1500");
+        PrefixTable prefixes = new PrefixTable();
         for (int i = 0; i < COUNT; i++) {
             prefixes.add("+770" + i, i);
         }
         for (int i = 0; i < COUNT; i++) {
             InetSocketAddress at = free(address(1, 100 + i));
-            Processor.Make processor =
-                    new Processor.Make(unit, Span.ofMillis(2000), 0.3, Span.ofMillis(10_000), 3, Span.ofMillis(1500));
-            Network.Wire wire = network.wire("switch-" + i, 0);
-            Machine machine = new Machine(
-                    new Machine.Make(i, 0, processor, Span.ofMillis(200), 0, prefixes, Map.of(), i, true),
+            ProcessorModel.Settings processor = new ProcessorModel.Settings(
+                    unit, Span.ofMillis(2000), 0.3, Span.ofMillis(10_000), 3, Span.ofMillis(1500));
+            SimulatedNetwork.NetworkLink wire = network.createLink("switch-" + i, 0);
+            SimulatedSwitch machine = new SimulatedSwitch(
+                    new SimulatedSwitch.Settings(i, 0, processor, Span.ofMillis(200), 0, prefixes, Map.of(), i, true),
                     trunks,
                     wire,
                     new Hop(kind, at, 0),
@@ -97,17 +99,17 @@
             machine.open(address(2, 100 + i));
             machines.add(machine);
             wires.add(wire);
-            capture.fact("machine", "local=switch-" + i + " number=" + i + " at=" + place(i));
-            list(i, SwitchLine.State.READY, false);
-            Exchange exchange =
-                    new Exchange(SiteFile.read("test", site(i, at).getBytes(StandardCharsets.UTF_8), folder), maker);
+            capture.annotation("machine", "local=switch-" + i + " number=" + i + " at=" + place(i));
+            list(i, SwitchEntry.State.READY, false);
+            Exchange exchange = new Exchange(
+                    ExchangeFile.read("test", site(i, at).getBytes(StandardCharsets.UTF_8), folder), maker);
             exchange.start();
             exchanges.add(exchange);
-            capture.fact(
+            capture.annotation(
                     "controller", "number=" + i + " host=" + at.getAddress().getHostAddress() + " state=up");
         }
         // Until the lists are there a module knows no switch and defers all.
-        await(() -> exchanges.stream().allMatch(one -> one.known() == COUNT), "switch lists");
+        await(() -> exchanges.stream().allMatch(one -> one.knownSwitchCount() == COUNT), "switch lists");
     }
 
     static InetAddress address(int third, int fourth) throws IOException {
@@ -122,15 +124,15 @@
     }
 
     String place(int exchange) {
-        InetSocketAddress at = machines.get(exchange).at(kind);
+        InetSocketAddress at = machines.get(exchange).address(kind);
         return at.getAddress().getHostAddress() + ":" + at.getPort();
     }
 
-    void list(int exchange, SwitchLine.State state, boolean started) {
-        office.change(
+    void list(int exchange, SwitchEntry.State state, boolean started) {
+        office.publishChange(
                 exchange,
                 0,
-                machines.get(exchange).at(kind),
+                machines.get(exchange).address(kind),
                 kind,
                 state,
                 started ? new Moment(System.nanoTime()) : null,
@@ -139,7 +141,7 @@
 
     private String site(int number, InetSocketAddress at) throws IOException {
         String host = at.getAddress().getHostAddress();
-        String service = address(3, 9).getHostAddress() + ":" + office.port(Hop.Kind.UDP);
+        String service = address(3, 9).getHostAddress() + ":" + office.port(Hop.Protocol.UDP);
         StringBuilder groups = new StringBuilder();
         StringBuilder prefixes = new StringBuilder();
         for (int i = 0; i < COUNT; i++) {
@@ -176,35 +178,35 @@
         }
     }
 
-    long tally(Tally.End end) {
+    long tally(CallerStatistics.CallOutcome end) {
         return look(tally ->
-                tally.rows().values().stream().mapToLong(row -> row.of(end)).sum());
+                tally.rows().values().stream().mapToLong(row -> row.count(end)).sum());
     }
 
     long ended() {
         return look(tally -> tally.rows().values().stream()
                 .mapToLong(row -> {
                     long all = 0;
-                    for (Tally.End end : Tally.End.values()) {
-                        all += row.of(end);
+                    for (CallerStatistics.CallOutcome end : CallerStatistics.CallOutcome.values()) {
+                        all += row.count(end);
                     }
                     return all;
                 })
                 .sum());
     }
 
-    private long look(java.util.function.ToLongFunction<Tally> what) {
+    private long look(java.util.function.ToLongFunction<CallerStatistics> what) {
         CompletableFuture<Long> answer = new CompletableFuture<>();
-        callers.look(tally -> answer.complete(what.applyAsLong(tally)));
+        callers.readStatistics(tally -> answer.complete(what.applyAsLong(tally)));
         return answer.join();
     }
 
     /** Closes all, and gives what the capture proves of one rule. */
-    Verdict verdict(int rule) throws IOException {
+    RuleResult verdict(int rule) throws IOException {
         close();
-        Proof proof = new Proof();
-        CaptureFile.read(folder.resolve("capture"), proof);
-        Predicate<Verdict> is = one -> one.rule() == rule;
+        RuleVerifier proof = new RuleVerifier();
+        CaptureReader.read(folder.resolve("capture"), proof);
+        Predicate<RuleResult> is = one -> one.rule() == rule;
         return proof.verdicts().stream().filter(is).findFirst().orElseThrow();
     }
 
@@ -216,7 +218,7 @@
             closed = true;
             callers.close();
             exchanges.forEach(Exchange::close);
-            machines.forEach(Machine::close);
+            machines.forEach(SimulatedSwitch::close);
             office.close();
             network.close();
             capture.close();
--- a/src/test/java/martenslip/sip/dialog/CallsTest.java
+++ b/src/test/java/martenslip/sip/dialog/DialogLayerTest.java
@@ -6,14 +6,14 @@
 
 import java.util.List;
 import martenslip.sip.message.Headers;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
 import martenslip.sip.message.Request;
-import martenslip.sip.transport.Arrival;
 import martenslip.sip.transport.Hop;
+import martenslip.sip.transport.TransportEvent;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class CallsTest {
+public class DialogLayerTest {
     private static final double LONG = 80_000;
 
     @DataProvider
@@ -23,7 +23,7 @@
 
     @Test(dataProvider = "transports")
     public void setUpAndRelease(boolean reliable) {
-        Pair pair = new Pair(reliable).call().pass(100);
+        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
         pair.accept();
         pair.pass(1000);
         assertEquals(pair.heard, List.of("incoming", "progress 100", "stood"));
@@ -38,7 +38,7 @@
 
     @Test(dataProvider = "transports")
     public void refusal(boolean reliable) {
-        Pair pair = new Pair(reliable).call().pass(100);
+        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
         assertTrue(pair.in.refuse(pair.in.response(486, "Busy")));
         assertFalse(pair.in.refuse(pair.in.response(503, "Again")), "a second final answer");
         assertFalse(pair.in.accept(pair.in.response(200, "OK")), "a second final answer");
@@ -57,9 +57,9 @@
 
     @Test(dataProvider = "lostOnce")
     public void aLostMessageIsRepaired(String word) {
-        Pair pair = new Pair(false);
+        UserAgentPair pair = new UserAgentPair(false);
         int[] left = {1};
-        pair.loses = (message, toCalled) -> Pair.word(message).equals(word) && left[0]-- > 0;
+        pair.loses = (message, toCalled) -> UserAgentPair.word(message).equals(word) && left[0]-- > 0;
         pair.call().pass(700);
         if (word.equals("503")) {
             pair.in.refuse(pair.in.response(503, "Full"));
@@ -79,7 +79,7 @@
 
     @Test
     public void copiesOfAllMessagesChangeNothing() {
-        Pair pair = new Pair(false);
+        UserAgentPair pair = new UserAgentPair(false);
         pair.copies = true;
         pair.call().pass(100);
         pair.accept();
@@ -94,7 +94,7 @@
 
     @Test
     public void noAnswerAtAllFailsAfterTimerB() {
-        Pair pair = new Pair(false);
+        UserAgentPair pair = new UserAgentPair(false);
         pair.loses = (message, toCalled) -> true;
         pair.call().pass(31_000);
         assertEquals(pair.heard, List.of());
@@ -106,7 +106,7 @@
 
     @Test
     public void givenUpBeforeAnyResponseSendsNothingMoreUntilOneComes() {
-        Pair pair = new Pair(false);
+        UserAgentPair pair = new UserAgentPair(false);
         pair.loses = (message, toCalled) -> !toCalled;
         pair.call().pass(50);
         pair.out.cancel(null);
@@ -125,7 +125,7 @@
 
     @Test(dataProvider = "transports")
     public void cancelInTime(boolean reliable) {
-        Pair pair = new Pair(reliable).call().pass(100);
+        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
         pair.out.cancel("Q.850;cause=102");
         pair.pass(LONG);
         assertEquals(pair.heard, List.of("incoming", "progress 100", "in cancelled"));
@@ -136,7 +136,7 @@
     /** The 200 and the CANCEL pass each other: the call stands there and must be ended. */
     @Test(dataProvider = "transports")
     public void cancelThatCrossesThe200EndsWithAckAndBye(boolean reliable) {
-        Pair pair = new Pair(reliable).call().pass(100);
+        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
         pair.accept();
         pair.out.cancel(null);
         pair.pass(LONG);
@@ -148,8 +148,8 @@
 
     @Test
     public void the200WhoseAckNeverComesIsEndedWithBye() {
-        Pair pair = new Pair(false);
-        pair.loses = (message, toCalled) -> Pair.word(message).equals("ACK");
+        UserAgentPair pair = new UserAgentPair(false);
+        pair.loses = (message, toCalled) -> UserAgentPair.word(message).equals("ACK");
         pair.call().pass(100);
         pair.accept();
         pair.pass(LONG);
@@ -160,9 +160,9 @@
 
     @Test
     public void theCalledSideWaitsForTheAckBeforeItsBye() {
-        Pair pair = new Pair(false);
+        UserAgentPair pair = new UserAgentPair(false);
         int[] lost = {1};
-        pair.loses = (message, toCalled) -> Pair.word(message).equals("ACK") && lost[0]-- > 0;
+        pair.loses = (message, toCalled) -> UserAgentPair.word(message).equals("ACK") && lost[0]-- > 0;
         pair.call().pass(100);
         pair.accept();
         pair.pass(50);
@@ -177,7 +177,7 @@
 
     @Test(dataProvider = "transports")
     public void byeFromBothSidesAtOnce(boolean reliable) {
-        Pair pair = new Pair(reliable).call().pass(100);
+        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
         pair.accept();
         pair.pass(100);
         pair.in.bye(null);
@@ -189,45 +189,46 @@
 
     @Test
     public void aConnectionThatBreaksReachesTransactionsAndDialogs() {
-        Pair early = new Pair(true).call().pass(100);
-        Hop hop = new Hop(Hop.Kind.TCP, early.out.hop().address(), 0);
-        early.caller.transactions().arrived(new Arrival.Broken(hop, true, "reset"));
+        UserAgentPair early = new UserAgentPair(true).call().pass(100);
+        Hop hop = new Hop(Hop.Protocol.TCP, early.out.hop().address(), 0);
+        early.caller.transactionLayer().handleEvent(new TransportEvent.ConnectionLost(hop, true, "reset"));
         assertEquals(early.heard, List.of("incoming", "progress 100", "failed BROKEN", "broken"));
-        Pair stands = new Pair(true).call().pass(100);
+        UserAgentPair stands = new UserAgentPair(true).call().pass(100);
         stands.accept();
         stands.pass(100);
-        stands.caller.transactions().arrived(new Arrival.Broken(hop, true, "reset"));
+        stands.caller.transactionLayer().handleEvent(new TransportEvent.ConnectionLost(hop, true, "reset"));
         assertEquals(stands.heard.get(3), "out ended BROKEN");
-        Pair never = new Pair(true);
+        UserAgentPair never = new UserAgentPair(true);
         never.loses = (message, toCalled) -> true;
         never.call().pass(10);
-        never.caller.transactions().arrived(new Arrival.Broken(hop, false, "refused"));
+        never.caller.transactionLayer().handleEvent(new TransportEvent.ConnectionLost(hop, false, "refused"));
         assertEquals(never.heard, List.of("failed NO_CONNECTION", "broken"));
     }
 
     /** Over TCP no timer repeats an answer; one that went down with its connection must go again. */
     @Test
     public void anAnswerLostWithItsConnectionIsSentAgain() {
-        Pair pair = new Pair(true).call().pass(100);
-        pair.loses = (message, toCalled) -> Pair.word(message).equals("503");
+        UserAgentPair pair = new UserAgentPair(true).call().pass(100);
+        pair.loses = (message, toCalled) -> UserAgentPair.word(message).equals("503");
         pair.in.refuse(pair.in.response(503, "Full"));
         pair.pass(50);
         pair.loses = (message, toCalled) -> false;
         pair.called
-                .transactions()
-                .arrived(new Arrival.Broken(pair.in.transaction().from(), true, "reset"));
+                .transactionLayer()
+                .handleEvent(
+                        new TransportEvent.ConnectionLost(pair.in.transaction().from(), true, "reset"));
         pair.pass(100);
         assertEquals(pair.heard.get(pair.heard.size() - 1), "refused 503");
         assertEquals(pair.sent("503"), 2);
     }
 
-    private static String answered(Pair pair, Request request) {
+    private static String answered(UserAgentPair pair, Request request) {
         pair.wire.clear();
         byte[] bytes = request.bytes();
         pair.called
-                .transactions()
-                .arrived(new Arrival.Received(
-                        Parser.datagram(bytes, bytes.length).message(),
+                .transactionLayer()
+                .handleEvent(new TransportEvent.MessageReceived(
+                        MessageParser.parse(bytes, bytes.length).message(),
                         pair.call().out.hop()));
         return pair.wire.stream()
                 .filter(line -> line.startsWith("<"))
@@ -263,19 +264,19 @@
 
     @Test(dataProvider = "strays")
     public void whatBelongsToNoCallGetsItsAnswer(String method, String toTag, String more, String answer) {
-        assertEquals(answered(new Pair(false), stray(method, "s", toTag, more)), answer);
+        assertEquals(answered(new UserAgentPair(false), stray(method, "s", toTag, more)), answer);
     }
 
     @Test
     public void theSameInviteByAnotherWayIsMerged() {
-        Pair pair = new Pair(false);
+        UserAgentPair pair = new UserAgentPair(false);
         assertEquals(answered(pair, stray("INVITE", "one", "", "")), "< 100");
         assertEquals(answered(pair, stray("INVITE", "two", "", "")), "< 482");
     }
 
     @Test
     public void requestsOutOfOrderAndChangesOfTheSession() {
-        Pair pair = new Pair(false).call().pass(100);
+        UserAgentPair pair = new UserAgentPair(false).call().pass(100);
         pair.accept();
         pair.pass(100);
         String to = pair.in.response(200, "OK").headers().first("To").replaceFirst(".*;tag=", ";tag=");
@@ -288,16 +289,16 @@
             byte[] bytes = request.bytes();
             pair.wire.clear();
             pair.called
-                    .transactions()
-                    .arrived(new Arrival.Received(
-                            Parser.datagram(bytes, bytes.length).message(), pair.out.hop()));
+                    .transactionLayer()
+                    .handleEvent(new TransportEvent.MessageReceived(
+                            MessageParser.parse(bytes, bytes.length).message(), pair.out.hop()));
             assertEquals(pair.wire.get(0), one[1], one[0]);
         }
     }
 
     @Test
     public void aFaultOfTheUserCostsNobodyTheAnswer() {
-        Pair pair = new Pair(false);
+        UserAgentPair pair = new UserAgentPair(false);
         pair.faulty = true;
         pair.call();
         for (int i = 0; i < 100_000 && !pair.heard.contains("refused 500"); i++) {
--- a/src/test/java/martenslip/sip/dialog/Pair.java
+++ b/src/test/java/martenslip/sip/dialog/UserAgentPair.java
@@ -7,29 +7,29 @@
 import java.util.function.BiPredicate;
 import martenslip.control.Moment;
 import martenslip.control.Span;
+import martenslip.eventloop.TimerWheel;
 import martenslip.sip.message.Headers;
 import martenslip.sip.message.Message;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
-import martenslip.sip.transaction.Branches;
-import martenslip.sip.transaction.Failure;
-import martenslip.sip.transaction.Outlet;
+import martenslip.sip.transaction.IdGenerator;
+import martenslip.sip.transaction.MessageSender;
+import martenslip.sip.transaction.RequestFailure;
 import martenslip.sip.transaction.ServerTransaction;
-import martenslip.sip.transaction.Timers;
-import martenslip.sip.transport.Arrival;
-import martenslip.sip.transport.Drops;
+import martenslip.sip.transaction.TransactionTimers;
+import martenslip.sip.transport.DropCounter;
 import martenslip.sip.transport.Hop;
-import martenslip.wheel.Wheel;
+import martenslip.sip.transport.TransportEvent;
 
 /** Two ends of real transaction and dialog code on driven time, with a network that loses what a test says. */
-final class Pair {
-    final Wheel wheel = new Wheel(new Moment(0));
+final class UserAgentPair {
+    final TimerWheel wheel = new TimerWheel(new Moment(0));
     final List<String> wire = new ArrayList<>();
     final List<String> heard = new ArrayList<>();
-    final Calls caller;
-    final Calls called;
-    final Drops drops = new Drops();
+    final DialogLayer caller;
+    final DialogLayer called;
+    final DropCounter drops = new DropCounter();
     final boolean reliable;
     /** Says of a message, and whether it goes to the called end, that it is lost. */
     BiPredicate<Message, Boolean> loses = (message, toCalled) -> false;
@@ -38,11 +38,11 @@
     /** The called end's user has a fault. */
     boolean faulty;
 
-    CallIn in;
-    CallOut out;
+    UasCall in;
+    UacCall out;
     private double now;
 
-    Pair(boolean reliable) {
+    UserAgentPair(boolean reliable) {
         this.reliable = reliable;
         caller = end(false);
         called = end(true);
@@ -53,73 +53,76 @@
     }
 
     private Hop hop(boolean isCalled) {
-        return new Hop(reliable ? Hop.Kind.TCP : Hop.Kind.UDP, at(isCalled), 0);
+        return new Hop(reliable ? Hop.Protocol.TCP : Hop.Protocol.UDP, at(isCalled), 0);
     }
 
-    private Calls end(boolean isCalled) {
-        Outlet outlet = new Outlet() {
+    private DialogLayer end(boolean isCalled) {
+        MessageSender outlet = new MessageSender() {
             @Override
             public boolean send(byte[] bytes, Hop to) {
-                Message message = Parser.datagram(bytes, bytes.length).message();
+                Message message = MessageParser.parse(bytes, bytes.length).message();
                 boolean lost = loses.test(message, !isCalled);
                 wire.add((isCalled ? "< " : "> ") + word(message) + (lost ? " lost" : ""));
                 for (int i = 0; !lost && i < (copies ? 2 : 1); i++) {
-                    wheel.after(
+                    wheel.scheduleAfter(
                             Span.ofMillis(10),
                             () -> (isCalled ? caller : called)
-                                    .transactions()
-                                    .arrived(new Arrival.Received(
-                                            Parser.datagram(bytes, bytes.length).message(), hop(isCalled))));
+                                    .transactionLayer()
+                                    .handleEvent(new TransportEvent.MessageReceived(
+                                            MessageParser.parse(bytes, bytes.length)
+                                                    .message(),
+                                            hop(isCalled))));
                 }
                 return true;
             }
 
             @Override
-            public String sentBy(Hop.Kind kind) {
+            public String sentBy(Hop.Protocol kind) {
                 return "127.0.0.1:" + at(isCalled).getPort();
             }
         };
-        return new Calls(wheel, Timers.RFC, outlet, new Branches(isCalled ? 2 : 1), user(), drops, 1000);
+        return new DialogLayer(
+                wheel, TransactionTimers.RFC_3261, outlet, new IdGenerator(isCalled ? 2 : 1), user(), drops, 1000);
     }
 
     static String word(Message message) {
         return message instanceof Request request ? request.method() : "" + ((Response) message).status();
     }
 
-    private CallUser user() {
-        return new CallUser() {
+    private UserAgentCore user() {
+        return new UserAgentCore() {
             @Override
-            public void incoming(CallIn call) {
+            public void inviteReceived(UasCall call) {
                 if (faulty) {
                     throw new IllegalStateException("planted");
                 }
                 in = call;
                 heard.add("incoming");
-                call.listen(new CallIn.Listener() {
+                call.setListener(new UasCall.Listener() {
                     @Override
                     public void cancelled() {
                         heard.add("in cancelled");
                     }
 
                     @Override
-                    public void ended(Ending why, Request bye) {
+                    public void ended(CallEndReason why, Request bye) {
                         heard.add("in ended " + why);
                     }
                 });
             }
 
             @Override
-            public void requested(ServerTransaction transaction) {
-                transaction.respond(transaction.request().answer(200, "OK", "x"));
+            public void requestReceived(ServerTransaction transaction) {
+                transaction.respond(transaction.request().createResponse(200, "OK", "x"));
             }
 
             @Override
-            public void broken(Hop hop, boolean everUp) {
+            public void connectionLost(Hop hop, boolean everUp) {
                 heard.add("broken");
             }
 
             @Override
-            public Set<String> methods() {
+            public Set<String> additionalMethods() {
                 return Set.of("OPTIONS");
             }
         };
@@ -132,15 +135,15 @@
         return new Request("INVITE", "sip:b@127.0.0.1:2000" + (reliable ? ";transport=tcp" : ""), headers);
     }
 
-    Pair call() {
-        out = caller.call(invite(), hop(true), new CallOut.Listener() {
+    UserAgentPair call() {
+        out = caller.startCall(invite(), hop(true), new UacCall.Listener() {
             @Override
             public void progress(Response response) {
                 heard.add("progress " + response.status());
             }
 
             @Override
-            public void stood(Response response) {
+            public void established(Response response) {
                 heard.add("stood");
             }
 
@@ -150,12 +153,12 @@
             }
 
             @Override
-            public void failed(Failure why) {
+            public void failed(RequestFailure why) {
                 heard.add("failed " + why);
             }
 
             @Override
-            public void ended(Ending why, Request bye) {
+            public void ended(CallEndReason why, Request bye) {
                 heard.add("out ended " + why);
             }
         });
@@ -163,10 +166,10 @@
     }
 
     /** Lets time pass, millisecond by millisecond. */
-    Pair pass(double ms) {
+    UserAgentPair pass(double ms) {
         for (double end = now + ms; now < end; ) {
             now++;
-            wheel.turn(new Moment(Span.ofMillis(now).ns()));
+            wheel.advanceTo(new Moment(Span.ofMillis(now).ns()));
         }
         return this;
     }
@@ -183,6 +186,10 @@
 
     /** Nothing is left of any call: no transaction, no dialog. */
     boolean empty() {
-        return caller.transactions().open() + called.transactions().open() + caller.open() + called.open() == 0;
+        return caller.transactionLayer().openCount()
+                        + called.transactionLayer().openCount()
+                        + caller.openDialogCount()
+                        + called.openDialogCount()
+                == 0;
     }
 }
--- a/src/test/java/martenslip/sip/message/ParserTest.java
+++ b/src/test/java/martenslip/sip/message/MessageParserTest.java
@@ -12,36 +12,36 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class ParserTest {
+public class MessageParserTest {
     private static final String HEAD =
             "Via: SIP/2.0/UDP 127.0.0.1:5060;branch=z9hG4bKa\r\nFrom: <sip:a@127.0.0.1>;tag=f\r\n"
                     + "To: <sip:b@127.0.0.1>\r\nCall-ID: c@127.0.0.1\r\nCSeq: 1 INVITE\r\n";
 
-    private static Parsed parse(String text) {
+    private static ParseResult parse(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        return Parser.datagram(bytes, bytes.length);
+        return MessageParser.parse(bytes, bytes.length);
     }
 
-    private static Parsed invite(String more) {
+    private static ParseResult invite(String more) {
         return parse("INVITE sip:b@127.0.0.1 SIP/2.0\r\n" + HEAD + more + "\r\n");
     }
 
     @Test
-    public void readsCompactFoldedAndJoinedFields() throws BadValue {
-        Parsed parsed = parse(
+    public void readsCompactFoldedAndJoinedFields() throws InvalidValueException {
+        ParseResult parsed = parse(
                 "INVITE sip:b%40x@[::1]:5070;lr;x=y?Subject=hi SIP/2.0\r\n"
                         + "v: SIP / 2.0 / UDP 10.0.0.1 ;branch=z9hG4bKa,SIP/2.0/TCP\r\n [::2]:99;branch=z9hG4bKb;rport\r\n"
                         + "f: \"A \\\"quoted, <name>\" <sip:a@h;p=1>;tag=f\r\nt: sip:b@h;tag=t\r\ni: c\r\nCSeq:  7\tINVITE\r\n"
                         + "m: <sip:a@h?X=1,2>;q=0.5, \"x, y\" <sip:z@h>\r\nX-Odd: kept, as it is\r\nk: a, b ,c\r\nl: 4\r\n\r\nbodyrest");
-        assertTrue(parsed.good(), parsed.fault());
+        assertTrue(parsed.isValid(), parsed.fault());
         Request request = (Request) parsed.message();
-        assertEquals(request.target().plainUser(), "b@x");
-        assertEquals(request.target().at(), new HostPort("[::1]", 5070));
-        assertEquals(request.target().headers(), "Subject=hi");
+        assertEquals(request.parsedUri().unescapedUser(), "b@x");
+        assertEquals(request.parsedUri().hostPort(), new HostPort("[::1]", 5070));
+        assertEquals(request.parsedUri().headers(), "Subject=hi");
         assertEquals(request.headers().all("Via").size(), 2);
         assertEquals(request.via().branch(), "z9hG4bKa");
         assertEquals(request.via().sentBy().port(), -1);
-        assertEquals(Via.parse(request.headers().all("Via").get(1)).sentBy().bare(), "::2");
+        assertEquals(Via.parse(request.headers().all("Via").get(1)).sentBy().hostWithoutBrackets(), "::2");
         assertEquals(request.from().tag(), "f");
         assertEquals(request.from().uri(), "sip:a@h;p=1");
         assertEquals(request.to().tag(), "t");
@@ -54,7 +54,7 @@
 
     @DataProvider
     public Object[][] wrong() {
-        String long9 = "X: " + "y".repeat(Parser.MOST_LINE + 1) + "\r\n";
+        String long9 = "X: " + "y".repeat(MessageParser.MAX_LINE_BYTES + 1) + "\r\n";
         return new Object[][] {
             {"INVITE sip:b@h SIP/3.0\r\n" + HEAD + "\r\n", 505},
             {"INVITE tel:123 SIP/2.0\r\n" + HEAD + "\r\n", 416},
@@ -72,15 +72,15 @@
             {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Route: <sip:a@h\r\n\r\n", 400},
             {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Require: a,,b\r\n\r\n", 400},
             {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + long9 + "\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "A: b\r\n".repeat(Parser.MOST_LINES) + "\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "A: b\r\n".repeat(MessageParser.MAX_LINES) + "\r\n", 400},
         };
     }
 
     @Test(dataProvider = "wrong")
     public void aWrongRequestGetsItsAnswer(String text, int status) {
-        Parsed parsed = parse(text);
+        ParseResult parsed = parse(text);
         assertEquals(parsed.status(), status, parsed.fault());
-        assertTrue(parsed.answerable());
+        assertTrue(parsed.isAnswerable());
         assertFalse(parsed.fault().isEmpty());
     }
 
@@ -94,7 +94,7 @@
         assertNull(parse("SIP/2.0 99 Low\r\n" + HEAD + "\r\n").message());
         assertNull(parse("SIP/2.0 abc\r\n" + HEAD + "\r\n").message());
         assertFalse(parse("ACK tel:1 SIP/2.0\r\n" + HEAD.replace("INVITE", "ACK") + "\r\n")
-                .answerable());
+                .isAnswerable());
     }
 
     @Test
@@ -109,7 +109,7 @@
         byte[] once = invite("Contact: <sip:a@h;transport=tcp>\r\nX-Odd: one\r\nX-Odd: two\r\n")
                 .message()
                 .bytes();
-        byte[] twice = Parser.datagram(once, once.length).message().bytes();
+        byte[] twice = MessageParser.parse(once, once.length).message().bytes();
         assertEquals(new String(twice, StandardCharsets.UTF_8), new String(once, StandardCharsets.UTF_8));
     }
 
@@ -127,31 +127,35 @@
                 bytes[chance.nextInt(bytes.length)] = (byte)
                         (chance.nextInt(3) == 0 ? "\r\n\";<>,:[]@ =".charAt(chance.nextInt(12)) : chance.nextInt(256));
             }
-            Parsed parsed = Parser.datagram(bytes, length);
-            assertTrue(parsed.good() || parsed.status() != 0);
-            if (parsed.good()) {
+            ParseResult parsed = MessageParser.parse(bytes, length);
+            assertTrue(parsed.isValid() || parsed.status() != 0);
+            if (parsed.isValid()) {
                 assertNotNull(parsed.message().bytes());
             }
         }
     }
 
     @Test
-    public void theAnswerBearsWhatTheRequestSaid() throws BadValue {
+    public void theAnswerBearsWhatTheRequestSaid() throws InvalidValueException {
         Request request = (Request) invite("Record-Route: <sip:p@h;lr>\r\n").message();
-        Response response = request.answer(180, "Ringing", "tag9");
+        Response response = request.createResponse(180, "Ringing", "tag9");
         assertEquals(response.to().tag(), "tag9");
         assertEquals(response.headers().all("Record-Route").size(), 1);
         assertEquals(response.via(), request.via());
         assertEquals(
-                request.answer(404, "No", "x").headers().all("Record-Route").size(), 0);
+                request.createResponse(404, "No", "x")
+                        .headers()
+                        .all("Record-Route")
+                        .size(),
+                0);
     }
 
     @Test
-    public void trunkGroupsStandInTheUserPart() throws BadValue {
+    public void trunkGroupsStandInTheUserPart() throws InvalidValueException {
         SipUri uri = SipUri.parse("sip:+914845500001;tgrp=g-0-1;trunk-context=returns.example@127.0.0.1:5060");
-        assertEquals(uri.plainUser(), "+914845500001");
-        assertEquals(uri.userParam("tgrp"), "g-0-1");
-        assertEquals(uri.userParam("trunk-context"), "returns.example");
-        assertNull(uri.userParam("none"));
+        assertEquals(uri.unescapedUser(), "+914845500001");
+        assertEquals(uri.userParameter("tgrp"), "g-0-1");
+        assertEquals(uri.userParameter("trunk-context"), "returns.example");
+        assertNull(uri.userParameter("none"));
     }
 }
--- a/src/test/java/martenslip/sip/transport/FramerTest.java
+++ b/src/test/java/martenslip/sip/transport/ContentLengthFramerTest.java
@@ -8,14 +8,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class FramerTest {
+public class ContentLengthFramerTest {
     private static final String WHOLE = "OPTIONS sip:ping@net SIP/2.0\r\nContent-Length: 2\r\n\r\n";
 
-    private static Framer given(String text) {
-        Framer framer = new Framer(4096, 2048, true);
+    private static ContentLengthFramer given(String text) {
+        ContentLengthFramer framer = new ContentLengthFramer(4096, 2048, true);
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-        System.arraycopy(bytes, 0, framer.room(), 0, bytes.length);
-        framer.took(bytes.length);
+        System.arraycopy(bytes, 0, framer.buffer(), 0, bytes.length);
+        framer.advance(bytes.length);
         return framer;
     }
 
@@ -35,10 +35,10 @@
     }
 
     @Test(dataProvider = "noStart")
-    public void aStreamWithoutStartLineIsLost(String rest) throws Cutter.Lost {
-        Framer framer = given(WHOLE + "ab" + rest);
-        assertNotNull(framer.next());
-        assertThrows(Cutter.Lost.class, framer::next);
+    public void aStreamWithoutStartLineIsLost(String rest) throws StreamFramer.FramingException {
+        ContentLengthFramer framer = given(WHOLE + "ab" + rest);
+        assertNotNull(framer.nextMessage());
+        assertThrows(StreamFramer.FramingException.class, framer::nextMessage);
     }
 
     @DataProvider
@@ -56,9 +56,9 @@
     }
 
     @Test(dataProvider = "starts")
-    public void theBeginningOfAMessageIsWaitedFor(String rest) throws Cutter.Lost {
-        Framer framer = given(WHOLE + "ab" + rest);
-        assertEquals(framer.next().length, WHOLE.length() + 2);
-        assertEquals(framer.next(), null);
+    public void theBeginningOfAMessageIsWaitedFor(String rest) throws StreamFramer.FramingException {
+        ContentLengthFramer framer = given(WHOLE + "ab" + rest);
+        assertEquals(framer.nextMessage().length, WHOLE.length() + 2);
+        assertEquals(framer.nextMessage(), null);
     }
 }
--- a/src/test/java/martenslip/sip/transport/TransportTest.java
+++ b/src/test/java/martenslip/sip/transport/TransportTest.java
@@ -19,40 +19,40 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import martenslip.control.Span;
-import martenslip.sip.message.BadValue;
+import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.Request;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
 public class TransportTest {
-    private static final Bounds TIGHT =
-            new Bounds(2, Span.ofMillis(700), Span.ofMillis(300), 200_000, Span.ofMillis(500), Span.ofMillis(300));
-    private LinkedBlockingQueue<Arrival> inbox;
+    private static final TransportLimits TIGHT = new TransportLimits(
+            2, Span.ofMillis(700), Span.ofMillis(300), 200_000, Span.ofMillis(500), Span.ofMillis(300));
+    private LinkedBlockingQueue<TransportEvent> inbox;
     private Transport transport;
 
     private Transport open() throws IOException {
         return open(TIGHT);
     }
 
-    private Transport open(Bounds bounds) throws IOException {
+    private Transport open(TransportLimits bounds) throws IOException {
         // Of its own for each test: a connection of the one before may still tell its end.
-        LinkedBlockingQueue<Arrival> own = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<TransportEvent> own = new LinkedBlockingQueue<>();
         inbox = own;
         transport = new Transport(
                 "test",
                 bounds,
-                new Sink() {
+                new TransportEventSink() {
                     @Override
-                    public boolean offer(Arrival arrival) {
+                    public boolean offer(TransportEvent arrival) {
                         return own.offer(arrival);
                     }
 
                     @Override
-                    public void put(Arrival arrival) throws InterruptedException {
+                    public void put(TransportEvent arrival) throws InterruptedException {
                         own.put(arrival);
                     }
                 },
-                Gate.OPEN);
+                MessageInterceptor.PASS_THROUGH);
         transport.openUdp(local(0));
         transport.openTcp(local(0));
         return transport;
@@ -69,7 +69,7 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(local(transport.port(Hop.Kind.TCP)));
+        socket.connect(local(transport.port(Hop.Protocol.TCP)));
         socket.setSoTimeout(10_000);
         return socket;
     }
@@ -81,14 +81,14 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    private Arrival next() throws InterruptedException {
-        Arrival arrival = inbox.poll(10, TimeUnit.SECONDS);
+    private TransportEvent next() throws InterruptedException {
+        TransportEvent arrival = inbox.poll(10, TimeUnit.SECONDS);
         assertTrue(arrival != null, "nothing arrived");
         return arrival;
     }
 
-    private long number() throws InterruptedException, BadValue {
-        return ((Arrival.Received) next()).message().cseq().number();
+    private long number() throws InterruptedException, InvalidValueException {
+        return ((TransportEvent.MessageReceived) next()).message().cseq().number();
     }
 
     @Test
@@ -110,13 +110,13 @@
             }
             assertEquals(number(), 3);
         }
-        assertTrue(next() instanceof Arrival.Broken broken && broken.everUp());
+        assertTrue(next() instanceof TransportEvent.ConnectionLost broken && broken.wasEstablished());
     }
 
     /** Two readers of one stream would each cut its messages out of their own part of it. */
     @Test
     public void aConnectionThatIsUpAtOnceHasOneReader() throws Exception {
-        open(Bounds.USUAL);
+        open(TransportLimits.DEFAULTS);
         List<AutoCloseable> far = new ArrayList<>();
         try {
             for (int i = 0; i < 300; i++) {
@@ -153,7 +153,7 @@
         open();
         try (Socket socket = connect()) {
             socket.getOutputStream().write(options(1, ""));
-            Arrival.Received received = (Arrival.Received) next();
+            TransportEvent.MessageReceived received = (TransportEvent.MessageReceived) next();
             Request request = (Request) received.message();
             assertEquals(request.via().params().get("received"), "127.0.0.1");
             assertEquals(request.via().params().get("rport"), "" + socket.getLocalPort());
@@ -170,7 +170,7 @@
             slow.getOutputStream().write("OPTIONS sip:x".getBytes(StandardCharsets.US_ASCII));
             other.getOutputStream().write(options(7, ""));
             assertEquals(number(), 7);
-            assertTrue(((Arrival.Broken) next()).why().contains("too long"));
+            assertTrue(((TransportEvent.ConnectionLost) next()).reason().contains("too long"));
             assertEquals(slow.getInputStream().read(), -1);
             other.getOutputStream().write(options(8, ""));
             assertEquals(number(), 8);
@@ -189,8 +189,8 @@
             try (Socket three = connect()) {
                 assertEquals(three.getInputStream().read(), -1);
             }
-            assertEquals((long) transport.drops().counts().get("too many connections"), 1L);
-            assertEquals(((Arrival.Broken) next()).why(), "idle");
+            assertEquals((long) transport.dropCounter().counts().get("too many connections"), 1L);
+            assertEquals(((TransportEvent.ConnectionLost) next()).reason(), "idle");
         }
     }
 
@@ -199,14 +199,14 @@
         open();
         try (Socket socket = connect()) {
             socket.getOutputStream().write(options(1, ""));
-            Hop back = ((Arrival.Received) next()).from();
+            Hop back = ((TransportEvent.MessageReceived) next()).from();
             byte[] block = new byte[50_000];
             boolean sent = true;
             for (int i = 0; i < 2000 && sent; i++) {
-                sent = transport.send(block, back) && transport.connections() > 0;
+                sent = transport.send(block, back) && transport.connectionCount() > 0;
             }
-            Arrival.Broken broken = (Arrival.Broken) next();
-            assertTrue(broken.why().contains("peer"), broken.why());
+            TransportEvent.ConnectionLost broken = (TransportEvent.ConnectionLost) next();
+            assertTrue(broken.reason().contains("peer"), broken.reason());
         }
     }
 
@@ -215,14 +215,14 @@
         open();
         try (Socket socket = connect()) {
             socket.getOutputStream().write("OPTIONS sip:x SIP/2.0\r\nX: y\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertTrue(((Arrival.Broken) next()).why().contains("Content-Length"));
+            assertTrue(((TransportEvent.ConnectionLost) next()).reason().contains("Content-Length"));
         }
         int nobody;
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = taken.getLocalPort();
         }
         transport.send(options(1, ""), Hop.tcp(local(nobody)));
-        assertFalse(((Arrival.Broken) next()).everUp());
+        assertFalse(((TransportEvent.ConnectionLost) next()).wasEstablished());
     }
 
     @Test
@@ -231,10 +231,10 @@
         try (DatagramSocket socket = new DatagramSocket(local(0))) {
             for (String text : new String[] {"", "\r\n\r\n", "garbage", "SIP/2.0 ", "\0\1\2"}) {
                 byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-                socket.send(new DatagramPacket(bytes, bytes.length, local(transport.port(Hop.Kind.UDP))));
+                socket.send(new DatagramPacket(bytes, bytes.length, local(transport.port(Hop.Protocol.UDP))));
             }
             byte[] good = options(5, "");
-            socket.send(new DatagramPacket(good, good.length, local(transport.port(Hop.Kind.UDP))));
+            socket.send(new DatagramPacket(good, good.length, local(transport.port(Hop.Protocol.UDP))));
             assertEquals(number(), 5);
         }
     }
--- a/src/test/java/martenslip/proof/ProofTest.java
+++ b/src/test/java/martenslip/verification/RuleVerifierTest.java
@@ -1,4 +1,4 @@
-package martenslip.proof;
+package martenslip.verification;
 
 import static org.testng.Assert.assertEquals;
 
@@ -7,14 +7,14 @@
 import martenslip.control.Moment;
 import martenslip.control.Span;
 import martenslip.sip.message.Message;
-import martenslip.sip.message.Parser;
+import martenslip.sip.message.MessageParser;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** What excuses and what does not, record by record. */
-public class ProofTest {
+public class RuleVerifierTest {
     private static final String CONTROLLER = "127.0.1.10";
-    private Proof proof;
+    private RuleVerifier proof;
 
     private static Moment at(double ms) {
         return new Moment(Span.ofMillis(ms).ns());
@@ -22,17 +22,17 @@
 
     @BeforeMethod
     public void begin() {
-        proof = new Proof();
+        proof = new RuleVerifier();
         controller(0, "up");
-        proof.fact(at(0), "machine", Map.of("local", "switch-1", "at", "127.0.2.1:5"));
-        proof.fact(
+        proof.annotation(at(0), "machine", Map.of("local", "switch-1", "at", "127.0.2.1:5"));
+        proof.annotation(
                 at(0),
                 "rules",
                 Map.of("release-ms", "500", "drain-grace-ms", "2000", "fall-multiple", "3", "fall-ms", "1500"));
     }
 
     private void controller(double ms, String state) {
-        proof.fact(at(ms), "controller", Map.of("number", "0", "host", CONTROLLER, "state", state));
+        proof.annotation(at(ms), "controller", Map.of("number", "0", "host", CONTROLLER, "state", state));
     }
 
     private void pass(double ms, boolean in, String start, String branch, String call, String toTag, String cseq) {
@@ -41,7 +41,7 @@
                 + "To: <sip:b@h>" + toTag + "\r\nCall-ID: " + call + "\r\nCSeq: 1 " + cseq + "\r\nSession-ID: s\r\n"
                 + "Martenslip-Patience: 1000\r\n\r\n";
         byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-        Message message = Parser.datagram(bytes, bytes.length).message();
+        Message message = MessageParser.parse(bytes, bytes.length).message();
         proof.message(at(ms), in, "switch-1", CONTROLLER, false, message);
     }
 
@@ -65,7 +65,7 @@
     private int broken(int rule) {
         taken(90_000, "last");
         answered(90_001, "last", 503, "z");
-        return proof.verdicts().get(rule - 1).broken().size();
+        return proof.verdicts().get(rule - 1).violations().size();
     }
 
     @Test
@@ -101,9 +101,9 @@
     public void aResetExcusesOnlyWhatItMayHaveSwallowed() {
         taken(70, "before");
         taken(95, "swallowed");
-        proof.fact(at(100), "resetting", Map.of("number", "0"));
+        proof.annotation(at(100), "resetting", Map.of("number", "0"));
         taken(110, "swallowed too");
-        proof.fact(at(120), "reset", Map.of("number", "0"));
+        proof.annotation(at(120), "reset", Map.of("number", "0"));
         taken(121, "after");
         assertEquals(broken(1), 2);
     }
@@ -127,7 +127,7 @@
         ring(1000, "two");
         ring(1200, "three");
         assertEquals(broken(2), 0);
-        assertEquals(proof.verdicts().get(4).broken().size(), 1);
+        assertEquals(proof.verdicts().get(4).violations().size(), 1);
     }
 
     @Test
