--- a/src/main/java/martenslip/sip/Endpoint.java
+++ b/src/main/java/martenslip/sip/Endpoint.java
@@ -20,86 +20,105 @@
 import martenslip.sip.transport.TransportLimits;
 
 /**
- * Sockets with one thread that owns all transactions, dialogs, timers and their user. It reads the clock once for
- * each batch of arrivals. A full inbox loses datagrams, as their senders repeat them, and holds connections up.
+ * A SIP endpoint: sockets and one thread that owns all transactions, dialogs, timers and their transaction user.
+ * The thread reads the clock once for each batch of events. When the inbox is full, datagrams are dropped, as their
+ * senders retransmit them, and connections are not read further.
  */
 public final class Endpoint implements AutoCloseable {
-    private static final int INBOX = 16_384;
+    private static final int INBOX_CAPACITY = 16_384;
 
-    /** Sees a message before the transactions do; true where it dealt with it, as a stateless proxy does. */
+    /** Sees each message before the transaction layer does. */
     public interface MessageFilter {
+        /**
+         * Returns true if the filter has dealt with the message, as a stateless proxy does; it then goes no further.
+         */
         boolean handles(Message message, Hop from);
     }
 
     private final EventLoop loop;
     private final Transport transport;
-    private final Consumer<Throwable> faults;
+    private final Consumer<Throwable> failureHandler;
     private DialogLayer dialogLayer;
-    private MessageFilter first = (message, from) -> false;
-    private Runnable after = () -> {};
-
-    public Endpoint(String name, TransportLimits bounds, MessageInterceptor gate, Consumer<Throwable> faults) {
-        this.faults = faults;
-        loop = new EventLoop(name, INBOX);
+    private MessageFilter messageFilter = (message, from) -> false;
+    private Runnable endOfTurnAction = () -> {};
+
+    /** Creates an endpoint without sockets. {@code failureHandler} is called with exceptions thrown on its thread. */
+    public Endpoint(
+            String name, TransportLimits limits, MessageInterceptor interceptor, Consumer<Throwable> failureHandler) {
+        this.failureHandler = failureHandler;
+        loop = new EventLoop(name, INBOX_CAPACITY);
         transport = new Transport(
                 name,
-                bounds,
+                limits,
                 new TransportEventSink() {
                     @Override
-                    public boolean offer(TransportEvent arrival) {
-                        return loop.offer(arrival);
+                    public boolean offer(TransportEvent event) {
+                        return loop.offer(event);
                     }
 
                     @Override
-                    public void put(TransportEvent arrival) throws InterruptedException {
-                        loop.put(arrival, () -> dropCounter().increment("waited for the inbox"));
+                    public void put(TransportEvent event) throws InterruptedException {
+                        loop.put(event, () -> dropCounter().increment("waited for the inbox"));
                     }
                 },
-                gate);
+                interceptor);
     }
 
+    /** The sockets of this endpoint. */
     public Transport transport() {
         return transport;
     }
 
+    /** Counts of what was dropped, by cause. */
     public DropCounter dropCounter() {
         return transport.dropCounter();
     }
 
+    /** The timers of the endpoint's thread; to be used on that thread only. */
     public TimerWheel timerWheel() {
         return loop.timerWheel();
     }
 
+    /** The dialog layer, or null before {@link #start}; to be used on the endpoint's thread only. */
     public DialogLayer dialogLayer() {
         return dialogLayer;
     }
 
-    /** Opens the sockets; each may be null. Ports are told by {@link Transport#port}. */
-    public void open(InetSocketAddress udp, InetSocketAddress tcp) throws IOException {
-        if (udp != null) {
-            transport.openUdp(udp);
+    /** Opens the sockets; either address may be null. {@link Transport#port} returns the ports. */
+    public void open(InetSocketAddress udpAddress, InetSocketAddress tcpAddress) throws IOException {
+        if (udpAddress != null) {
+            transport.openUdp(udpAddress);
         }
-        if (tcp != null) {
-            transport.openTcp(tcp);
+        if (tcpAddress != null) {
+            transport.openTcp(tcpAddress);
         }
     }
 
-    /** Starts the thread. {@code after} runs at the end of each turn. Once, after {@link #open}. */
+    /**
+     * Starts the thread. To be called once, after {@link #open}. {@code endOfTurn} runs at the end of each turn of the
+     * event loop; {@code maxTransactions} bounds the open transactions.
+     */
     public void start(
-            UserAgentCore user,
-            MessageFilter before,
-            Runnable afterTurn,
+            UserAgentCore userAgentCore,
+            MessageFilter filter,
+            Runnable endOfTurn,
             TransactionTimers timers,
             long seed,
-            int most) {
-        first = before;
-        after = afterTurn;
-        dialogLayer =
-                new DialogLayer(loop.timerWheel(), timers, outlet(), new IdGenerator(seed), user, dropCounter(), most);
-        loop.start(duty(), () -> {});
+            int maxTransactions) {
+        messageFilter = filter;
+        endOfTurnAction = endOfTurn;
+        dialogLayer = new DialogLayer(
+                loop.timerWheel(),
+                timers,
+                createMessageSender(),
+                new IdGenerator(seed),
+                userAgentCore,
+                dropCounter(),
+                maxTransactions);
+        loop.start(createHandler(), () -> {});
     }
 
-    private MessageSender outlet() {
+    private MessageSender createMessageSender() {
         return new MessageSender() {
             @Override
             public boolean send(byte[] bytes, Hop to) {
@@ -107,41 +126,44 @@
             }
 
             @Override
-            public String sentBy(Hop.Protocol kind) {
-                return transport.sentBy(kind);
+            public String sentBy(Hop.Protocol protocol) {
+                return transport.sentBy(protocol);
             }
         };
     }
 
-    /** Runs on the endpoint's thread in its next turn; waits while the inbox is full. Any other thread. */
-    public void execute(Runnable what) {
+    /**
+     * Runs the task on the endpoint's thread in its next turn; waits while the inbox is full. To be called by any other
+     * thread.
+     */
+    public void execute(Runnable task) {
         try {
-            loop.put(what, () -> dropCounter().increment("waited for the inbox"));
+            loop.put(task, () -> dropCounter().increment("waited for the inbox"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private EventLoop.Handler duty() {
+    private EventLoop.Handler createHandler() {
         return new EventLoop.Handler() {
             @Override
-            public void handle(Object next) {
-                boolean taken = next instanceof TransportEvent.MessageReceived received
-                        && first.handles(received.message(), received.from());
-                if (!taken && next instanceof TransportEvent arrival) {
-                    dialogLayer.transactionLayer().handleEvent(arrival);
+            public void handle(Object item) {
+                boolean handled = item instanceof TransportEvent.MessageReceived received
+                        && messageFilter.handles(received.message(), received.from());
+                if (!handled && item instanceof TransportEvent event) {
+                    dialogLayer.transactionLayer().handleEvent(event);
                 }
             }
 
             @Override
             public void afterTurn() {
-                after.run();
+                endOfTurnAction.run();
             }
 
             @Override
-            public void onFailure(Throwable fault) {
+            public void onFailure(Throwable failure) {
                 dropCounter().increment("fault");
-                faults.accept(fault);
+                failureHandler.accept(failure);
             }
         };
     }
--- a/src/main/java/martenslip/sip/dialog/CallEndReason.java
+++ b/src/main/java/martenslip/sip/dialog/CallEndReason.java
@@ -1,11 +1,11 @@
 package martenslip.sip.dialog;
 
-/** Why a call that stood is over. */
+/** Why an established call has ended. */
 public enum CallEndReason {
-    /** The far side sent a BYE. */
+    /** The remote side sent a BYE. */
     BYE,
-    /** The far side never acknowledged the 2xx, within 64 T1. */
+    /** The remote side did not acknowledge the 2xx within 64 T1. */
     NO_ACK,
-    /** The connection that it went over broke. */
+    /** The connection that the call was set up over was lost. */
     CONNECTION_LOST
 }
--- a/src/main/java/martenslip/sip/dialog/Dialog.java
+++ b/src/main/java/martenslip/sip/dialog/Dialog.java
@@ -12,54 +12,55 @@
 import martenslip.sip.transport.Hop;
 import martenslip.sip.transport.HopResolver;
 
-/** The state that two user agents share (RFC 3261 12). Owned by the thread of its {@link DialogLayer}. */
+/** State of a dialog shared by two user agents (RFC 3261 12). Owned by the thread of its {@link DialogLayer}. */
 public final class Dialog {
-    /** More than one call's own requests here: a BYE alone. */
-    private static final int TAKEN_OVER = 100;
+    /** Exceeds the number of requests that one side sends in a call here, which is a single BYE. */
+    private static final int TAKEOVER_CSEQ_GAP = 100;
 
     private final String callId;
     private final String localTag;
     private final String remoteTag;
-    private final String local;
-    private final String remote;
+    private final String localNameAddr;
+    private final String remoteNameAddr;
     private final List<String> routes;
     private String remoteTarget;
-    private long localNumber;
-    private long remoteNumber;
+    private long localCseq;
+    /** Number of the last request of the remote side; -1 before the first. */
+    private long remoteCseq;
 
     private Dialog(
             String callId,
-            NameAddr local,
-            NameAddr remote,
+            NameAddr localNameAddr,
+            NameAddr remoteNameAddr,
             List<String> routes,
             String remoteTarget,
-            long localNumber,
-            long remoteNumber) {
+            long localCseq,
+            long remoteCseq) {
         this.callId = callId;
-        this.localTag = local.tag();
-        this.remoteTag = remote.tag();
-        this.local = local.toString();
-        this.remote = remote.toString();
+        this.localTag = localNameAddr.tag();
+        this.remoteTag = remoteNameAddr.tag();
+        this.localNameAddr = localNameAddr.toString();
+        this.remoteNameAddr = remoteNameAddr.toString();
         this.routes = routes;
         this.remoteTarget = remoteTarget;
-        this.localNumber = localNumber;
-        this.remoteNumber = remoteNumber;
+        this.localCseq = localCseq;
+        this.remoteCseq = remoteCseq;
     }
 
-    /** RFC 3261 12.1.1. */
-    public static Dialog asServer(Request request, String localTag) throws InvalidValueException {
+    /** The dialog of a UAS (RFC 3261 12.1.1). */
+    public static Dialog asUas(Request request, String localTag) throws InvalidValueException {
         return new Dialog(
                 request.callId(),
                 request.to().withTag(localTag),
                 request.from(),
                 request.headers().all("Record-Route"),
-                contact(request.headers()),
+                contactUri(request.headers()),
                 0,
                 request.cseq().number());
     }
 
-    /** RFC 3261 12.1.2. */
-    public static Dialog asClient(Request request, Response response) throws InvalidValueException {
+    /** The dialog of a UAC (RFC 3261 12.1.2). */
+    public static Dialog asUac(Request request, Response response) throws InvalidValueException {
         List<String> routes = new ArrayList<>(response.headers().all("Record-Route"));
         Collections.reverse(routes);
         return new Dialog(
@@ -67,13 +68,13 @@
                 request.from(),
                 response.to(),
                 routes,
-                contact(response.headers()),
+                contactUri(response.headers()),
                 request.cseq().number(),
                 -1);
     }
 
-    /** Of a 2xx whose INVITE is no longer known, to end it: all that this needs stands in the response. */
-    static Dialog unwanted(Response response) throws InvalidValueException {
+    /** The dialog of a 2xx whose INVITE is no longer known, for ending it; the response has all that this needs. */
+    static Dialog ofUnwantedSuccess(Response response) throws InvalidValueException {
         List<String> routes = new ArrayList<>(response.headers().all("Record-Route"));
         Collections.reverse(routes);
         return new Dialog(
@@ -81,12 +82,12 @@
                 response.from(),
                 response.to(),
                 routes,
-                contact(response.headers()),
-                response.cseq().number() + TAKEN_OVER,
+                contactUri(response.headers()),
+                response.cseq().number() + TAKEOVER_CSEQ_GAP,
                 -1);
     }
 
-    private static String contact(Headers headers) throws InvalidValueException {
+    private static String contactUri(Headers headers) throws InvalidValueException {
         String contact = headers.first("Contact");
         if (contact == null) {
             throw new InvalidValueException("no Contact, so no dialog");
@@ -96,7 +97,7 @@
         return uri;
     }
 
-    /** Names the dialog as a request or response from the far side does. */
+    /** Key of the dialog, built from the values that a message of the remote side contains. */
     static String id(String callId, String localTag, String remoteTag) {
         return callId + ' ' + localTag + ' ' + remoteTag;
     }
@@ -105,47 +106,55 @@
         return id(callId, localTag, remoteTag);
     }
 
+    /** The tag of the remote side. */
     public String remoteTag() {
         return remoteTag;
     }
 
+    /** The tag of this side. */
     public String localTag() {
         return localTag;
     }
 
-    /** True, and remembered, where a request of the far side follows the last in order (RFC 3261 12.2.2). */
-    boolean follows(long number) {
-        if (remoteNumber >= 0 && number <= remoteNumber) {
+    /** Checks that a request of the remote side is in order and records its number (RFC 3261 12.2.2). */
+    boolean acceptRemoteCseq(long cseq) {
+        if (remoteCseq >= 0 && cseq <= remoteCseq) {
             return false;
         }
-        remoteNumber = number;
+        remoteCseq = cseq;
         return true;
     }
 
-    /** Numbers that whoever held the dialog before may have used are left out; gaps are allowed (12.2.1.1). */
-    void skip() {
-        localNumber += TAKEN_OVER;
+    /** Skips numbers that the previous owner of the dialog may have used; gaps are allowed (RFC 3261 12.2.1.1). */
+    void skipCseqNumbers() {
+        localCseq += TAKEOVER_CSEQ_GAP;
     }
 
-    /** The next request of this side; an ACK bears the number of the INVITE that it is for. */
-    Request request(String method) {
-        return request(method, ++localNumber);
+    /** The next request of this side. */
+    Request createRequest(String method) {
+        return createRequest(method, ++localCseq);
     }
 
-    Request ack(long number) {
-        return request("ACK", number);
+    /** An ACK, which has the number of its INVITE. */
+    Request createAck(long cseq) {
+        return createRequest("ACK", cseq);
     }
 
-    private Request request(String method, long number) {
+    private Request createRequest(String method, long cseq) {
         Headers headers = new Headers();
         routes.forEach(route -> headers.add("Route", route));
-        headers.add("Max-Forwards", "70").add("From", local).add("To", remote).add("Call-ID", callId);
-        headers.add("CSeq", number + " " + method);
+        headers.add("Max-Forwards", "70")
+                .add("From", localNameAddr)
+                .add("To", remoteNameAddr)
+                .add("Call-ID", callId);
+        headers.add("CSeq", cseq + " " + method);
         return new Request(method, remoteTarget, headers);
     }
 
-    /** Where requests of this dialog go: the first route, else the far side's contact (RFC 3261 12.2.1.1). */
-    Hop hop() throws InvalidValueException {
+    /**
+     * Address for requests in this dialog: the first route, else the contact of the remote side (RFC 3261 12.2.1.1).
+     */
+    Hop nextHop() throws InvalidValueException {
         return HopResolver.resolve(SipUri.parse(
                 routes.isEmpty() ? remoteTarget : NameAddr.parse(routes.get(0)).uri()));
     }
--- a/src/main/java/martenslip/sip/dialog/DialogLayer.java
+++ b/src/main/java/martenslip/sip/dialog/DialogLayer.java
@@ -23,10 +23,11 @@
 import martenslip.sip.transport.DropCounter;
 import martenslip.sip.transport.Hop;
 
-/** All dialogs of calls of one thread (RFC 3261 12 to 15), and the checks that every request meets (8.2). */
+/** All call dialogs of one thread (RFC 3261 12 to 15), and the checks that every request passes (8.2). */
 public final class DialogLayer implements TransactionUser {
-    private static final Set<String> OWN = Set.of("INVITE", "ACK", "BYE", "CANCEL");
-    private static final Set<String> KNOWN = Set.of(
+    private static final int MAX_PHRASE_LENGTH = 100;
+    private static final Set<String> CALL_METHODS = Set.of("INVITE", "ACK", "BYE", "CANCEL");
+    private static final Set<String> KNOWN_METHODS = Set.of(
             "INVITE",
             "ACK",
             "BYE",
@@ -44,43 +45,47 @@
 
     private final TimerWheel timerWheel;
     private final TransactionTimers timers;
-    private final MessageSender out;
+    private final MessageSender sender;
     private final IdGenerator idGenerator;
-    private final UserAgentCore user;
+    private final UserAgentCore userAgentCore;
     private final DropCounter drops;
     private final TransactionLayer transactionLayer;
     private final Map<String, CallLeg> legs = new LinkedHashMap<>();
-    private final Map<String, UasCall> merging = new HashMap<>();
-    private final String allow;
+    private final Map<String, UasCall> callsByMergeKey = new HashMap<>();
+    private final String allowHeader;
 
+    /** Creates a layer with a {@link TransactionLayer} of its own. */
     public DialogLayer(
-            TimerWheel wheel,
+            TimerWheel timerWheel,
             TransactionTimers timers,
-            MessageSender out,
-            IdGenerator branches,
-            UserAgentCore user,
+            MessageSender sender,
+            IdGenerator idGenerator,
+            UserAgentCore userAgentCore,
             DropCounter drops,
-            int most) {
-        this.timerWheel = wheel;
+            int maxTransactions) {
+        this.timerWheel = timerWheel;
         this.timers = timers;
-        this.out = out;
-        this.idGenerator = branches;
-        this.user = user;
+        this.sender = sender;
+        this.idGenerator = idGenerator;
+        this.userAgentCore = userAgentCore;
         this.drops = drops;
-        transactionLayer = new TransactionLayer(wheel, timers, out, branches, this, drops, most);
-        Set<String> all = new TreeSet<>(OWN);
-        all.addAll(user.additionalMethods());
-        allow = String.join(", ", all);
+        transactionLayer = new TransactionLayer(timerWheel, timers, sender, idGenerator, this, drops, maxTransactions);
+        Set<String> allowedMethods = new TreeSet<>(CALL_METHODS);
+        allowedMethods.addAll(userAgentCore.additionalMethods());
+        allowHeader = String.join(", ", allowedMethods);
     }
 
+    /** The transaction layer below. */
     public TransactionLayer transactionLayer() {
         return transactionLayer;
     }
 
+    /** Generator of tags, branches and Call-IDs. */
     public IdGenerator idGenerator() {
         return idGenerator;
     }
 
+    /** The timers of the owning thread. */
     public TimerWheel timerWheel() {
         return timerWheel;
     }
@@ -93,18 +98,18 @@
         return drops;
     }
 
-    /** Dialogs that are open, early ones too. */
+    /** The number of open dialogs, early ones included. */
     public int openDialogCount() {
         return legs.size();
     }
 
-    /** The Contact of this endpoint for peers on this transport, in brackets. */
-    public String contactHeader(Hop.Protocol kind, String name) {
-        return "<sip:" + (name == null ? "" : name + "@") + out.sentBy(kind)
-                + (kind == Hop.Protocol.TCP ? ";transport=tcp" : "") + ">";
+    /** A Contact value of this endpoint for peers on this protocol, in angle brackets; {@code user} may be null. */
+    public String contactHeader(Hop.Protocol protocol, String user) {
+        return "<sip:" + (user == null ? "" : user + "@") + sender.sentBy(protocol)
+                + (protocol == Hop.Protocol.TCP ? ";transport=tcp" : "") + ">";
     }
 
-    /** Sends an INVITE that has all but its Via and, if it has none, its Contact. */
+    /** Sends an INVITE. Its Via is added, and its Contact if it has none. */
     public UacCall startCall(Request invite, Hop to, UacCall.Listener listener) {
         UacCall call = new UacCall(this, listener);
         if (invite.headers().first("Contact") == null) {
@@ -115,57 +120,58 @@
     }
 
     /**
-     * Takes over a call that another thread had taken: INVITE, where it came from and the tag that this side gave it.
-     * {@code confirmed} says that its 2xx was acknowledged. Null where the INVITE is known here already.
+     * Takes over a call that another thread had received, with the INVITE, its source address and the tag that this
+     * side assigned. {@code confirmed} means that its 2xx was acknowledged. Null if the INVITE is known here already.
      */
-    public UasCall takeOver(Request invite, Hop from, String tag, boolean confirmed) throws InvalidValueException {
+    public UasCall takeOver(Request invite, Hop from, String localTag, boolean confirmed) throws InvalidValueException {
         ServerTransaction transaction = transactionLayer.takeOver(invite, from);
         if (transaction == null) {
             return null;
         }
-        UasCall call = register(transaction, invite, tag);
+        UasCall call = createUasCall(transaction, invite, localTag);
         if (confirmed) {
-            call.standsAlready();
+            call.restoreConfirmed();
         }
         return call;
     }
 
-    /** Takes over an INVITE that another thread had sent; {@code stood} is its 2xx, or null while it is out. */
-    public UacCall takeOver(Request invite, Hop to, Response stood, UacCall.Listener listener)
+    /** Takes over an INVITE that another thread had sent; {@code success} is its 2xx, or null while it is pending. */
+    public UacCall takeOver(Request invite, Hop to, Response success, UacCall.Listener listener)
             throws InvalidValueException {
         UacCall call = new UacCall(this, listener);
-        if (stood == null) {
+        if (success == null) {
             call.takeOver(invite, to);
         } else {
-            call.takeOver(invite, to, stood);
+            call.takeOver(invite, to, success);
         }
         return call;
     }
 
-    private UasCall register(ServerTransaction transaction, Request invite, String tag) throws InvalidValueException {
-        UasCall call = new UasCall(this, transaction, Dialog.asServer(invite, tag));
+    private UasCall createUasCall(ServerTransaction transaction, Request invite, String localTag)
+            throws InvalidValueException {
+        UasCall call = new UasCall(this, transaction, Dialog.asUas(invite, localTag));
         transaction.attach(call);
         legs.put(call.id(), call);
-        merging.put(mergeKey(invite), call);
+        callsByMergeKey.put(mergeKey(invite), call);
         return call;
     }
 
-    ClientTransaction send(Request request, Hop to, ClientTransactionUser asker) {
-        return transactionLayer.send(request, to, asker);
+    ClientTransaction send(Request request, Hop to, ClientTransactionUser clientUser) {
+        return transactionLayer.send(request, to, clientUser);
     }
 
     void sendCancel(Request cancel, Hop to) {
-        transactionLayer.sendCancel(cancel, to, NOBODY);
+        transactionLayer.sendCancel(cancel, to, IGNORE_OUTCOME);
     }
 
-    /** Ends a dialog; whatever becomes of the BYE, the dialog is over here. */
+    /** Sends a BYE; the dialog is ended here whatever the response is. */
     void sendBye(Dialog dialog, String reason) {
         try {
-            Request bye = dialog.request("BYE");
+            Request bye = dialog.createRequest("BYE");
             if (reason != null) {
                 bye.headers().add("Reason", reason);
             }
-            transactionLayer.send(bye, dialog.hop(), NOBODY);
+            transactionLayer.send(bye, dialog.nextHop(), IGNORE_OUTCOME);
         } catch (InvalidValueException e) {
             drops.increment("far side of a dialog can't be reached");
         }
@@ -173,59 +179,61 @@
 
     void sendAck(Dialog dialog, ClientTransaction invite) {
         try {
-            transactionLayer.sendAck(dialog.ack(invite.request().cseq().number()), dialog.hop());
+            transactionLayer.sendAck(dialog.createAck(invite.request().cseq().number()), dialog.nextHop());
         } catch (InvalidValueException e) {
             drops.increment("far side of a dialog can't be reached");
         }
     }
 
-    private static final ClientTransactionUser NOBODY = new ClientTransactionUser() {
+    private static final ClientTransactionUser IGNORE_OUTCOME = new ClientTransactionUser() {
         @Override
         public void responseReceived(ClientTransaction transaction, Response response) {
-            // Nothing hangs on how a CANCEL or BYE is answered (RFC 3261 9.1, 15.1.1).
+            // Nothing depends on the response to a CANCEL or BYE (RFC 3261 9.1, 15.1.1).
         }
 
         @Override
-        public void failed(ClientTransaction transaction, RequestFailure why) {
-            // As above.
+        public void failed(ClientTransaction transaction, RequestFailure reason) {
+            // Nothing depends on it, as above.
         }
     };
 
-    void stands(UacCall call, String id) {
+    void addLeg(UacCall call, String id) {
         legs.put(id, call);
     }
 
-    void over(CallLeg leg, String id) {
+    void removeLeg(CallLeg leg, String id) {
         legs.remove(id, leg);
-        if (leg instanceof UasCall in) {
-            merging.remove(mergeKey(in.invite()), in);
+        if (leg instanceof UasCall uasCall) {
+            callsByMergeKey.remove(mergeKey(uasCall.invite()), uasCall);
         }
     }
 
-    /** Answers a request within a dialog; true where it is the BYE that ends it (RFC 3261 12.2.2, 15.1.2). */
-    boolean endedBy(ServerTransaction next, Dialog dialog) throws InvalidValueException {
-        Request request = next.request();
-        if (!dialog.follows(request.cseq().number())) {
-            next.respond(request.createResponse(500, "CSeq out of order", null));
+    /**
+     * Answers a request within a dialog; returns true if it is the BYE that ends the dialog (RFC 3261 12.2.2, 15.1.2).
+     */
+    boolean answerInDialog(ServerTransaction transaction, Dialog dialog) throws InvalidValueException {
+        Request request = transaction.request();
+        if (!dialog.acceptRemoteCseq(request.cseq().number())) {
+            transaction.respond(request.createResponse(500, "CSeq out of order", null));
             return false;
         }
         if (!request.hasMethod("BYE")) {
-            refuseInDialog(next);
+            refuseInDialog(transaction);
             return false;
         }
-        next.respond(request.createResponse(200, "OK", null));
+        transaction.respond(request.createResponse(200, "OK", null));
         return true;
     }
 
-    /** Other requests within a call are refused for now: 488 for a re-INVITE, else 405. */
+    /** Refuses a request within a call that is not supported: 488 for one that changes the session, else 405 or 501. */
     void refuseInDialog(ServerTransaction transaction) {
         Request request = transaction.request();
-        boolean change = request.hasMethod("INVITE") || request.hasMethod("UPDATE");
-        Response refusal = change
+        boolean changesSession = request.hasMethod("INVITE") || request.hasMethod("UPDATE");
+        Response refusal = changesSession
                 ? request.createResponse(488, "Sessions are not changed here", null)
-                : request.createResponse(KNOWN.contains(request.method()) ? 405 : 501, "Not in a call", null);
-        if (!change) {
-            refusal.headers().add("Allow", allow);
+                : request.createResponse(KNOWN_METHODS.contains(request.method()) ? 405 : 501, "Not in a call", null);
+        if (!changesSession) {
+            refusal.headers().add("Allow", allowHeader);
         }
         transaction.respond(refusal);
     }
@@ -240,50 +248,54 @@
                     : legs.get(Dialog.id(request.callId(), toTag, request.from().tag()));
             if (leg != null) {
                 leg.requestReceived(transaction);
-            } else if (!refused(transaction, request, toTag)) {
+            } else if (!refuseIfUnacceptable(transaction, request, toTag)) {
                 if (request.hasMethod("INVITE")) {
-                    begin(transaction, request);
+                    handleInvite(transaction, request);
                 } else {
-                    user.requestReceived(transaction);
+                    userAgentCore.requestReceived(transaction);
                 }
             }
         } catch (InvalidValueException e) {
-            transaction.respond(request.createResponse(400, phrase(e.getMessage()), idGenerator.nextTag()));
+            transaction.respond(request.createResponse(400, truncatePhrase(e.getMessage()), idGenerator.nextTag()));
         }
     }
 
-    private static String phrase(String text) {
-        return text.length() > 100 ? text.substring(0, 100) : text;
+    private static String truncatePhrase(String text) {
+        return text.length() > MAX_PHRASE_LENGTH ? text.substring(0, MAX_PHRASE_LENGTH) : text;
     }
 
-    private boolean refused(ServerTransaction transaction, Request request, String toTag) {
+    /** Applies the checks of RFC 3261 8.2 and 12.2.2; returns true if the request was refused. */
+    private boolean refuseIfUnacceptable(ServerTransaction transaction, Request request, String toTag) {
         String method = request.method();
-        if (!OWN.contains(method) && !user.additionalMethods().contains(method)) {
-            boolean known = KNOWN.contains(method);
+        if (!CALL_METHODS.contains(method) && !userAgentCore.additionalMethods().contains(method)) {
+            boolean knownMethod = KNOWN_METHODS.contains(method);
             Response refusal = request.createResponse(
-                    known ? 405 : 501, "Method " + phrase(method) + " is not served", idGenerator.nextTag());
-            refusal.headers().add("Allow", allow);
+                    knownMethod ? 405 : 501,
+                    "Method " + truncatePhrase(method) + " is not served",
+                    idGenerator.nextTag());
+            refusal.headers().add("Allow", allowHeader);
             return transaction.respond(refusal);
         }
         List<String> required = request.headers().all("Require");
         if (!required.isEmpty()) {
             Response refusal = request.createResponse(420, "Extension not supported", idGenerator.nextTag());
-            required.forEach(one -> refusal.headers().add("Unsupported", one));
+            required.forEach(extension -> refusal.headers().add("Unsupported", extension));
             return transaction.respond(refusal);
         }
-        boolean inCall = OWN.contains(method) && !toTag.isEmpty() || method.equals("BYE");
+        boolean inCall = CALL_METHODS.contains(method) && !toTag.isEmpty() || method.equals("BYE");
         if (inCall) {
             return transaction.respond(request.createResponse(481, "No such call", idGenerator.nextTag()));
         }
         return false;
     }
 
-    private static void trying(ServerTransaction transaction) {
+    private static void sendTrying(ServerTransaction transaction) {
         if (transaction.isUnanswered()) {
             transaction.respond(transaction.request().createResponse(100, "Trying", null));
         }
     }
 
+    /** Key of a request that reached this UAS by several paths (RFC 3261 8.2.2.2). */
     private static String mergeKey(Request request) {
         return request.callId()
                 + ' '
@@ -292,28 +304,28 @@
                 + request.headers().first("CSeq");
     }
 
-    private void begin(ServerTransaction transaction, Request request) throws InvalidValueException {
-        UasCall same = merging.get(mergeKey(request));
-        if (same != null) {
-            // The same request by another way (RFC 3261 8.2.2.2).
+    private void handleInvite(ServerTransaction transaction, Request request) throws InvalidValueException {
+        UasCall existing = callsByMergeKey.get(mergeKey(request));
+        if (existing != null) {
+            // The same request arrived by another path (RFC 3261 8.2.2.2).
             transaction.respond(request.createResponse(482, "Merged request", idGenerator.nextTag()));
             return;
         }
-        String hops = request.headers().first("Max-Forwards");
-        if (hops != null && hops.equals("0")) {
+        String maxForwards = request.headers().first("Max-Forwards");
+        if (maxForwards != null && maxForwards.equals("0")) {
             transaction.respond(request.createResponse(483, "Too many hops", idGenerator.nextTag()));
             return;
         }
-        UasCall call = register(transaction, request, idGenerator.nextTag());
+        UasCall call = createUasCall(transaction, request, idGenerator.nextTag());
         if (timers.tryingDelay().ns() == 0) {
-            trying(transaction);
+            sendTrying(transaction);
         } else {
-            timerWheel.scheduleAfter(timers.tryingDelay(), () -> trying(transaction));
+            timerWheel.scheduleAfter(timers.tryingDelay(), () -> sendTrying(transaction));
         }
         try {
-            user.inviteReceived(call);
+            userAgentCore.inviteReceived(call);
         } catch (RuntimeException e) {
-            // Whatever it was, the caller is owed an answer, and nobody else would give it.
+            // The caller must get a final response, and nothing else would send one.
             call.refuse(call.response(500, "Fault"));
             throw e;
         }
@@ -332,7 +344,7 @@
             CallLeg leg =
                     legs.get(Dialog.id(ack.callId(), ack.to().tag(), ack.from().tag()));
             if (leg instanceof UasCall call) {
-                call.acked();
+                call.ackReceived();
             }
         } catch (InvalidValueException e) {
             drops.increment("unreadable ACK");
@@ -342,7 +354,7 @@
     @Override
     public void transactionEnded(ServerTransaction transaction) {
         if (transaction.attached() instanceof UasCall call) {
-            call.transactionOver();
+            call.transactionEnded();
         }
     }
 
@@ -356,9 +368,10 @@
                             response.callId(),
                             response.from().tag(),
                             response.to().tag()))) {
-                // Nobody here wants the call any more, but the far side holds it until it hears so (13.2.2.4).
-                Dialog unwanted = Dialog.unwanted(response);
-                transactionLayer.sendAck(unwanted.ack(response.cseq().number()), unwanted.hop());
+                // The call is not wanted any more, but the remote side keeps it until it receives a BYE (RFC 3261
+                // 13.2.2.4).
+                Dialog unwanted = Dialog.ofUnwantedSuccess(response);
+                transactionLayer.sendAck(unwanted.createAck(response.cseq().number()), unwanted.nextHop());
                 sendBye(unwanted, null);
             }
         } catch (InvalidValueException e) {
@@ -367,16 +380,16 @@
     }
 
     @Override
-    public void connectionLost(Hop hop, boolean everUp) {
-        if (everUp) {
+    public void connectionLost(Hop hop, boolean wasEstablished) {
+        if (wasEstablished) {
             for (CallLeg leg : new ArrayList<>(legs.values())) {
                 if (leg instanceof UacCall call
                         && call.hop().isReliable()
                         && call.hop().address().equals(hop.address())) {
-                    call.broken();
+                    call.connectionLost();
                 }
             }
         }
-        user.connectionLost(hop, everUp);
+        userAgentCore.connectionLost(hop, wasEstablished);
     }
 }
--- a/src/main/java/martenslip/sip/dialog/EventSubscriber.java
+++ b/src/main/java/martenslip/sip/dialog/EventSubscriber.java
@@ -15,102 +15,110 @@
 import martenslip.sip.transport.Hop;
 
 /**
- * A subscriber (RFC 6665 4.1). It refreshes at half of the time it was granted; once it has failed it says so and
- * waits to be started anew. Owned by the thread of its {@link DialogLayer}.
+ * A subscriber (RFC 6665 4.1). It refreshes after half of the granted duration. Once it has failed it reports the
+ * failure and remains inactive until {@link #start}. Owned by the thread of its {@link DialogLayer}.
  */
 public final class EventSubscriber implements ClientTransactionUser {
-    /** Hears what the watch brings. */
+    /** Receives notifications and the end of the subscription. */
     public interface Listener {
-        /** A body of the package; the NOTIFY has been answered. */
+        /** A NOTIFY with a body arrived; it has been answered. */
         void notified(byte[] body);
 
-        /** The subscription could not be had or has ended. */
-        void failed(String why);
+        /** The subscription could not be established or has ended. */
+        void failed(String reason);
     }
 
-    private static final int ASKED_SECONDS = 30;
+    private static final int REQUESTED_EXPIRES_SECONDS = 30;
 
-    private final DialogLayer calls;
+    private final DialogLayer dialogLayer;
     private final String uri;
     private final Hop hop;
-    private final String event;
+    private final String eventPackage;
     private final String accept;
     private final Listener listener;
     private String callId;
-    private String tag;
-    private String remote;
-    private String target;
-    private long number;
-    private long remoteNumber;
-    private boolean isActive;
-    private TimerWheel.Timer refresh;
-
-    public EventSubscriber(DialogLayer calls, String uri, Hop hop, String event, String accept, Listener listener) {
-        this.calls = calls;
+    private String localTag;
+    private String remoteNameAddr;
+    private String remoteTarget;
+    private long localCseq;
+    private long remoteCseq;
+    private boolean active;
+    private TimerWheel.Timer refreshTimer;
+
+    /**
+     * Creates an inactive subscriber to {@code eventPackage} at {@code uri}; {@code accept} is the value of the Accept
+     * header.
+     */
+    public EventSubscriber(
+            DialogLayer dialogLayer, String uri, Hop hop, String eventPackage, String accept, Listener listener) {
+        this.dialogLayer = dialogLayer;
         this.uri = uri;
         this.hop = hop;
-        this.event = event;
+        this.eventPackage = eventPackage;
         this.accept = accept;
         this.listener = listener;
     }
 
+    /** True from {@link #start} until it stops or fails. */
     public boolean isActive() {
-        return isActive;
+        return active;
     }
 
-    /** Subscribes anew, which brings the whole state; a subscription that stands is left to run out. */
+    /** Starts a new subscription, which brings the full state; an existing one is left to expire. */
     public void start() {
         stopTimer();
-        callId = calls.idGenerator().nextCallId("watch");
-        tag = calls.idGenerator().nextTag();
-        remote = "<" + uri + ">";
-        target = uri;
-        number = 0;
-        remoteNumber = -1;
-        isActive = true;
-        subscribe(ASKED_SECONDS);
+        callId = dialogLayer.idGenerator().nextCallId("watch");
+        localTag = dialogLayer.idGenerator().nextTag();
+        remoteNameAddr = "<" + uri + ">";
+        remoteTarget = uri;
+        localCseq = 0;
+        remoteCseq = -1;
+        active = true;
+        subscribe(REQUESTED_EXPIRES_SECONDS);
     }
 
-    /** Asks for the whole state within the subscription that stands; without one it does nothing. */
+    /** Requests the full state within the existing subscription; without one it does nothing. */
     public void refresh() {
-        if (isActive) {
+        if (active) {
             stopTimer();
-            subscribe(ASKED_SECONDS);
+            subscribe(REQUESTED_EXPIRES_SECONDS);
         }
     }
 
-    /** Ends the subscription; nothing more is told. */
+    /** Ends the subscription; the listener is not called any more. */
     public void stop() {
         stopTimer();
-        if (isActive) {
+        if (active) {
             subscribe(0);
-            isActive = false;
+            active = false;
         }
     }
 
     private void stopTimer() {
-        if (refresh != null) {
-            refresh.cancel();
+        if (refreshTimer != null) {
+            refreshTimer.cancel();
         }
     }
 
     private void subscribe(int seconds) {
         Headers headers = new Headers();
         headers.add("Max-Forwards", "70")
-                .add("From", "<" + uri + ">;tag=" + tag)
-                .add("To", remote);
-        headers.add("Call-ID", callId).add("CSeq", ++number + " SUBSCRIBE").add("Event", event);
-        headers.add("Accept", accept).add("Expires", seconds).add("Contact", calls.contactHeader(hop.protocol(), null));
-        calls.transactionLayer().send(new Request("SUBSCRIBE", target, headers), hop, this);
+                .add("From", "<" + uri + ">;tag=" + localTag)
+                .add("To", remoteNameAddr);
+        headers.add("Call-ID", callId).add("CSeq", ++localCseq + " SUBSCRIBE").add("Event", eventPackage);
+        headers.add("Accept", accept)
+                .add("Expires", seconds)
+                .add("Contact", dialogLayer.contactHeader(hop.protocol(), null));
+        dialogLayer.transactionLayer().send(new Request("SUBSCRIBE", remoteTarget, headers), hop, this);
     }
 
     @Override
     public void responseReceived(ClientTransaction transaction, Response response) {
-        if (!isActive || !transaction.request().callId().equals(callId) || response.isProvisional()) {
+        if (!active || !transaction.request().callId().equals(callId) || response.isProvisional()) {
             return;
         }
-        if (overtaken(transaction)) {
-            // A refresh that a later one has overtaken on a lossy way may be refused as out of order.
+        if (isSuperseded(transaction)) {
+            // On an unreliable transport a refresh that a later one overtook may be refused as out of order.
             return;
         }
         if (!response.isSuccess()) {
@@ -118,52 +126,57 @@
             return;
         }
         try {
-            // The 2xx makes the subscription's dialog, unless a NOTIFY came before it (RFC 6665 4.1.2.4).
-            remote = response.to().toString();
+            // The 2xx establishes the dialog of the subscription, unless a NOTIFY came before it (RFC 6665 4.1.2.4).
+            remoteNameAddr = response.to().toString();
             String contact = response.headers().first("Contact");
-            target = contact == null ? target : NameAddr.parse(contact).uri();
+            remoteTarget =
+                    contact == null ? remoteTarget : NameAddr.parse(contact).uri();
             String granted = response.headers().first("Expires");
-            int seconds = granted == null ? ASKED_SECONDS : Integer.parseInt(granted);
+            int seconds = granted == null ? REQUESTED_EXPIRES_SECONDS : Integer.parseInt(granted);
             stopTimer();
-            refresh = calls.timerWheel()
-                    .scheduleAfter(Span.ofMillis(Math.max(1, seconds) * 500.0), () -> subscribe(ASKED_SECONDS));
+            // Refresh after half of the granted time; 500 ms are half of a second.
+            refreshTimer = dialogLayer
+                    .timerWheel()
+                    .scheduleAfter(
+                            Span.ofMillis(Math.max(1, seconds) * 500.0), () -> subscribe(REQUESTED_EXPIRES_SECONDS));
         } catch (InvalidValueException | NumberFormatException e) {
-            fail("an answer that can't be read: " + e.getMessage());
+            fail("unreadable response: " + e.getMessage());
         }
     }
 
     @Override
-    public void failed(ClientTransaction transaction, RequestFailure why) {
-        if (isActive && transaction.request().callId().equals(callId) && !overtaken(transaction)) {
-            fail(why.toString());
+    public void failed(ClientTransaction transaction, RequestFailure reason) {
+        if (active && transaction.request().callId().equals(callId) && !isSuperseded(transaction)) {
+            fail(reason.toString());
         }
     }
 
-    private boolean overtaken(ClientTransaction transaction) {
-        return !transaction.request().headers().first("CSeq").equals(number + " SUBSCRIBE");
+    /** True if a later SUBSCRIBE has been sent in the meantime. */
+    private boolean isSuperseded(ClientTransaction transaction) {
+        return !transaction.request().headers().first("CSeq").equals(localCseq + " SUBSCRIBE");
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         stopTimer();
-        isActive = false;
-        listener.failed(why);
+        active = false;
+        listener.failed(reason);
     }
 
-    /** Takes a NOTIFY that is of this subscription; false where it is not. */
+    /** Handles a NOTIFY of this subscription; returns false for any other request. */
     public boolean handleNotify(ServerTransaction transaction) throws InvalidValueException {
         Request request = transaction.request();
-        if (!isActive
+        if (!active
                 || !request.hasMethod("NOTIFY")
                 || !request.callId().equals(callId)
-                || !request.to().tag().equals(tag)) {
+                || !request.to().tag().equals(localTag)) {
             return false;
         }
-        long sequence = request.cseq().number();
-        if (sequence <= remoteNumber) {
+        long cseq = request.cseq().number();
+        if (cseq <= remoteCseq) {
             transaction.respond(request.createResponse(500, "CSeq out of order", null));
             return true;
         }
-        remoteNumber = sequence;
+        remoteCseq = cseq;
         transaction.respond(request.createResponse(200, "OK", null));
         if (request.body().length > 0) {
             listener.notified(request.body());
--- a/src/main/java/martenslip/sip/dialog/Notifier.java
+++ b/src/main/java/martenslip/sip/dialog/Notifier.java
@@ -19,163 +19,184 @@
 import martenslip.sip.transport.HopResolver;
 
 /**
- * The notifying side of one event package (RFC 6665 4.2). At {@code most} subscriptions a new one is refused
- * with 503. Owned by the thread of its {@link DialogLayer}.
+ * The notifier of one event package (RFC 6665 4.2). At {@code maxSubscriptions} a new one is refused with 503. Owned by
+ * the thread of its {@link DialogLayer}.
  */
 public final class Notifier {
-    /** Gives the body for a subscriber. */
+    /** Provides the body for a subscriber. */
     public interface StateSource {
-        /** All that is known, for a new or refreshed subscription. */
-        byte[] fullState(Subscription to);
+        /** The full state, for a new or refreshed subscription. */
+        byte[] fullState(Subscription subscription);
     }
 
-    /** One subscription; {@code note} is for the source to remember by what this one has been told. */
+    /** One subscription. */
     public static final class Subscription {
         private final String callId;
-        private final String local;
-        private final String remote;
-        private final String target;
+        private final String localNameAddr;
+        private final String remoteNameAddr;
+        private final String remoteTarget;
         private final Hop hop;
-        private long number;
-        private long remoteNumber;
-        private Moment until;
-        private int waiting;
-        /** The version that this one was told last. */
+        private long localCseq;
+        private long remoteCseq;
+        private Moment expiry;
+        private int unansweredNotifies;
+        /** The version of the state that was last sent; maintained by the state source. */
         public long lastNotifiedVersion;
 
-        private Subscription(String callId, String local, String remote, String target, Hop hop) {
+        private Subscription(String callId, String localNameAddr, String remoteNameAddr, String remoteTarget, Hop hop) {
             this.callId = callId;
-            this.local = local;
-            this.remote = remote;
-            this.target = target;
+            this.localNameAddr = localNameAddr;
+            this.remoteNameAddr = remoteNameAddr;
+            this.remoteTarget = remoteTarget;
             this.hop = hop;
         }
 
+        /** Address that notifications go to. */
         public Hop hop() {
             return hop;
         }
     }
 
-    private static final int MOST_SECONDS = 60;
-    private static final int MOST_WAITING = 64;
+    private static final int MAX_EXPIRES_SECONDS = 60;
+    private static final int MAX_UNANSWERED_NOTIFIES = 64;
 
-    private final DialogLayer calls;
-    private final String event;
-    private final String type;
-    private final StateSource source;
-    private final int most;
-    private final Map<String, Subscription> all = new LinkedHashMap<>();
+    private final DialogLayer dialogLayer;
+    private final String eventPackage;
+    private final String contentType;
+    private final StateSource stateSource;
+    private final int maxSubscriptions;
+    private final Map<String, Subscription> subscriptionsByKey = new LinkedHashMap<>();
 
-    public Notifier(DialogLayer calls, String event, String type, StateSource source, int most) {
-        this.calls = calls;
-        this.event = event;
-        this.type = type;
-        this.source = source;
-        this.most = most;
+    /** Creates a notifier without subscriptions; {@code contentType} is the type of its bodies. */
+    public Notifier(
+            DialogLayer dialogLayer,
+            String eventPackage,
+            String contentType,
+            StateSource stateSource,
+            int maxSubscriptions) {
+        this.dialogLayer = dialogLayer;
+        this.eventPackage = eventPackage;
+        this.contentType = contentType;
+        this.stateSource = stateSource;
+        this.maxSubscriptions = maxSubscriptions;
     }
 
+    /** The subscriptions that have not expired. */
     public List<Subscription> subscriptions() {
-        all.values().removeIf(one -> one.until.before(calls.timerWheel().now()));
-        return new ArrayList<>(all.values());
+        subscriptionsByKey
+                .values()
+                .removeIf(subscription ->
+                        subscription.expiry.before(dialogLayer.timerWheel().now()));
+        return new ArrayList<>(subscriptionsByKey.values());
     }
 
-    /** True where the request belongs to a subscription that stands here. */
+    /** True if the request belongs to a known subscription. */
     public boolean hasSubscription(Request request) throws InvalidValueException {
-        return all.containsKey(request.callId() + ' ' + request.from().tag());
+        return subscriptionsByKey.containsKey(
+                request.callId() + ' ' + request.from().tag());
     }
 
-    /** Takes a SUBSCRIBE of the package; false where it is not. */
+    /** Handles a SUBSCRIBE of the package; returns false for any other request. */
     public boolean handleSubscribe(ServerTransaction transaction) throws InvalidValueException {
         Request request = transaction.request();
-        if (!request.hasMethod("SUBSCRIBE") || !event.equals(request.headers().first("Event"))) {
+        if (!request.hasMethod("SUBSCRIBE")
+                || !eventPackage.equals(request.headers().first("Event"))) {
             return false;
         }
         String toTag = request.to().tag();
         String key = request.callId() + ' ' + request.from().tag();
-        Subscription one = all.get(key);
-        if (one == null && !toTag.isEmpty()) {
+        Subscription subscription = subscriptionsByKey.get(key);
+        if (subscription == null && !toTag.isEmpty()) {
             transaction.respond(request.createResponse(481, "No such subscription", null));
             return true;
         }
-        if (one != null && request.cseq().number() <= one.remoteNumber) {
+        if (subscription != null && request.cseq().number() <= subscription.remoteCseq) {
             transaction.respond(request.createResponse(500, "CSeq out of order", null));
             return true;
         }
-        if (one == null && subscriptions().size() >= most) {
+        if (subscription == null && subscriptions().size() >= maxSubscriptions) {
             transaction.respond(request.createResponse(
-                    503, "Too many subscriptions", calls.idGenerator().nextTag()));
+                    503, "Too many subscriptions", dialogLayer.idGenerator().nextTag()));
             return true;
         }
-        String asked = request.headers().first("Expires");
-        int seconds = asked == null ? MOST_SECONDS : (int) Math.min(MOST_SECONDS, Long.parseLong(asked));
-        if (one == null) {
-            one = begin(request);
-            all.put(key, one);
+        String requestedExpires = request.headers().first("Expires");
+        int seconds = requestedExpires == null
+                ? MAX_EXPIRES_SECONDS
+                : (int) Math.min(MAX_EXPIRES_SECONDS, Long.parseLong(requestedExpires));
+        if (subscription == null) {
+            subscription = createSubscription(request);
+            subscriptionsByKey.put(key, subscription);
         }
-        one.remoteNumber = request.cseq().number();
-        one.until = calls.timerWheel().now().plus(Span.ofMillis(seconds * 1000.0));
-        Response ok =
-                request.createResponse(200, "OK", NameAddr.parse(one.local).tag());
+        subscription.remoteCseq = request.cseq().number();
+        subscription.expiry = dialogLayer.timerWheel().now().plus(Span.ofMillis(seconds * 1000.0));
+        Response ok = request.createResponse(
+                200, "OK", NameAddr.parse(subscription.localNameAddr).tag());
         ok.headers().add("Expires", seconds);
-        ok.headers().add("Contact", calls.contactHeader(transaction.from().protocol(), null));
+        ok.headers().add("Contact", dialogLayer.contactHeader(transaction.from().protocol(), null));
         transaction.respond(ok);
-        send(one, source.fullState(one), seconds == 0 ? "terminated;reason=timeout" : "active;expires=" + seconds);
+        send(
+                subscription,
+                stateSource.fullState(subscription),
+                seconds == 0 ? "terminated;reason=timeout" : "active;expires=" + seconds);
         if (seconds == 0) {
-            all.remove(key);
+            subscriptionsByKey.remove(key);
         }
         return true;
     }
 
-    private Subscription begin(Request request) throws InvalidValueException {
+    private Subscription createSubscription(Request request) throws InvalidValueException {
         String contact = request.headers().first("Contact");
         if (contact == null) {
             throw new InvalidValueException("no Contact, so no subscription");
         }
-        String target = NameAddr.parse(contact).uri();
-        String local = request.to().withTag(calls.idGenerator().nextTag()).toString();
+        String remoteTarget = NameAddr.parse(contact).uri();
+        String localNameAddr =
+                request.to().withTag(dialogLayer.idGenerator().nextTag()).toString();
         return new Subscription(
                 request.callId(),
-                local,
+                localNameAddr,
                 request.headers().first("From"),
-                target,
-                HopResolver.resolve(martenslip.sip.message.SipUri.parse(target)));
+                remoteTarget,
+                HopResolver.resolve(martenslip.sip.message.SipUri.parse(remoteTarget)));
     }
 
-    /** Sends a body; false where this subscriber has too many unanswered ones and must be told later. */
-    public boolean sendNotify(Subscription one, byte[] body) {
-        if (one.waiting >= MOST_WAITING) {
+    /** Sends a NOTIFY; returns false if this subscriber has too many unanswered ones and must be notified later. */
+    public boolean sendNotify(Subscription subscription, byte[] body) {
+        if (subscription.unansweredNotifies >= MAX_UNANSWERED_NOTIFIES) {
             return false;
         }
-        send(one, body, "active");
+        send(subscription, body, "active");
         return true;
     }
 
-    private void send(Subscription one, byte[] body, String state) {
+    private void send(Subscription subscription, byte[] body, String state) {
         Headers headers = new Headers();
         headers.add("Max-Forwards", "70")
-                .add("From", one.local)
-                .add("To", one.remote)
-                .add("Call-ID", one.callId);
-        headers.add("CSeq", ++one.number + " NOTIFY").add("Event", event).add("Subscription-State", state);
-        headers.add("Contact", calls.contactHeader(one.hop.protocol(), null));
-        Request request = new Request("NOTIFY", one.target, headers);
-        request.body(type, body);
-        one.waiting++;
-        calls.transactionLayer().send(request, one.hop, new ClientTransactionUser() {
+                .add("From", subscription.localNameAddr)
+                .add("To", subscription.remoteNameAddr)
+                .add("Call-ID", subscription.callId);
+        headers.add("CSeq", ++subscription.localCseq + " NOTIFY")
+                .add("Event", eventPackage)
+                .add("Subscription-State", state);
+        headers.add("Contact", dialogLayer.contactHeader(subscription.hop.protocol(), null));
+        Request request = new Request("NOTIFY", subscription.remoteTarget, headers);
+        request.body(contentType, body);
+        subscription.unansweredNotifies++;
+        dialogLayer.transactionLayer().send(request, subscription.hop, new ClientTransactionUser() {
             @Override
             public void responseReceived(ClientTransaction transaction, Response response) {
                 if (!response.isProvisional()) {
-                    one.waiting--;
+                    subscription.unansweredNotifies--;
                 }
                 if (response.status() == 481) {
-                    all.values().remove(one);
+                    subscriptionsByKey.values().remove(subscription);
                 }
             }
 
             @Override
-            public void failed(ClientTransaction transaction, RequestFailure why) {
-                // RFC 6665 4.2.2: a subscriber that can't be told is taken off.
-                all.values().remove(one);
+            public void failed(ClientTransaction transaction, RequestFailure reason) {
+                // RFC 6665 4.2.2: a subscription whose NOTIFY fails is removed.
+                subscriptionsByKey.values().remove(subscription);
             }
         });
     }
--- a/src/main/java/martenslip/sip/dialog/UacCall.java
+++ b/src/main/java/martenslip/sip/dialog/UacCall.java
@@ -10,11 +10,12 @@
 import martenslip.sip.transport.Hop;
 
 /**
- * The calling side of an INVITE dialog (RFC 3261 13.2, 9.1, 15). Once taken back it tells its listener nothing
- * more and cleans up alone: a 2xx that crossed the CANCEL gets its ACK and a BYE. Owned by the thread of its
- * {@link DialogLayer}.
+ * The UAC of an INVITE dialog (RFC 3261 13.2, 9.1, 15). After {@link #cancel} its listener is notified only of a
+ * delayed CANCEL, and a 2xx that crossed the CANCEL gets its ACK and a BYE. Owned by the thread of its {@link
+ * DialogLayer}.
  */
 public final class UacCall implements CallLeg, ClientTransactionUser {
+    /** CALLING: no final response yet; CANCELLED: cancelled, final response awaited. */
     enum State {
         CALLING,
         ESTABLISHED,
@@ -22,32 +23,40 @@
         ENDED
     }
 
-    /** Hears of the call until it ends or is taken back. */
+    /** Notified of the call until it ends or is cancelled. */
     public interface Listener {
+        /** A provisional response was received. */
         void progress(Response response);
 
-        /** The INVITE is complete and is about to leave. */
+        /** The INVITE is complete and is about to be sent. */
         default void beforeSend(Request invite, Hop to) {
-            // Most listeners need not know.
+            // Most listeners need no notification.
         }
 
-        /** The first 2xx; its ACK has been sent. */
+        /** The first 2xx was received; its ACK has been sent. */
         void established(Response response);
 
+        /** A final response other than 2xx was received. */
         void refused(Response response);
 
-        /** It was taken back before any response; the first one has come now, and only now its CANCEL has left. */
+        /**
+         * The call was cancelled before any response; the first response has come now, and only now was the CANCEL
+         * sent.
+         */
         default void delayedCancelSent() {
-            // Most listeners need not know.
+            // Most listeners need no notification.
         }
 
-        void failed(RequestFailure why);
+        /** No final response will come, or a 2xx established no dialog. */
+        void failed(RequestFailure reason);
 
-        /** A call that stood ended from the far side; {@code bye} is null without one. */
-        void ended(CallEndReason why, Request bye);
+        /**
+         * The established call ended without {@link UacCall#bye}; {@code bye} is the BYE of the remote side or null.
+         */
+        void ended(CallEndReason reason, Request bye);
     }
 
-    private final DialogLayer calls;
+    private final DialogLayer dialogLayer;
     private final Listener listener;
     private ClientTransaction transaction;
     private Dialog dialog;
@@ -56,49 +65,54 @@
     private boolean cancelSent;
     private String cancelReason;
 
-    UacCall(DialogLayer calls, Listener listener) {
-        this.calls = calls;
+    UacCall(DialogLayer dialogLayer, Listener listener) {
+        this.dialogLayer = dialogLayer;
         this.listener = listener;
     }
 
     void start(Request invite, Hop to) {
-        transaction = calls.send(invite, to, this);
+        transaction = dialogLayer.send(invite, to, this);
     }
 
     /** Takes over an INVITE that another thread had sent. */
     void takeOver(Request invite, Hop to) throws InvalidValueException {
-        transaction = calls.transactionLayer().takeOver(invite, to, false, this);
+        transaction = dialogLayer.transactionLayer().takeOver(invite, to, false, this);
     }
 
-    /** Takes over a call that stands. */
-    void takeOver(Request invite, Hop to, Response stood) throws InvalidValueException {
+    /** Takes over an established call. */
+    void takeOver(Request invite, Hop to, Response success) throws InvalidValueException {
         hasResponse = true;
         state = State.ESTABLISHED;
-        transaction = calls.transactionLayer().takeOver(invite, to, true, this);
-        dialog = Dialog.asClient(invite, stood);
-        dialog.skip();
-        calls.stands(this, dialog.id());
+        transaction = dialogLayer.transactionLayer().takeOver(invite, to, true, this);
+        dialog = Dialog.asUac(invite, success);
+        dialog.skipCseqNumbers();
+        dialogLayer.addLeg(this, dialog.id());
     }
 
     @Override
-    public void beforeSend(ClientTransaction which) {
-        listener.beforeSend(which.request(), which.hop());
+    public void beforeSend(ClientTransaction clientTransaction) {
+        listener.beforeSend(clientTransaction.request(), clientTransaction.hop());
     }
 
-    /** True once any response has come. */
+    /** True once any response has been received. */
     public boolean hasResponse() {
         return hasResponse;
     }
 
+    /** True from the first 2xx until the call ends. */
     public boolean isEstablished() {
         return state == State.ESTABLISHED;
     }
 
+    /** Address that the INVITE was sent to. */
     public Hop hop() {
         return transaction.hop();
     }
 
-    /** Takes the INVITE back; where it stands already, ends it. {@code reason} is a Reason value (RFC 3326). */
+    /**
+     * Cancels the INVITE; ends the call if it is established already. {@code reason} is a Reason value (RFC 3326) or
+     * null.
+     */
     public void cancel(String reason) {
         if (state == State.ESTABLISHED) {
             bye(reason);
@@ -112,15 +126,15 @@
     }
 
     private void sendCancel() {
-        // Before a provisional response no CANCEL may go (RFC 3261 9.1).
+        // No CANCEL may be sent before a provisional response (RFC 3261 9.1).
         if (hasResponse && !cancelSent && transaction.state() == ClientTransaction.State.PROCEEDING) {
             cancelSent = true;
-            calls.sendCancel(transaction.cancel(cancelReason), transaction.hop());
+            dialogLayer.sendCancel(transaction.createCancel(cancelReason), transaction.hop());
         }
     }
 
     @Override
-    public void responseReceived(ClientTransaction which, Response response) {
+    public void responseReceived(ClientTransaction clientTransaction, Response response) {
         hasResponse = true;
         if (response.isProvisional()) {
             if (state == State.CALLING) {
@@ -130,7 +144,7 @@
                 listener.delayedCancelSent();
             }
         } else if (response.isSuccess()) {
-            success(response);
+            handleSuccess(response);
         } else if (state == State.CALLING) {
             state = State.ENDED;
             listener.refused(response);
@@ -139,29 +153,29 @@
         }
     }
 
-    private void success(Response response) {
+    private void handleSuccess(Response response) {
         try {
             if (dialog != null && dialog.remoteTag().equals(response.to().tag())) {
-                // Its ACK was lost (RFC 3261 13.2.2.4).
-                calls.sendAck(dialog, transaction);
+                // A retransmitted 2xx: its ACK was lost (RFC 3261 13.2.2.4).
+                dialogLayer.sendAck(dialog, transaction);
                 return;
             }
-            Dialog begun = Dialog.asClient(transaction.request(), response);
-            calls.sendAck(begun, transaction);
+            Dialog newDialog = Dialog.asUac(transaction.request(), response);
+            dialogLayer.sendAck(newDialog, transaction);
             if (state != State.CALLING) {
-                // It crossed the CANCEL, or is another branch's of a fork: one call is wanted, or none.
-                calls.sendBye(begun, cancelReason);
-                dialog = dialog == null ? begun : dialog;
+                // The 2xx crossed the CANCEL or belongs to another branch of a fork; at most one call is wanted.
+                dialogLayer.sendBye(newDialog, cancelReason);
+                dialog = dialog == null ? newDialog : dialog;
                 state = state == State.ESTABLISHED ? State.ESTABLISHED : State.ENDED;
                 return;
             }
-            dialog = begun;
+            dialog = newDialog;
             state = State.ESTABLISHED;
-            calls.stands(this, dialog.id());
+            dialogLayer.addLeg(this, dialog.id());
             listener.established(response);
         } catch (InvalidValueException e) {
-            // A 2xx without what a dialog needs can't be acknowledged or ended; it counts as a refusal.
-            calls.drops().increment("2xx that makes no dialog");
+            // A 2xx that establishes no dialog can be neither acknowledged nor ended; the call fails.
+            dialogLayer.drops().increment("2xx that makes no dialog");
             if (state == State.CALLING) {
                 state = State.ENDED;
                 listener.failed(RequestFailure.BROKEN);
@@ -170,41 +184,41 @@
     }
 
     @Override
-    public void failed(ClientTransaction which, RequestFailure why) {
+    public void failed(ClientTransaction clientTransaction, RequestFailure reason) {
         if (state == State.CALLING) {
             state = State.ENDED;
-            listener.failed(why);
+            listener.failed(reason);
         } else if (state == State.CANCELLED) {
             state = State.ENDED;
         }
     }
 
     @Override
-    public void requestReceived(ServerTransaction next) throws InvalidValueException {
-        if (calls.endedBy(next, dialog) && state == State.ESTABLISHED) {
-            over();
-            listener.ended(CallEndReason.BYE, next.request());
+    public void requestReceived(ServerTransaction requestTransaction) throws InvalidValueException {
+        if (dialogLayer.answerInDialog(requestTransaction, dialog) && state == State.ESTABLISHED) {
+            markEnded();
+            listener.ended(CallEndReason.BYE, requestTransaction.request());
         }
     }
 
-    /** Ends a call that stands. */
+    /** Ends an established call; otherwise it does nothing. {@code reason} is a Reason value or null. */
     public void bye(String reason) {
         if (state == State.ESTABLISHED) {
-            calls.sendBye(dialog, reason);
-            over();
+            dialogLayer.sendBye(dialog, reason);
+            markEnded();
         }
     }
 
-    /** The connection it was set up over broke, and with it the call. */
-    void broken() {
+    /** The connection that the call was set up over was lost, which ends the call. */
+    void connectionLost() {
         if (state == State.ESTABLISHED) {
-            over();
+            markEnded();
             listener.ended(CallEndReason.CONNECTION_LOST, null);
         }
     }
 
-    private void over() {
+    private void markEnded() {
         state = State.ENDED;
-        calls.over(this, dialog.id());
+        dialogLayer.removeLeg(this, dialog.id());
     }
 }
--- a/src/main/java/martenslip/sip/dialog/UasCall.java
+++ b/src/main/java/martenslip/sip/dialog/UasCall.java
@@ -9,10 +9,11 @@
 import martenslip.sip.transaction.ServerTransaction;
 
 /**
- * The called side of an INVITE dialog (RFC 3261 13.3, 15). Exactly one final response leaves it: what comes
- * after the first is refused with false. Owned by the thread of its {@link DialogLayer}.
+ * The UAS of an INVITE dialog (RFC 3261 13.3, 15). Exactly one final response is sent; methods that would send another
+ * return false. Owned by the thread of its {@link DialogLayer}.
  */
 public final class UasCall implements CallLeg {
+    /** OPEN: no final response yet; ACCEPTED: 2xx sent, ACK awaited; CONFIRMED: ACK received. */
     enum State {
         OPEN,
         ACCEPTED,
@@ -20,228 +21,240 @@
         ENDED
     }
 
-    /** Hears of the call; the moments are those of the thread's wheel. */
+    /** Notified of the call on the thread of its {@link DialogLayer}. */
     public interface Listener {
-        /** The caller took its INVITE back; 487 has been sent. */
+        /** The caller cancelled the INVITE, or ended its early dialog; 487 has been sent. */
         void cancelled();
 
-        /** A call that stood ended from the far side; {@code bye} is null without one. */
-        void ended(CallEndReason why, Request bye);
+        /**
+         * The established call ended without {@link UasCall#bye}; {@code bye} is the BYE of the remote side or null.
+         */
+        void ended(CallEndReason reason, Request bye);
 
-        /** A final answer that this side gives by itself is about to leave. */
-        default void beforeFinalResponse(Response last) {
-            // Most listeners need not know.
+        /** A final response that this side generates itself is about to be sent. */
+        default void beforeFinalResponse(Response response) {
+            // Most listeners need no notification.
         }
 
         /** The 2xx was acknowledged. */
         default void confirmed() {
-            // Most listeners need not know.
+            // Most listeners need no notification.
         }
 
-        /** The INVITE, should it come once more, would now count as a new one. */
+        /** The server transaction has ended: the INVITE, if received again, begins a new call. */
         default void transactionEnded() {
-            // Most listeners need not know.
+            // Most listeners need no notification.
         }
     }
 
-    private final DialogLayer calls;
+    private final DialogLayer dialogLayer;
     private final ServerTransaction transaction;
     private final Dialog dialog;
-    private final String tag;
+    private final String localTag;
     private Listener listener;
     private State state = State.OPEN;
-    private Response accepted;
-    private Span gap;
-    private TimerWheel.Timer repeat;
-    private TimerWheel.Timer giveUp;
-    private boolean byeWanted;
+    private Response successResponse;
+    private Span retransmitInterval;
+    private TimerWheel.Timer retransmitTimer;
+    private TimerWheel.Timer ackTimer;
+    /** The BYE is sent once the ACK has arrived. */
+    private boolean byePending;
+
     private String byeReason;
 
-    UasCall(DialogLayer calls, ServerTransaction transaction, Dialog dialog) {
-        this.calls = calls;
+    UasCall(DialogLayer dialogLayer, ServerTransaction transaction, Dialog dialog) {
+        this.dialogLayer = dialogLayer;
         this.transaction = transaction;
         this.dialog = dialog;
-        tag = dialog.localTag();
+        localTag = dialog.localTag();
     }
 
+    /** The INVITE. */
     public Request invite() {
         return transaction.request();
     }
 
+    /** The server transaction of the INVITE. */
     public ServerTransaction transaction() {
         return transaction;
     }
 
-    /** The tag that this side gave the dialog. */
+    /** The local tag of the dialog. */
     public String tag() {
-        return tag;
+        return localTag;
     }
 
-    public void setListener(Listener one) {
-        listener = one;
+    /** Sets the listener; it must be set before any event of the call. */
+    public void setListener(Listener newListener) {
+        listener = newListener;
     }
 
-    /** A response with this dialog's tag, to be completed and sent. */
+    /** A response with the tag of this dialog, to be completed and sent. */
     public Response response(int status, String reason) {
-        return invite().createResponse(status, reason, tag);
+        return invite().createResponse(status, reason, localTag);
     }
 
-    /** True while a final response is owed. */
+    /** True while no final response has been sent. */
     public boolean isPending() {
         return state == State.OPEN;
     }
 
+    /** Sends a provisional response, with a Contact if its status is above 100; false once a final one was sent. */
     public boolean progress(Response response) {
         if (response.status() > 100) {
             response.headers()
-                    .add("Contact", calls.contactHeader(transaction.from().protocol(), contactUser));
+                    .add("Contact", dialogLayer.contactHeader(transaction.from().protocol(), setContactUser));
         }
         return state == State.OPEN && transaction.respond(response);
     }
 
-    private String contactUser;
+    private String setContactUser;
 
-    /** The user part that this side's Contact bears; without one it bears none. */
-    public void contactUser(String user) {
-        contactUser = user;
+    /** Sets the user part of this side's Contact; without one the Contact has none. */
+    public void setContactUser(String user) {
+        setContactUser = user;
     }
 
-    /** Sends a final response other than 2xx. */
+    /** Sends a final response other than 2xx; false if a final response was sent before. */
     public boolean refuse(Response response) {
         if (state != State.OPEN) {
             return false;
         }
-        over();
+        markEnded();
         return transaction.respond(response);
     }
 
-    /** Sends a 2xx and repeats it until its ACK comes (RFC 3261 13.3.1.4). */
+    /**
+     * Sends a 2xx and retransmits it until its ACK arrives (RFC 3261 13.3.1.4); false if a final response was sent
+     * before.
+     */
     public boolean accept(Response response) {
         if (state != State.OPEN) {
             return false;
         }
         state = State.ACCEPTED;
-        response.headers().add("Contact", calls.contactHeader(transaction.from().protocol(), contactUser));
-        accepted = response;
+        response.headers()
+                .add("Contact", dialogLayer.contactHeader(transaction.from().protocol(), setContactUser));
+        successResponse = response;
         transaction.respond(response);
-        gap = calls.timers().t1();
-        repeat = calls.timerWheel().scheduleAfter(gap, this::again);
-        giveUp = calls.timerWheel().scheduleAfter(calls.timers().transactionTimeout(), this::unacknowledged);
+        retransmitInterval = dialogLayer.timers().t1();
+        retransmitTimer = dialogLayer.timerWheel().scheduleAfter(retransmitInterval, this::retransmit);
+        ackTimer = dialogLayer.timerWheel().scheduleAfter(dialogLayer.timers().transactionTimeout(), this::ackTimedOut);
         return true;
     }
 
-    /** Taken over from another thread after its refusal was sent. */
+    /** Restores a call taken over from another thread after its refusal was sent. */
     public void restoreRefused(Response response) {
-        over();
+        markEnded();
         transaction.restoreRefused(response);
     }
 
-    /** Taken over from another thread after its 2xx was acknowledged: it stands, and nothing is sent. */
-    void standsAlready() {
+    /** Restores a call taken over from another thread after its 2xx was acknowledged; nothing is sent. */
+    void restoreConfirmed() {
         state = State.CONFIRMED;
         transaction.restoreAccepted();
     }
 
-    void transactionOver() {
+    void transactionEnded() {
         if (listener != null) {
             listener.transactionEnded();
         }
     }
 
-    private void again() {
+    private void retransmit() {
         if (state == State.ACCEPTED) {
-            transaction.respond(accepted);
-            gap = calls.timers().nextInterval(gap);
-            repeat = calls.timerWheel().scheduleAfter(gap, this::again);
+            transaction.respond(successResponse);
+            retransmitInterval = dialogLayer.timers().nextInterval(retransmitInterval);
+            retransmitTimer = dialogLayer.timerWheel().scheduleAfter(retransmitInterval, this::retransmit);
         }
     }
 
-    private void unacknowledged() {
+    private void ackTimedOut() {
         if (state == State.ACCEPTED) {
             sendBye("SIP;cause=408;text=\"No ACK\"");
             end(CallEndReason.NO_ACK, null);
         }
     }
 
-    void acked() {
+    void ackReceived() {
         if (state == State.ACCEPTED) {
             state = State.CONFIRMED;
-            accepted = null;
-            stop();
+            successResponse = null;
+            stopTimers();
             listener.confirmed();
-            if (byeWanted) {
+            if (byePending) {
                 sendBye(byeReason);
-                over();
+                markEnded();
             }
         }
     }
 
     void cancelled() {
         if (state == State.OPEN) {
-            terminated();
+            terminate();
         }
     }
 
-    private void terminated() {
-        Response last = response(487, "Request Terminated");
-        listener.beforeFinalResponse(last);
-        refuse(last);
+    private void terminate() {
+        Response response = response(487, "Request Terminated");
+        listener.beforeFinalResponse(response);
+        refuse(response);
         listener.cancelled();
     }
 
     @Override
-    public void requestReceived(ServerTransaction next) throws InvalidValueException {
-        if (!calls.endedBy(next, dialog)) {
+    public void requestReceived(ServerTransaction requestTransaction) throws InvalidValueException {
+        if (!dialogLayer.answerInDialog(requestTransaction, dialog)) {
             return;
         }
         if (state == State.OPEN) {
-            // A BYE of an early dialog ends the INVITE too (RFC 3261 15.1.2).
-            terminated();
+            // A BYE in an early dialog also ends the INVITE (RFC 3261 15.1.2).
+            terminate();
         } else {
-            end(CallEndReason.BYE, next.request());
+            end(CallEndReason.BYE, requestTransaction.request());
         }
     }
 
-    /** Ends a call that stands. Before the ACK a called side may not say BYE, so it waits for it (RFC 3261 15). */
+    /** Ends an established call. A UAS must not send BYE before the ACK, so the BYE waits for it (RFC 3261 15). */
     public void bye(String reason) {
         if (state == State.CONFIRMED) {
             sendBye(reason);
-            over();
+            markEnded();
         } else if (state == State.ACCEPTED) {
-            byeWanted = true;
+            byePending = true;
             byeReason = reason;
         }
     }
 
     private void sendBye(String reason) {
-        calls.sendBye(dialog, reason);
+        dialogLayer.sendBye(dialog, reason);
     }
 
-    private void end(CallEndReason why, Request bye) {
+    private void end(CallEndReason reason, Request bye) {
         if (state != State.ENDED) {
-            boolean told = byeWanted;
-            over();
-            if (!told) {
-                listener.ended(why, bye);
+            boolean localByePending = byePending;
+            markEnded();
+            if (!localByePending) {
+                listener.ended(reason, bye);
             }
         }
     }
 
-    private void stop() {
-        if (repeat != null) {
-            repeat.cancel();
-            giveUp.cancel();
+    private void stopTimers() {
+        if (retransmitTimer != null) {
+            retransmitTimer.cancel();
+            ackTimer.cancel();
         }
     }
 
-    private void over() {
+    private void markEnded() {
         state = State.ENDED;
-        stop();
-        calls.over(this, dialog.id());
+        stopTimers();
+        dialogLayer.removeLeg(this, dialog.id());
     }
 
-    /** The INVITE's To with the tag of this side, for logs. */
-    public String number() {
+    /** The user part of the Request-URI, which is the dialled number; empty if there is none. */
+    public String dialledNumber() {
         try {
             SipUri uri = invite().parsedUri();
             return uri.unescapedUser() == null ? "" : uri.unescapedUser();
--- a/src/main/java/martenslip/sip/message/CSeq.java
+++ b/src/main/java/martenslip/sip/message/CSeq.java
@@ -1,18 +1,19 @@
 package martenslip.sip.message;
 
-/** Sequence number, under 2^31, and method (RFC 3261 20.16). */
+/** Value of a CSeq header: sequence number under 2^31 and method (RFC 3261 20.16). */
 public record CSeq(long number, String method) {
-    private static final long MOST = (1L << 31) - 1;
+    private static final long MAX_NUMBER = (1L << 31) - 1;
 
+    /** Parses a CSeq value. */
     public static CSeq parse(String text) throws InvalidValueException {
-        String all = text.trim();
-        int blank = 0;
-        while (blank < all.length() && all.charAt(blank) != ' ' && all.charAt(blank) != '\t') {
-            blank++;
+        String trimmed = text.trim();
+        int numberEnd = 0;
+        while (numberEnd < trimmed.length() && trimmed.charAt(numberEnd) != ' ' && trimmed.charAt(numberEnd) != '\t') {
+            numberEnd++;
         }
-        String method = all.substring(blank).trim();
-        long number = HeaderScanner.number(all.substring(0, blank), MOST);
-        if (number < 0 || !HeaderScanner.token(method)) {
+        String method = trimmed.substring(numberEnd).trim();
+        long number = HeaderScanner.parseNumber(trimmed.substring(0, numberEnd), MAX_NUMBER);
+        if (number < 0 || !HeaderScanner.isToken(method)) {
             throw new InvalidValueException("no number and method: " + text);
         }
         return new CSeq(number, method);
--- a/src/main/java/martenslip/sip/message/Digits.java
+++ b/src/main/java/martenslip/sip/message/Digits.java
@@ -1,20 +1,24 @@
 package martenslip.sip.message;
 
-/** Numbers without sign in header values, read without patterns: they stand in every message. */
+/** Checks of unsigned numbers in header values. They occur in every message, so no regular expressions are used. */
 public final class Digits {
+    private static final int MAX_E164_DIGITS = 15;
+    private static final int MAX_INTEGER_DIGITS = 9;
+    private static final int MAX_FRACTION_DIGITS = 6;
+
     private Digits() {}
 
-    /** True for 1 to {@code most} decimal digits and nothing else. */
-    public static boolean isDigits(String text, int most) {
-        return text != null && within(text, 0, text.length(), most);
+    /** True for 1 to {@code maxDigits} decimal digits and nothing else. */
+    public static boolean isDigits(String text, int maxDigits) {
+        return text != null && isDigitRange(text, 0, text.length(), maxDigits);
     }
 
-    /** True where text from a place to another is 1 to {@code most} digits. */
-    private static boolean within(String text, int from, int to, int most) {
-        if (to <= from || to - from > most) {
+    /** True if the text from {@code start} to {@code end} (exclusive) is 1 to {@code maxDigits} digits. */
+    private static boolean isDigitRange(String text, int start, int end, int maxDigits) {
+        if (end <= start || end - start > maxDigits) {
             return false;
         }
-        for (int i = from; i < to; i++) {
+        for (int i = start; i < end; i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
                 return false;
             }
@@ -22,18 +26,23 @@
         return true;
     }
 
-    /** A telephone number: a plus sign or none, and 1 to 15 digits (E.164). */
+    /** True for a telephone number: an optional plus sign and 1 to 15 digits (E.164). */
     public static boolean isTelephoneNumber(String text) {
-        return text != null && within(text, text.startsWith("+") ? 1 : 0, text.length(), 15);
+        return text != null && isDigitRange(text, text.startsWith("+") ? 1 : 0, text.length(), MAX_E164_DIGITS);
     }
 
-    /** A number with a fraction or none, up to 9 digits before the point and 6 after it; -1 where it is none. */
+    /**
+     * Parses a number of up to 9 digits with an optional fraction of up to 6 digits; -1 if the text is not such a
+     * number.
+     */
     public static double parseDecimal(String text) {
         if (text == null) {
             return -1;
         }
         int point = text.indexOf('.');
-        boolean whole = within(text, 0, point < 0 ? text.length() : point, 9);
-        return whole && (point < 0 || within(text, point + 1, text.length(), 6)) ? Double.parseDouble(text) : -1;
+        boolean integerPartValid = isDigitRange(text, 0, point < 0 ? text.length() : point, MAX_INTEGER_DIGITS);
+        return integerPartValid && (point < 0 || isDigitRange(text, point + 1, text.length(), MAX_FRACTION_DIGITS))
+                ? Double.parseDouble(text)
+                : -1;
     }
 }
--- a/src/main/java/martenslip/sip/message/HeaderNames.java
+++ b/src/main/java/martenslip/sip/message/HeaderNames.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Names of header fields: compact forms (RFC 3261 7.3.3, 20) and the one spelling that is kept of each. */
+/** Header field names: compact forms (RFC 3261 7.3.3, 20) and the canonical spelling under which a field is stored. */
 public final class HeaderNames {
-    /** Those that stand in nearly every message. */
-    private static final String[] USUAL = {
+    /** Names that occur in nearly every message. */
+    private static final String[] FREQUENT_NAMES = {
         "Via",
         "From",
         "To",
@@ -31,9 +31,10 @@
         "Routing-Data"
     };
 
-    private static final Map<String, String> KNOWN = new HashMap<>();
-    /** Fields whose values may stand in one line, parted by commas; each becomes a field of its own. */
-    private static final Set<String> LISTS = Set.of(
+    /** Canonical names by lower-case long form and by compact form. */
+    private static final Map<String, String> CANONICAL_NAMES = new HashMap<>();
+    /** Fields whose values may share one line, separated by commas; each value is stored as a field of its own. */
+    private static final Set<String> COMMA_SEPARATED = Set.of(
             "Via",
             "Route",
             "Record-Route",
@@ -45,8 +46,8 @@
             "Allow",
             "Reason",
             "Resource-Priority");
-    /** Fields of which a message has one at most (RFC 3261 7.3.1). */
-    private static final Set<String> SINGLE = Set.of(
+    /** Fields that a message has at most once (RFC 3261 7.3.1). */
+    private static final Set<String> SINGLE_VALUED = Set.of(
             "From",
             "To",
             "Call-ID",
@@ -100,9 +101,10 @@
             "Routing-Data",
             "Come-Back-Ms"
         }) {
-            KNOWN.put(name.toLowerCase(Locale.ROOT), name);
+            CANONICAL_NAMES.put(name.toLowerCase(Locale.ROOT), name);
         }
-        String[] compact = {
+        // Pairs of compact and long form.
+        String[] compactForms = {
             "i",
             "Call-ID",
             "m",
@@ -134,46 +136,46 @@
             "x",
             "Session-Expires"
         };
-        for (int i = 0; i < compact.length; i += 2) {
-            KNOWN.put(compact[i], compact[i + 1]);
+        for (int i = 0; i < compactForms.length; i += 2) {
+            CANONICAL_NAMES.put(compactForms[i], compactForms[i + 1]);
         }
     }
 
     private HeaderNames() {}
 
-    /** The long form in its usual spelling; a name that is not known stays as it was written. */
+    /** The long form in its canonical spelling; an unknown name is returned as written. */
     public static String canonical(String written) {
-        String same = KNOWN.get(written);
-        if (same != null) {
-            return same;
+        String exact = CANONICAL_NAMES.get(written);
+        if (exact != null) {
+            return exact;
         }
-        return KNOWN.getOrDefault(written.toLowerCase(Locale.ROOT), written);
+        return CANONICAL_NAMES.getOrDefault(written.toLowerCase(Locale.ROOT), written);
     }
 
-    /** The name that stands in these bytes in its usual spelling, or null. */
-    static String usual(byte[] bytes, int from, int to) {
-        for (String name : USUAL) {
-            if (name.length() == to - from && name.charAt(0) == bytes[from] && same(name, bytes, from)) {
+    /** The frequent name that these bytes spell exactly, or null; avoids creating a string. */
+    static String frequentName(byte[] bytes, int start, int end) {
+        for (String name : FREQUENT_NAMES) {
+            if (name.length() == end - start && name.charAt(0) == bytes[start] && matches(name, bytes, start)) {
                 return name;
             }
         }
         return null;
     }
 
-    private static boolean same(String name, byte[] bytes, int from) {
+    private static boolean matches(String name, byte[] bytes, int start) {
         for (int i = 1; i < name.length(); i++) {
-            if (name.charAt(i) != bytes[from + i]) {
+            if (name.charAt(i) != bytes[start + i]) {
                 return false;
             }
         }
         return true;
     }
 
-    static boolean list(String canonical) {
-        return LISTS.contains(canonical);
+    static boolean isCommaSeparated(String canonical) {
+        return COMMA_SEPARATED.contains(canonical);
     }
 
-    static boolean single(String canonical) {
-        return SINGLE.contains(canonical);
+    static boolean isSingleValued(String canonical) {
+        return SINGLE_VALUED.contains(canonical);
     }
 }
--- a/src/main/java/martenslip/sip/message/HeaderScanner.java
+++ b/src/main/java/martenslip/sip/message/HeaderScanner.java
@@ -6,13 +6,17 @@
 
 /** Scanning of header values past quoted strings and angle brackets (RFC 3261 25.1). */
 final class HeaderScanner {
+    /** Numbers of so many digits always fit into a long. */
+    private static final int MAX_LONG_DIGITS = 18;
+
     private HeaderScanner() {}
 
-    /** The first place of {@code wanted} that is neither in a quoted string nor between angle brackets, or -1. */
-    static int outside(String text, char wanted, int from) {
+    /** Index of the first {@code wanted} that is neither in a quoted string nor between angle brackets, or -1. */
+    static int indexOutsideQuotes(String text, char wanted, int start) {
         boolean quoted = false;
         boolean angle = false;
-        for (int i = from; i < text.length(); i++) {
+        int i = start;
+        while (i < text.length()) {
             char c = text.charAt(i);
             if (quoted) {
                 if (c == '\\') {
@@ -29,44 +33,49 @@
             } else if (c == '>') {
                 angle = false;
             }
+            i++;
         }
         return -1;
     }
 
-    /** Parts between separators, trimmed; an empty part is kept, as it is for the caller to refuse. */
+    /**
+     * Splits at separators outside quotes and brackets and trims the parts. Empty parts are kept; the caller rejects
+     * them.
+     */
     static List<String> split(String text, char separator) {
-        // Most values have none at all, and then quotes and brackets don't matter.
-        int at = text.indexOf(separator) < 0 ? -1 : outside(text, separator, 0);
-        if (at < 0) {
+        // Most values contain no separator at all; quotes and brackets need no scanning then.
+        int separatorIndex = text.indexOf(separator) < 0 ? -1 : indexOutsideQuotes(text, separator, 0);
+        if (separatorIndex < 0) {
             return List.of(text.trim());
         }
         List<String> parts = new ArrayList<>();
-        int from = 0;
-        for (; at >= 0; at = outside(text, separator, from)) {
-            parts.add(text.substring(from, at).trim());
-            from = at + 1;
+        int partStart = 0;
+        for (; separatorIndex >= 0; separatorIndex = indexOutsideQuotes(text, separator, partStart)) {
+            parts.add(text.substring(partStart, separatorIndex).trim());
+            partStart = separatorIndex + 1;
         }
-        parts.add(text.substring(from).trim());
+        parts.add(text.substring(partStart).trim());
         return parts;
     }
 
-    static boolean token(String text) {
+    /** True if the text is a token (RFC 3261 25.1). */
+    static boolean isToken(String text) {
         if (text.isEmpty()) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            boolean word = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9';
-            if (!word && "-.!%*_+`'~".indexOf(c) < 0) {
+            boolean alphanumeric = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9';
+            if (!alphanumeric && "-.!%*_+`'~".indexOf(c) < 0) {
                 return false;
             }
         }
         return true;
     }
 
-    /** A number without sign; -1 where it is none or over the limit. */
-    static long number(String text, long limit) {
-        if (text.isEmpty() || text.length() > 18) {
+    /** Parses an unsigned number; -1 if the text is not a number or exceeds {@code max}. */
+    static long parseNumber(String text, long max) {
+        if (text.isEmpty() || text.length() > MAX_LONG_DIGITS) {
             return -1;
         }
         long value = 0;
@@ -77,7 +86,7 @@
             }
             value = value * 10 + digit;
         }
-        return value > limit ? -1 : value;
+        return value > max ? -1 : value;
     }
 
     static byte[] utf8(String text) {
--- a/src/main/java/martenslip/sip/message/Headers.java
+++ b/src/main/java/martenslip/sip/message/Headers.java
@@ -3,12 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Header fields in the order they stand; names are in their one spelling. Not for several threads at once. */
+/**
+ * Header fields of a message in their order. Names are in the spelling of {@link HeaderNames#canonical}. Not thread-
+ * safe.
+ */
 public final class Headers {
     private record Field(String name, String value) {}
 
     private final List<Field> fields;
 
+    /** Creates an empty list of fields. */
     public Headers() {
         fields = new ArrayList<>(16);
     }
@@ -17,72 +21,77 @@
         this.fields = new ArrayList<>(fields);
     }
 
+    /** An independent copy. */
     public Headers copy() {
         return new Headers(fields);
     }
 
+    /** The number of fields. */
     public int count() {
         return fields.size();
     }
 
     /** The first value of the name, or null. */
     public String first(String name) {
-        int at = at(name, 0);
-        return at < 0 ? null : fields.get(at).value;
+        int index = indexOf(name, 0);
+        return index < 0 ? null : fields.get(index).value;
     }
 
+    /** All values of the name in their order. */
     public List<String> all(String name) {
         List<String> values = new ArrayList<>(2);
-        for (int at = at(name, 0); at >= 0; at = at(name, at + 1)) {
-            values.add(fields.get(at).value);
+        for (int index = indexOf(name, 0); index >= 0; index = indexOf(name, index + 1)) {
+            values.add(fields.get(index).value);
         }
         return values;
     }
 
+    /** Appends a field; the name may be in any spelling. */
     public Headers add(String name, Object value) {
         fields.add(new Field(HeaderNames.canonical(name), value.toString()));
         return this;
     }
 
-    /** Before all others of its name, as a Via or a Record-Route is put. */
+    /** Inserts a field before all others of its name, as a new Via or Record-Route requires. */
     public Headers addFirst(String name, Object value) {
-        int at = at(name, 0);
-        fields.add(Math.max(0, at), new Field(name, value.toString()));
+        int index = indexOf(name, 0);
+        fields.add(Math.max(0, index), new Field(name, value.toString()));
         return this;
     }
 
-    /** In place of the first of the name, or at the end. */
+    /** Replaces the first field of the name, or appends one if there is none. */
     public Headers set(String name, Object value) {
-        int at = at(name, 0);
-        if (at < 0) {
+        int index = indexOf(name, 0);
+        if (index < 0) {
             return add(name, value);
         }
-        fields.set(at, new Field(name, value.toString()));
+        fields.set(index, new Field(name, value.toString()));
         return this;
     }
 
-    /** Takes the first of the name away. */
+    /** Removes the first field of the name. */
     public Headers removeFirst(String name) {
-        int at = at(name, 0);
-        if (at >= 0) {
-            fields.remove(at);
+        int index = indexOf(name, 0);
+        if (index >= 0) {
+            fields.remove(index);
         }
         return this;
     }
 
+    /** Removes all fields of the name. */
     public Headers removeAll(String name) {
         fields.removeIf(field -> field.name.equals(name));
         return this;
     }
 
-    /** All of the name of another message, in their order. */
+    /** Appends all fields of the name of another message in their order. */
     public Headers copyFrom(Headers other, String name) {
         other.all(name).forEach(value -> add(name, value));
         return this;
     }
 
-    private int at(String name, int from) {
-        for (int i = from; i < fields.size(); i++) {
+    private int indexOf(String name, int start) {
+        for (int i = start; i < fields.size(); i++) {
             if (fields.get(i).name.equals(name)) {
                 return i;
             }
--- a/src/main/java/martenslip/sip/message/InvalidValueException.java
+++ b/src/main/java/martenslip/sip/message/InvalidValueException.java
@@ -1,10 +1,14 @@
 package martenslip.sip.message;
 
-/** A value that does not follow its grammar; the message says which and what was read. */
+/**
+ * A value that does not follow its grammar; the message names the violation and the text. It can reach the peer as a
+ * reason phrase.
+ */
 public final class InvalidValueException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public InvalidValueException(String what) {
-        super(what, null, false, false);
+    /** Creates the exception without a stack trace, as peers can cause it at any rate. */
+    public InvalidValueException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/martenslip/sip/message/Message.java
+++ b/src/main/java/martenslip/sip/message/Message.java
@@ -2,11 +2,12 @@
 
 import java.util.Arrays;
 
-/** A request or a response. Its typed values are read when asked for; what arrived was checked before. */
+/** A request or a response. Typed header values are parsed on access; a received message has been checked before. */
 public abstract sealed class Message permits Request, Response {
     private static final byte[] NO_BODY = {};
     private final Headers headers;
     private byte[] body = NO_BODY;
+    // Parsed values, each with the text it was parsed from where that may change.
     private CSeq cseq;
     private Via via;
     private String viaText;
@@ -19,15 +20,17 @@
         this.headers = headers;
     }
 
+    /** The header fields; they may be changed. */
     public Headers headers() {
         return headers;
     }
 
+    /** The body, empty if there is none. It is not copied. */
     public byte[] body() {
         return body;
     }
 
-    /** Sets body and type; without a body the type goes too. */
+    /** Sets the body and its Content-Type; an empty body removes the Content-Type. */
     public void body(String type, byte[] bytes) {
         body = bytes;
         headers.removeAll("Content-Type");
@@ -36,7 +39,7 @@
         }
     }
 
-    void received(byte[] bytes) {
+    void setReceivedBody(byte[] bytes) {
         body = bytes;
     }
 
@@ -53,15 +56,17 @@
         return via;
     }
 
+    /** The parsed CSeq. */
     public CSeq cseq() throws InvalidValueException {
         if (cseq == null) {
-            cseq = CSeq.parse(need("CSeq"));
+            cseq = CSeq.parse(require("CSeq"));
         }
         return cseq;
     }
 
+    /** The parsed From. */
     public NameAddr from() throws InvalidValueException {
-        String text = need("From");
+        String text = require("From");
         if (!text.equals(fromText)) {
             from = NameAddr.parse(text);
             fromText = text;
@@ -69,8 +74,9 @@
         return from;
     }
 
+    /** The parsed To. */
     public NameAddr to() throws InvalidValueException {
-        String text = need("To");
+        String text = require("To");
         if (!text.equals(toText)) {
             to = NameAddr.parse(text);
             toText = text;
@@ -78,11 +84,12 @@
         return to;
     }
 
+    /** The Call-ID, or null if there is none. */
     public String callId() {
         return headers.first("Call-ID");
     }
 
-    private String need(String name) throws InvalidValueException {
+    private String require(String name) throws InvalidValueException {
         String value = headers.first(name);
         if (value == null) {
             throw new InvalidValueException("no " + name);
@@ -92,21 +99,21 @@
 
     abstract String startLine();
 
-    /** As it goes on the wire, with Content-Length last. */
+    /** The message as sent on the wire, with Content-Length as its last header. */
     public byte[] bytes() {
         StringBuilder text = new StringBuilder(512).append(startLine()).append("\r\n");
         headers.removeAll("Content-Length");
         headers.write(text);
-        byte[] head = HeaderScanner.utf8(text.append("Content-Length: ")
+        byte[] header = HeaderScanner.utf8(text.append("Content-Length: ")
                 .append(body.length)
                 .append("\r\n\r\n")
                 .toString());
         if (body.length == 0) {
-            return head;
+            return header;
         }
-        byte[] all = Arrays.copyOf(head, head.length + body.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        return all;
+        byte[] encoded = Arrays.copyOf(header, header.length + body.length);
+        System.arraycopy(body, 0, encoded, header.length, body.length);
+        return encoded;
     }
 
     @Override
--- a/src/main/java/martenslip/sip/message/MessageParser.java
+++ b/src/main/java/martenslip/sip/message/MessageParser.java
@@ -5,214 +5,241 @@
 import java.util.List;
 
 /**
- * Bytes into a message (RFC 3261 7). It reads on after a fault, since an answer needs Via, From, To, Call-ID
- * and CSeq; the first fault found is the one told. Without state; any thread may call.
+ * Parses bytes into a message (RFC 3261 7). Parsing continues after a fault, since an error response needs Via, From,
+ * To, Call-ID and CSeq; the first fault found is reported. The fault text can reach the peer as a reason phrase. The
+ * static methods may be called by any thread.
  */
 public final class MessageParser {
+    /** Limit of a whole message; a longer one is answered with 513. */
     public static final int MAX_MESSAGE_BYTES = 64 * 1024;
+    /** Limit of header lines. */
     public static final int MAX_LINES = 128;
+    /** Limit of one line with what is folded onto it. */
     public static final int MAX_LINE_BYTES = 8 * 1024;
 
-    private static final List<String> ALL = List.of("Via", "From", "To", "Call-ID", "CSeq");
-    private static final List<String> LEAN = List.of("Call-ID", "CSeq");
+    private static final int MAX_FAULT_TEXT_LENGTH = 120;
+    private static final int TRUNCATED_LINE_LENGTH = 64;
+
+    private static final List<String> ALL_MANDATORY = List.of("Via", "From", "To", "Call-ID", "CSeq");
+    private static final List<String> MINIMAL_MANDATORY = List.of("Call-ID", "CSeq");
 
     private final byte[] bytes;
     private final int end;
-    private int at;
+    private int position;
+    /** Status of the response to the first fault; 0 while there is none. */
     private int status;
+
     private String fault;
     private final Headers headers = new Headers();
 
-    private final List<String> needed;
+    private final List<String> mandatoryNames;
 
-    private MessageParser(byte[] bytes, int length, List<String> needed) {
+    private MessageParser(byte[] bytes, int length, List<String> mandatoryNames) {
         this.bytes = bytes;
         end = length;
-        this.needed = needed;
+        this.mandatoryNames = mandatoryNames;
     }
 
-    /** Reads a datagram: its body ends with it, whatever follows the stated length is dropped (18.3). */
+    /**
+     * Parses a datagram: the body ends with the datagram, and bytes after the declared length are dropped (RFC 3261
+     * 18.3).
+     */
     public static ParseResult parse(byte[] bytes, int length) {
-        return new MessageParser(bytes, length, ALL).read();
+        return new MessageParser(bytes, length, ALL_MANDATORY).readMessage();
     }
 
-    /** For a stream between two machines that match messages by Call-ID and CSeq alone: nothing else is needed. */
+    /**
+     * Parses a message between two machines that match messages by Call-ID and CSeq alone: no other header is
+     * mandatory.
+     */
     public static ParseResult parseMinimal(byte[] bytes, int length) {
-        return new MessageParser(bytes, length, LEAN).read();
+        return new MessageParser(bytes, length, MINIMAL_MANDATORY).readMessage();
     }
 
-    private ParseResult read() {
+    private ParseResult readMessage() {
         if (end > MAX_MESSAGE_BYTES) {
             return new ParseResult(null, 513, "message over " + MAX_MESSAGE_BYTES + " bytes");
         }
-        while (at < end && (bytes[at] == '\r' || bytes[at] == '\n')) {
-            at++;
+        while (position < end && (bytes[position] == '\r' || bytes[position] == '\n')) {
+            position++;
         }
-        String start = line();
-        if (start == null || start.isEmpty()) {
+        String startLine = readLine();
+        if (startLine == null || startLine.isEmpty()) {
             return new ParseResult(null, 400, "no start line");
         }
-        boolean response = start.startsWith("SIP/");
-        Message message = response ? response(start) : request(start);
+        boolean response = startLine.startsWith("SIP/");
+        Message message = response ? parseStatusLine(startLine) : parseRequestLine(startLine);
         if (message == null) {
             return new ParseResult(null, status, fault);
         }
-        fields();
-        check(message, response);
-        body(message);
-        boolean usable = needed.stream().allMatch(name -> headers.first(name) != null);
+        readHeaderFields();
+        checkHeaders(message, response);
+        readBody(message);
+        boolean usable = mandatoryNames.stream().allMatch(name -> headers.first(name) != null);
         return new ParseResult(usable ? message : null, status, fault);
     }
 
-    private void wrong(int code, String what) {
+    private void recordFault(int statusCode, String description) {
         if (status == 0) {
-            status = code;
-            fault = what.length() > 120 ? what.substring(0, 120) : what;
+            status = statusCode;
+            fault = description.length() > MAX_FAULT_TEXT_LENGTH
+                    ? description.substring(0, MAX_FAULT_TEXT_LENGTH)
+                    : description;
         }
     }
 
-    /** The next line with what is folded onto it; null at the end of what there is. */
-    private String line() {
-        if (at >= end) {
+    /** The next line with its folded continuation lines; null at the end of the input. */
+    private String readLine() {
+        if (position >= end) {
             return null;
         }
-        String text = plainLine();
-        while (at < end && !text.isEmpty() && (bytes[at] == ' ' || bytes[at] == '\t')) {
-            text = text + " " + plainLine().trim();
+        String text = readPhysicalLine();
+        while (position < end && !text.isEmpty() && (bytes[position] == ' ' || bytes[position] == '\t')) {
+            text = text + " " + readPhysicalLine().trim();
             if (text.length() > MAX_LINE_BYTES) {
-                wrong(400, "a line over " + MAX_LINE_BYTES + " bytes");
-                text = text.substring(0, 64);
+                recordFault(400, "a line over " + MAX_LINE_BYTES + " bytes");
+                text = text.substring(0, TRUNCATED_LINE_LENGTH);
             }
         }
         return text;
     }
 
-    private String plainLine() {
-        int from = at;
-        while (at < end && bytes[at] != '\n') {
-            at++;
+    /** One line up to its line feed, without continuation lines. */
+    private String readPhysicalLine() {
+        int start = position;
+        while (position < end && bytes[position] != '\n') {
+            position++;
         }
-        int to = at > from && bytes[at - 1] == '\r' ? at - 1 : at;
-        at = Math.min(end, at + 1);
-        if (to - from > MAX_LINE_BYTES) {
-            wrong(400, "a line over " + MAX_LINE_BYTES + " bytes");
-            to = from + 64;
+        int contentEnd = position > start && bytes[position - 1] == '\r' ? position - 1 : position;
+        position = Math.min(end, position + 1);
+        if (contentEnd - start > MAX_LINE_BYTES) {
+            recordFault(400, "a line over " + MAX_LINE_BYTES + " bytes");
+            contentEnd = start + TRUNCATED_LINE_LENGTH;
         }
-        return new String(bytes, from, to - from, StandardCharsets.UTF_8);
+        return new String(bytes, start, contentEnd - start, StandardCharsets.UTF_8);
     }
 
-    private Message request(String start) {
-        int first = start.indexOf(' ');
-        int last = start.lastIndexOf(' ');
-        if (first <= 0 || last <= first) {
-            wrong(400, "a request line needs method, URI and version");
+    private Message parseRequestLine(String startLine) {
+        int firstSpace = startLine.indexOf(' ');
+        int lastSpace = startLine.lastIndexOf(' ');
+        if (firstSpace <= 0 || lastSpace <= firstSpace) {
+            recordFault(400, "a request line needs method, URI and version");
             return null;
         }
-        String method = start.substring(0, first);
-        String uri = start.substring(first + 1, last);
-        String version = start.substring(last + 1);
-        if (!HeaderScanner.token(method)) {
-            wrong(400, "the method is no token");
+        String method = startLine.substring(0, firstSpace);
+        String uri = startLine.substring(firstSpace + 1, lastSpace);
+        String version = startLine.substring(lastSpace + 1);
+        if (!HeaderScanner.isToken(method)) {
+            recordFault(400, "the method is no token");
             return null;
         }
         if (!version.equalsIgnoreCase("SIP/2.0")) {
             if (!version.regionMatches(true, 0, "SIP/", 0, 4)) {
-                wrong(400, "the request line ends without a SIP version");
+                recordFault(400, "the request line ends without a SIP version");
                 return null;
             }
-            wrong(505, "version " + version + " is not supported");
+            recordFault(505, "version " + version + " is not supported");
         }
         if (uri.isBlank() || uri.indexOf(' ') >= 0 || uri.startsWith("<")) {
-            wrong(400, "a blank or bracket in the Request-URI");
+            recordFault(400, "a blank or bracket in the Request-URI");
         } else {
-            scheme(uri);
+            checkRequestUri(uri);
         }
         return new Request(method, uri, headers);
     }
 
-    private void scheme(String uri) {
+    private void checkRequestUri(String uri) {
         if (!uri.regionMatches(true, 0, "sip:", 0, 4) && !uri.regionMatches(true, 0, "sips:", 0, 5)) {
-            wrong(416, "the scheme of the Request-URI is not supported");
+            recordFault(416, "the scheme of the Request-URI is not supported");
             return;
         }
         try {
             SipUri.parse(uri);
         } catch (InvalidValueException e) {
-            wrong(400, "Request-URI: " + e.getMessage());
+            recordFault(400, "Request-URI: " + e.getMessage());
         }
     }
 
-    private Message response(String start) {
-        String[] parts = start.split(" ", 3);
-        long code = parts.length > 1 ? HeaderScanner.number(parts[1], 699) : -1;
-        if (!parts[0].equalsIgnoreCase("SIP/2.0") || code < 100) {
-            wrong(400, "a status line needs SIP/2.0 and a status of 100 to 699");
+    private Message parseStatusLine(String startLine) {
+        String[] parts = startLine.split(" ", 3);
+        long statusCode = parts.length > 1 ? HeaderScanner.parseNumber(parts[1], 699) : -1;
+        if (!parts[0].equalsIgnoreCase("SIP/2.0") || statusCode < 100) {
+            recordFault(400, "a status line needs SIP/2.0 and a status of 100 to 699");
             return null;
         }
-        return new Response((int) code, parts.length > 2 ? parts[2] : "", headers);
+        return new Response((int) statusCode, parts.length > 2 ? parts[2] : "", headers);
     }
 
-    private void fields() {
-        int lines = 0;
+    private void readHeaderFields() {
+        int lineCount = 0;
         while (true) {
-            if (plainField()) {
-                if (++lines > MAX_LINES) {
-                    wrong(400, "over " + MAX_LINES + " header lines");
+            if (readSimpleField()) {
+                if (++lineCount > MAX_LINES) {
+                    recordFault(400, "over " + MAX_LINES + " header lines");
                 }
                 continue;
             }
-            String line = line();
+            String line = readLine();
             if (line == null || line.isEmpty()) {
                 return;
             }
-            if (++lines > MAX_LINES) {
-                wrong(400, "over " + MAX_LINES + " header lines");
+            if (++lineCount > MAX_LINES) {
+                recordFault(400, "over " + MAX_LINES + " header lines");
                 continue;
             }
             int colon = line.indexOf(':');
-            String written = colon < 0 ? "" : line.substring(0, colon).trim();
-            if (!HeaderScanner.token(written)) {
-                wrong(400, "a header line without a name");
+            String writtenName = colon < 0 ? "" : line.substring(0, colon).trim();
+            if (!HeaderScanner.isToken(writtenName)) {
+                recordFault(400, "a header line without a name");
                 continue;
             }
-            field(HeaderNames.canonical(written), line.substring(colon + 1).trim());
+            addField(
+                    HeaderNames.canonical(writtenName),
+                    line.substring(colon + 1).trim());
         }
     }
 
-    /** Takes a line of a known name that is neither folded nor long; else it leaves the line to the slower way. */
-    private boolean plainField() {
-        int colon = at;
+    /**
+     * Reads a line of a frequent name that is neither folded nor too long without intermediate strings. Returns false
+     * and consumes nothing for any other line, which {@link #readLine} then reads.
+     */
+    private boolean readSimpleField() {
+        int colon = position;
         while (colon < end && bytes[colon] != ':' && bytes[colon] != '\n') {
             colon++;
         }
-        int stop = colon;
-        while (stop < end && bytes[stop] != '\n') {
-            stop++;
+        int lineEnd = colon;
+        while (lineEnd < end && bytes[lineEnd] != '\n') {
+            lineEnd++;
         }
-        String name = colon < stop ? HeaderNames.usual(bytes, at, colon) : null;
-        boolean folded = stop + 1 < end && (bytes[stop + 1] == ' ' || bytes[stop + 1] == '\t');
-        if (name == null || folded || stop >= end || stop - at > MAX_LINE_BYTES || headers.count() >= MAX_LINES) {
+        String name = colon < lineEnd ? HeaderNames.frequentName(bytes, position, colon) : null;
+        boolean folded = lineEnd + 1 < end && (bytes[lineEnd + 1] == ' ' || bytes[lineEnd + 1] == '\t');
+        if (name == null
+                || folded
+                || lineEnd >= end
+                || lineEnd - position > MAX_LINE_BYTES
+                || headers.count() >= MAX_LINES) {
             return false;
         }
-        int from = colon + 1;
-        int to = stop;
-        while (from < to && bytes[from] <= ' ' && bytes[from] >= 0) {
-            from++;
+        int valueStart = colon + 1;
+        int valueEnd = lineEnd;
+        while (valueStart < valueEnd && bytes[valueStart] <= ' ' && bytes[valueStart] >= 0) {
+            valueStart++;
         }
-        while (to > from && bytes[to - 1] <= ' ' && bytes[to - 1] >= 0) {
-            to--;
+        while (valueEnd > valueStart && bytes[valueEnd - 1] <= ' ' && bytes[valueEnd - 1] >= 0) {
+            valueEnd--;
         }
-        at = stop + 1;
-        field(name, new String(bytes, from, to - from, StandardCharsets.UTF_8));
+        position = lineEnd + 1;
+        addField(name, new String(bytes, valueStart, valueEnd - valueStart, StandardCharsets.UTF_8));
         return true;
     }
 
-    private void field(String name, String value) {
-        if (HeaderNames.single(name) && headers.first(name) != null) {
-            wrong(400, "more than one " + name);
+    private void addField(String name, String value) {
+        if (HeaderNames.isSingleValued(name) && headers.first(name) != null) {
+            recordFault(400, "more than one " + name);
             return;
         }
-        if (!HeaderNames.list(name)) {
+        if (!HeaderNames.isCommaSeparated(name)) {
             headers.add(name, value);
             return;
         }
@@ -220,30 +247,30 @@
             if (!part.isEmpty()) {
                 headers.add(name, part);
             } else if (!name.equals("Supported") && !name.equals("Allow")) {
-                wrong(400, "an empty value in " + name);
+                recordFault(400, "an empty value in " + name);
             }
         }
     }
 
-    private void check(Message message, boolean response) {
-        for (String name : needed) {
+    private void checkHeaders(Message message, boolean response) {
+        for (String name : mandatoryNames) {
             if (headers.first(name) == null) {
-                wrong(400, "no " + name);
+                recordFault(400, "no " + name);
                 return;
             }
         }
         try {
-            if (needed == ALL) {
+            if (mandatoryNames == ALL_MANDATORY) {
                 message.via();
                 message.from();
                 message.to();
             }
             if (message.callId().isBlank()) {
-                wrong(400, "an empty Call-ID");
+                recordFault(400, "an empty Call-ID");
             }
             CSeq cseq = message.cseq();
             if (message instanceof Request request && !request.method().equals(cseq.method())) {
-                wrong(400, "the method of CSeq is not the request's");
+                recordFault(400, "the method of CSeq is not the request's");
             }
             for (String name : List.of("Contact", "Route", "Record-Route")) {
                 for (String value : headers.all(name)) {
@@ -253,33 +280,35 @@
                 }
             }
         } catch (InvalidValueException e) {
-            wrong(400, e.getMessage());
+            recordFault(400, e.getMessage());
         }
-        number("Max-Forwards", 255);
-        number("Expires", (1L << 32) - 1);
+        checkNumber("Max-Forwards", 255);
+        checkNumber("Expires", (1L << 32) - 1);
     }
 
-    private void number(String name, long most) {
+    private void checkNumber(String name, long max) {
         String value = headers.first(name);
-        if (value != null && HeaderScanner.number(value, most) < 0) {
-            wrong(400, name + " is no number of 0 to " + most);
+        if (value != null && HeaderScanner.parseNumber(value, max) < 0) {
+            recordFault(400, name + " is no number of 0 to " + max);
         }
     }
 
-    private void body(Message message) {
-        String stated = headers.first("Content-Length");
-        int left = end - at;
-        if (stated == null) {
-            message.received(Arrays.copyOfRange(bytes, at, end));
+    private void readBody(Message message) {
+        String declaredLength = headers.first("Content-Length");
+        int remaining = end - position;
+        if (declaredLength == null) {
+            message.setReceivedBody(Arrays.copyOfRange(bytes, position, end));
             return;
         }
-        long length = HeaderScanner.number(stated, MAX_MESSAGE_BYTES);
+        long length = HeaderScanner.parseNumber(declaredLength, MAX_MESSAGE_BYTES);
         if (length < 0) {
-            wrong(HeaderScanner.number(stated, Long.MAX_VALUE) < 0 ? 400 : 413, "Content-Length: " + stated);
-        } else if (length > left) {
-            wrong(400, "the body ends after " + left + " of " + length + " bytes");
+            recordFault(
+                    HeaderScanner.parseNumber(declaredLength, Long.MAX_VALUE) < 0 ? 400 : 413,
+                    "Content-Length: " + declaredLength);
+        } else if (length > remaining) {
+            recordFault(400, "the body ends after " + remaining + " of " + length + " bytes");
         } else {
-            message.received(Arrays.copyOfRange(bytes, at, at + (int) length));
+            message.setReceivedBody(Arrays.copyOfRange(bytes, position, position + (int) length));
         }
     }
 }
--- a/src/main/java/martenslip/sip/message/NameAddr.java
+++ b/src/main/java/martenslip/sip/message/NameAddr.java
@@ -1,12 +1,14 @@
 package martenslip.sip.message;
 
 /**
- * A name with an address: From, To, Contact, Route, Record-Route (RFC 3261 20.10). {@code display} keeps its
- * quotes, and is empty where there is none; {@code params} are those of the header, not of the URI.
+ * Value of From, To, Contact, Route or Record-Route: an address with an optional display name (RFC 3261 20.10).
+ * {@code display} keeps its quotes and is empty if absent; {@code params} are the parameters of the header, not of the
+ * URI.
  */
 public record NameAddr(String display, String uri, Parameters params) {
+    /** Parses a value with or without angle brackets. */
     public static NameAddr parse(String text) throws InvalidValueException {
-        int open = openAngle(text);
+        int open = indexOfOpenAngle(text);
         if (open >= 0) {
             int close = text.indexOf('>', open);
             if (close < 0) {
@@ -26,9 +28,11 @@
         return new NameAddr("", uri, semicolon < 0 ? Parameters.NONE : Parameters.parse(text.substring(semicolon)));
     }
 
-    private static int openAngle(String text) throws InvalidValueException {
+    /** Index of the opening angle bracket outside quoted strings, or -1. */
+    private static int indexOfOpenAngle(String text) throws InvalidValueException {
         boolean quoted = false;
-        for (int i = 0; i < text.length(); i++) {
+        int i = 0;
+        while (i < text.length()) {
             char c = text.charAt(i);
             if (quoted && c == '\\') {
                 i++;
@@ -37,6 +41,7 @@
             } else if (c == '<' && !quoted) {
                 return i;
             }
+            i++;
         }
         if (quoted) {
             throw new InvalidValueException("a quoted string is not closed: " + text);
@@ -44,16 +49,18 @@
         return -1;
     }
 
+    /** An address without display name and header parameters. */
     public static NameAddr of(SipUri uri) {
         return new NameAddr("", uri.toString(), Parameters.NONE);
     }
 
-    /** The tag, or an empty text where there is none. */
+    /** The tag, or an empty string if there is none. */
     public String tag() {
         String tag = params.get("tag");
         return tag == null ? "" : tag;
     }
 
+    /** A copy with the tag set. */
     public NameAddr withTag(String tag) {
         return new NameAddr(display, uri, params.with("tag", tag));
     }
--- a/src/main/java/martenslip/sip/message/Parameters.java
+++ b/src/main/java/martenslip/sip/message/Parameters.java
@@ -4,27 +4,29 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Parameters behind semicolons, in the order written; names are compared without case. Immutable. */
+/** Parameters separated by semicolons, in the order written. Names are case-insensitive. Immutable. */
 public final class Parameters {
+    /** No parameters. */
     public static final Parameters NONE = new Parameters(List.of());
-    private static final String[] USUAL = {
+
+    private static final String[] FREQUENT_NAMES = {
         "branch", "tag", "rport", "received", "oc", "oc-algo", "lr", "transport", "tgrp", "trunk-context"
     };
 
-    private record One(String name, String value) {
+    private record Parameter(String name, String value) {
         @Override
         public String toString() {
             return value == null ? ";" + name : ";" + name + "=" + value;
         }
     }
 
-    private final List<One> all;
+    private final List<Parameter> parameters;
 
-    private Parameters(List<One> all) {
-        this.all = all;
+    private Parameters(List<Parameter> parameters) {
+        this.parameters = parameters;
     }
 
-    /** Reads text that is empty or begins with a semicolon. */
+    /** Parses text that is empty or begins with a semicolon. */
     public static Parameters parse(String text) throws InvalidValueException {
         String rest = text.trim();
         if (rest.isEmpty()) {
@@ -33,68 +35,72 @@
         if (rest.charAt(0) != ';') {
             throw new InvalidValueException("a parameter must follow a semicolon: " + rest);
         }
-        List<One> found = new ArrayList<>(4);
-        for (int from = 1; from <= rest.length(); ) {
-            int semicolon = HeaderScanner.outside(rest, ';', from);
+        List<Parameter> parsed = new ArrayList<>(4);
+        for (int start = 1; start <= rest.length(); ) {
+            int semicolon = HeaderScanner.indexOutsideQuotes(rest, ';', start);
             int end = semicolon < 0 ? rest.length() : semicolon;
-            int equals = rest.indexOf('=', from);
+            int equals = rest.indexOf('=', start);
             equals = equals >= end ? -1 : equals;
-            String name = name(rest, from, equals < 0 ? end : equals);
+            String name = canonicalName(rest, start, equals < 0 ? end : equals);
             if (name.isEmpty()) {
                 throw new InvalidValueException("a parameter without a name: " + text);
             }
-            found.add(new One(
+            parsed.add(new Parameter(
                     name, equals < 0 ? null : rest.substring(equals + 1, end).trim()));
-            from = end + 1;
+            start = end + 1;
         }
-        return new Parameters(found);
+        return new Parameters(parsed);
     }
 
-    /** The usual names are met without a copy: each message has a dozen of them. */
-    private static String name(String text, int from, int to) {
-        for (String usual : USUAL) {
-            if (usual.length() == to - from && text.startsWith(usual, from)) {
-                return usual;
+    /** The lower-case name. Frequent names, a dozen in each message, are matched without creating a string. */
+    private static String canonicalName(String text, int start, int end) {
+        for (String frequentName : FREQUENT_NAMES) {
+            if (frequentName.length() == end - start && text.startsWith(frequentName, start)) {
+                return frequentName;
             }
         }
-        return text.substring(from, to).trim().toLowerCase(Locale.ROOT);
+        return text.substring(start, end).trim().toLowerCase(Locale.ROOT);
     }
 
+    /** True if the parameter is present, with or without a value. */
     public boolean has(String name) {
         return find(name) != null;
     }
 
-    /** The value as written, null where it is absent or has none. */
+    /** The value as written; null if the parameter is absent or has no value. */
     public String get(String name) {
-        One one = find(name);
-        return one == null ? null : one.value;
+        Parameter parameter = find(name);
+        return parameter == null ? null : parameter.value;
     }
 
-    /** The value without the quotes that may stand around it. */
+    /** The value without enclosing quotes and the escapes within them; null as in {@link #get}. */
     public String getUnquoted(String name) {
         String value = get(name);
         boolean quoted = value != null && value.length() >= 2 && value.startsWith("\"") && value.endsWith("\"");
         return quoted ? value.substring(1, value.length() - 1).replaceAll("\\\\(.)", "$1") : value;
     }
 
-    /** With this one put in place of an older one of the name, or at the end. */
+    /**
+     * A copy in which the parameter replaces the first one of its name, or is appended. A null value writes the name
+     * alone.
+     */
     public Parameters with(String name, String value) {
-        List<One> next = new ArrayList<>(all);
-        One one = new One(name, value);
-        for (int i = 0; i < next.size(); i++) {
-            if (next.get(i).name.equals(name)) {
-                next.set(i, one);
-                return new Parameters(next);
+        List<Parameter> updated = new ArrayList<>(parameters);
+        Parameter parameter = new Parameter(name, value);
+        for (int i = 0; i < updated.size(); i++) {
+            if (updated.get(i).name.equals(name)) {
+                updated.set(i, parameter);
+                return new Parameters(updated);
             }
         }
-        next.add(one);
-        return new Parameters(next);
+        updated.add(parameter);
+        return new Parameters(updated);
     }
 
-    private One find(String name) {
-        for (One one : all) {
-            if (one.name.equals(name)) {
-                return one;
+    private Parameter find(String name) {
+        for (Parameter parameter : parameters) {
+            if (parameter.name.equals(name)) {
+                return parameter;
             }
         }
         return null;
@@ -102,21 +108,21 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Parameters same && all.equals(same.all);
+        return other instanceof Parameters same && parameters.equals(same.parameters);
     }
 
     @Override
     public int hashCode() {
-        return all.hashCode();
+        return parameters.hashCode();
     }
 
     @Override
     public String toString() {
-        if (all.isEmpty()) {
+        if (parameters.isEmpty()) {
             return "";
         }
         StringBuilder text = new StringBuilder();
-        all.forEach(text::append);
+        parameters.forEach(text::append);
         return text.toString();
     }
 }
--- a/src/main/java/martenslip/sip/transaction/ClientTransaction.java
+++ b/src/main/java/martenslip/sip/transaction/ClientTransaction.java
@@ -8,10 +8,11 @@
 import martenslip.sip.transport.Hop;
 
 /**
- * Client transactions: INVITE (RFC 3261 17.1.1, with the Accepted state of RFC 6026 7.2) and all others
- * (17.1.2). Owned by the thread of its {@link TransactionLayer}.
+ * Client transactions: INVITE (RFC 3261 17.1.1, with the Accepted state of RFC 6026 7.2) and all others (17.1.2). Owned
+ * by the thread of its {@link TransactionLayer}.
  */
 public final class ClientTransaction extends Transaction {
+    /** States of RFC 3261 17.1 and RFC 6026 7.2; CALLING is the Trying state of non-INVITE transactions. */
     public enum State {
         CALLING,
         PROCEEDING,
@@ -21,46 +22,48 @@
     }
 
     private final Request request;
-    private final ClientTransactionUser asker;
-    private final boolean invite;
+    private final ClientTransactionUser user;
+    private final boolean isInvite;
     private Hop hop;
-    private byte[] bytes;
+    private byte[] requestBytes;
     private String branch;
     private byte[] ack;
     private State state = State.CALLING;
-    private Span gap;
-    private boolean mute;
-    /** It goes by TCP only as it is large. */
-    private boolean forSize;
+    private Span retransmitInterval;
+    private boolean retransmissionsStopped;
+    /** The request goes over TCP only because of its size. */
+    private boolean tcpForSize;
 
     ClientTransaction(
             TransactionLayer layer,
             Request request,
-            byte[] bytes,
+            byte[] requestBytes,
             String branch,
             Hop hop,
-            boolean forSize,
-            ClientTransactionUser asker) {
+            boolean tcpForSize,
+            ClientTransactionUser user) {
         super(layer);
-        this.bytes = bytes;
+        this.requestBytes = requestBytes;
         this.branch = branch;
-        this.forSize = forSize;
+        this.tcpForSize = tcpForSize;
         this.request = request;
         this.hop = hop;
-        this.asker = asker;
-        invite = request.hasMethod("INVITE");
-        gap = layer.timers.t1();
+        this.user = user;
+        isInvite = request.hasMethod("INVITE");
+        retransmitInterval = layer.timers.t1();
     }
 
+    /** The request, complete with its Via. */
     public Request request() {
         return request;
     }
 
-    /** Where the request went; a CANCEL goes the same way (RFC 3261 9.1). */
+    /** Address that the request was sent to; a CANCEL goes to the same one (RFC 3261 9.1). */
     public Hop hop() {
         return hop;
     }
 
+    /** The current state. */
     public State state() {
         return state;
     }
@@ -70,163 +73,169 @@
     }
 
     void start() {
-        asker.beforeSend(this);
-        end = layer.wheel.scheduleAfter(layer.timers.transactionTimeout(), () -> fail(RequestFailure.TIMED_OUT));
-        if (!layer.out.send(bytes, hop)) {
-            // Told by the next turn of the wheel: whoever sent it is still amid its own call.
-            layer.wheel.scheduleAt(layer.wheel.now(), () -> fail(RequestFailure.NO_CONNECTION));
+        user.beforeSend(this);
+        endTimer =
+                layer.timerWheel.scheduleAfter(layer.timers.transactionTimeout(), () -> fail(RequestFailure.TIMED_OUT));
+        if (!layer.sender.send(requestBytes, hop)) {
+            // Reported from the next turn of the timer wheel, as the sender has not returned from its own call yet.
+            layer.timerWheel.scheduleAt(layer.timerWheel.now(), () -> fail(RequestFailure.NO_CONNECTION));
         } else if (!hop.isReliable()) {
-            repeat = layer.wheel.scheduleAfter(gap, this::again);
+            retransmitTimer = layer.timerWheel.scheduleAfter(retransmitInterval, this::retransmit);
         }
     }
 
-    /** Timers A and E. */
-    private void again() {
-        boolean due = state == State.CALLING || state == State.PROCEEDING && !invite;
-        if (!due || mute) {
+    /** Retransmits the request on timers A and E. */
+    private void retransmit() {
+        boolean due = state == State.CALLING || state == State.PROCEEDING && !isInvite;
+        if (!due || retransmissionsStopped) {
             return;
         }
-        layer.out.send(bytes, hop);
-        gap = invite ? gap.times(2) : state == State.PROCEEDING ? layer.timers.t2() : layer.timers.nextInterval(gap);
-        repeat = layer.wheel.scheduleAfter(gap, this::again);
+        layer.sender.send(requestBytes, hop);
+        retransmitInterval = isInvite
+                ? retransmitInterval.times(2)
+                : state == State.PROCEEDING ? layer.timers.t2() : layer.timers.nextInterval(retransmitInterval);
+        retransmitTimer = layer.timerWheel.scheduleAfter(retransmitInterval, this::retransmit);
     }
 
     /**
-     * Sends no repeats any more, where the asker has given it up before any response came: nothing of it is to
-     * go out after that, but a late response is still met as it should be.
+     * Stops retransmissions after the user has cancelled the request before any response. A late response is still
+     * handled.
      */
     public void stopRetransmissions() {
-        mute = true;
+        retransmissionsStopped = true;
     }
 
-    /** After a CANCEL: without a final response it ends when timer B would have passed (RFC 3261 9.1). */
+    /**
+     * Restarts the timeout after a CANCEL: without a final response the transaction ends after 64 T1 (RFC 3261 9.1).
+     */
     public void endAfterTimeout() {
         if (state == State.CALLING || state == State.PROCEEDING) {
-            stop();
-            end = layer.wheel.scheduleAfter(layer.timers.transactionTimeout(), () -> fail(RequestFailure.TIMED_OUT));
+            stopTimers();
+            endTimer = layer.timerWheel.scheduleAfter(
+                    layer.timers.transactionTimeout(), () -> fail(RequestFailure.TIMED_OUT));
         }
     }
 
-    void response(Response response) {
+    void handleResponse(Response response) {
         if (response.isProvisional()) {
             if (state == State.CALLING || state == State.PROCEEDING) {
                 state = State.PROCEEDING;
-                if (invite) {
-                    // How long an INVITE may ring is its user's to say (RFC 3261 17.1.1.2: B ends here).
-                    stop();
+                if (isInvite) {
+                    // The user decides how long an INVITE may ring (RFC 3261 17.1.1.2: timer B ends here).
+                    stopTimers();
                 }
-                asker.responseReceived(this, response);
+                user.responseReceived(this, response);
             }
             return;
         }
-        if (invite) {
-            finalToInvite(response);
+        if (isInvite) {
+            handleInviteFinalResponse(response);
         } else if (state != State.COMPLETED) {
             state = State.COMPLETED;
-            linger(hop.isReliable() ? Span.ZERO : layer.timers.t4());
-            asker.responseReceived(this, response);
+            terminateAfter(hop.isReliable() ? Span.ZERO : layer.timers.t4());
+            user.responseReceived(this, response);
         }
     }
 
-    private void finalToInvite(Response response) {
+    private void handleInviteFinalResponse(Response response) {
         if (response.isSuccess()) {
             if (state == State.COMPLETED) {
                 return;
             }
             if (state != State.ACCEPTED) {
                 state = State.ACCEPTED;
-                linger(layer.timers.transactionTimeout());
+                terminateAfter(layer.timers.transactionTimeout());
             }
-            asker.responseReceived(this, response);
+            user.responseReceived(this, response);
             return;
         }
         if (state == State.COMPLETED) {
-            layer.out.send(ack, hop);
+            layer.sender.send(ack, hop);
         } else if (state != State.ACCEPTED) {
             state = State.COMPLETED;
-            ack = ackFor(response).bytes();
-            layer.out.send(ack, hop);
-            linger(hop.isReliable() ? Span.ZERO : layer.timers.timerD());
-            asker.responseReceived(this, response);
+            ack = createAck(response).bytes();
+            layer.sender.send(ack, hop);
+            terminateAfter(hop.isReliable() ? Span.ZERO : layer.timers.timerD());
+            user.responseReceived(this, response);
         }
     }
 
-    /** The ACK of a final response other than 2xx is part of the transaction (RFC 3261 17.1.1.3). */
-    private Request ackFor(Response response) {
+    /** The ACK of a final response other than 2xx, which is part of the transaction (RFC 3261 17.1.1.3). */
+    private Request createAck(Response response) {
         Headers headers = new Headers();
         headers.add("Via", request.headers().first("Via"));
         headers.copyFrom(request.headers(), "Route");
         headers.add("Max-Forwards", "70").add("From", request.headers().first("From"));
         headers.add("To", response.headers().first("To")).add("Call-ID", request.callId());
-        headers.add("CSeq", number() + " ACK");
+        headers.add("CSeq", cseqNumber() + " ACK");
         return new Request("ACK", request.uri(), headers);
     }
 
     /** A CANCEL for this INVITE: same branch, no tag added (RFC 3261 9.1). */
-    public Request cancel(String reason) {
+    public Request createCancel(String reason) {
         Headers headers = new Headers();
         headers.add("Via", request.headers().first("Via"));
         headers.copyFrom(request.headers(), "Route");
         headers.add("Max-Forwards", "70").add("From", request.headers().first("From"));
         headers.add("To", request.headers().first("To")).add("Call-ID", request.callId());
-        headers.add("CSeq", number() + " CANCEL");
+        headers.add("CSeq", cseqNumber() + " CANCEL");
         if (reason != null) {
             headers.add("Reason", reason);
         }
         return new Request("CANCEL", request.uri(), headers);
     }
 
-    private long number() {
+    private long cseqNumber() {
         try {
             return request.cseq().number();
         } catch (InvalidValueException e) {
-            throw new IllegalStateException("a request of our own without CSeq", e);
+            throw new IllegalStateException("own request without CSeq", e);
         }
     }
 
-    void broken(boolean everUp, Hop which) {
-        boolean mine = hop.isReliable()
+    void connectionLost(boolean wasEstablished, Hop lostHop) {
+        boolean affected = hop.isReliable()
                 && (hop.connectionId() == 0
-                        ? hop.address().equals(which.address())
-                        : hop.connectionId() == which.connectionId());
-        if (!mine || state != State.CALLING && state != State.PROCEEDING) {
+                        ? hop.address().equals(lostHop.address())
+                        : hop.connectionId() == lostHop.connectionId());
+        if (!affected || state != State.CALLING && state != State.PROCEEDING) {
             return;
         }
-        if (!everUp && forSize) {
-            forSize = false;
-            layer.shrunk(this);
+        if (!wasEstablished && tcpForSize) {
+            tcpForSize = false;
+            layer.retryOverUdp(this);
             return;
         }
-        fail(everUp ? RequestFailure.BROKEN : RequestFailure.NO_CONNECTION);
+        fail(wasEstablished ? RequestFailure.BROKEN : RequestFailure.NO_CONNECTION);
     }
 
-    /** Back from TCP, which was taken for the size only, to UDP (RFC 3261 18.1.1). */
-    void overUdp(String via, String nextBranch, Hop udp) {
+    /** Falls back to UDP after TCP, chosen only for the size of the request, was not available (RFC 3261 18.1.1). */
+    void resendOverUdp(String via, String newBranch, Hop newHop) {
         request.headers().set("Via", via);
-        branch = nextBranch;
-        hop = udp;
-        bytes = request.bytes();
-        layer.out.send(bytes, hop);
-        repeat = layer.wheel.scheduleAfter(gap, this::again);
+        branch = newBranch;
+        hop = newHop;
+        requestBytes = request.bytes();
+        layer.sender.send(requestBytes, hop);
+        retransmitTimer = layer.timerWheel.scheduleAfter(retransmitInterval, this::retransmit);
     }
 
-    /** Taken over in its Accepted state: it meets 2xx that come again. */
-    void accepted() {
+    /** Restores a transaction of another thread in the Accepted state, in which it receives retransmitted 2xx. */
+    void restoreAccepted() {
         state = State.ACCEPTED;
-        linger(layer.timers.transactionTimeout());
+        terminateAfter(layer.timers.transactionTimeout());
     }
 
-    void fail(RequestFailure why) {
+    void fail(RequestFailure reason) {
         if (state == State.CALLING || state == State.PROCEEDING) {
             terminate();
-            asker.failed(this, why);
+            user.failed(this, reason);
         }
     }
 
     @Override
     void terminate() {
-        stop();
+        stopTimers();
         state = State.TERMINATED;
-        layer.over(this);
+        layer.remove(this);
     }
 }
--- a/src/main/java/martenslip/sip/transaction/IdGenerator.java
+++ b/src/main/java/martenslip/sip/transaction/IdGenerator.java
@@ -4,38 +4,47 @@
 import java.util.function.Predicate;
 import martenslip.sip.message.Via;
 
-/** Branches, tags and Call-IDs: unique by a start drawn at random and a count. One thread owns it. */
+/**
+ * Generates branches, tags and Call-IDs. Branches and Call-IDs are unique by a random prefix and a counter. Owned by
+ * one thread.
+ */
 public final class IdGenerator {
-    private final SplittableRandom chance;
-    private final String start;
-    private final Predicate<String> mine;
+    private final SplittableRandom random;
+    private final String prefix;
+    private final Predicate<String> ownsCallId;
     private long count;
 
+    /** A generator that accepts every Call-ID. */
     public IdGenerator(long seed) {
-        this(seed, any -> true);
+        this(seed, callId -> true);
     }
 
-    /** {@code mine} says which Call-IDs lead back to this thread; about one in as many as there are threads must. */
-    public IdGenerator(long seed, Predicate<String> mine) {
-        this.mine = mine;
-        chance = new SplittableRandom(seed);
-        start = Long.toString(chance.nextLong() & Long.MAX_VALUE, 36);
+    /**
+     * {@code ownsCallId} is true for Call-IDs whose messages are routed to this thread. Call-IDs are generated until
+     * one is accepted, so with N threads about one in N should be.
+     */
+    public IdGenerator(long seed, Predicate<String> ownsCallId) {
+        this.ownsCallId = ownsCallId;
+        random = new SplittableRandom(seed);
+        prefix = Long.toString(random.nextLong() & Long.MAX_VALUE, 36);
     }
 
+    /** A new branch with the magic cookie. */
     public String nextBranch() {
-        return Via.MAGIC_COOKIE + start + "." + Long.toString(++count, 36);
+        return Via.MAGIC_COOKIE + prefix + "." + Long.toString(++count, 36);
     }
 
-    /** Tags hold at least 32 random bits (RFC 3261 19.3). */
+    /** A new tag with at least 32 random bits (RFC 3261 19.3). */
     public String nextTag() {
-        return Long.toString(chance.nextLong() & Long.MAX_VALUE, 36);
+        return Long.toString(random.nextLong() & Long.MAX_VALUE, 36);
     }
 
+    /** A new Call-ID that leads back to this thread. */
     public String nextCallId(String host) {
-        String made = start + "-" + Long.toString(++count, 36) + "@" + host;
-        while (!mine.test(made)) {
-            made = start + "-" + Long.toString(++count, 36) + "@" + host;
+        String callId = prefix + "-" + Long.toString(++count, 36) + "@" + host;
+        while (!ownsCallId.test(callId)) {
+            callId = prefix + "-" + Long.toString(++count, 36) + "@" + host;
         }
-        return made;
+        return callId;
     }
 }
--- a/src/main/java/martenslip/sip/transaction/MessageSender.java
+++ b/src/main/java/martenslip/sip/transaction/MessageSender.java
@@ -2,11 +2,11 @@
 
 import martenslip.sip.transport.Hop;
 
-/** Where the layer's bytes go: sockets, or a driven network in tests. */
+/** Sends the bytes of the transaction layer: over sockets, or over a simulated network in tests. */
 public interface MessageSender {
-    /** False where it is known not to have left. */
+    /** Returns false if the message is known not to have left. */
     boolean send(byte[] bytes, Hop to);
 
-    /** Host and port that a Via for this transport names. */
-    String sentBy(Hop.Protocol kind);
+    /** Host and port for a Via of this protocol. */
+    String sentBy(Hop.Protocol protocol);
 }
--- a/src/main/java/martenslip/sip/transaction/ServerTransaction.java
+++ b/src/main/java/martenslip/sip/transaction/ServerTransaction.java
@@ -6,11 +6,12 @@
 import martenslip.sip.transport.Hop;
 
 /**
- * Server transactions: INVITE (RFC 3261 17.2.1, with the Accepted state of RFC 6026 7.1) and all others
- * (17.2.2). Repeats of the request are met here and never reach the user. Owned by the thread of its
+ * Server transactions: INVITE (RFC 3261 17.2.1, with the Accepted state of RFC 6026 7.1) and all others (17.2.2).
+ * Retransmitted requests are handled here and never reach the user. Owned by the thread of its
  * {@link TransactionLayer}.
  */
 public final class ServerTransaction extends Transaction {
+    /** States of RFC 3261 17.2 and RFC 6026 7.1. */
     public enum State {
         TRYING,
         PROCEEDING,
@@ -22,153 +23,166 @@
 
     private final Request request;
     private final Hop from;
-    private Hop back;
-    private final boolean invite;
+    private Hop responseHop;
+    private final boolean isInvite;
     final String key;
     private State state;
-    private byte[] last;
-    private Span gap;
-    private Object user;
+    private byte[] lastResponse;
+    private Span retransmitInterval;
+    private Object attachment;
 
-    ServerTransaction(TransactionLayer layer, String key, Request request, Hop from, Hop back) {
+    ServerTransaction(TransactionLayer layer, String key, Request request, Hop from, Hop responseHop) {
         super(layer);
         this.key = key;
         this.request = request;
         this.from = from;
-        this.back = back;
-        invite = request.hasMethod("INVITE");
-        state = invite ? State.PROCEEDING : State.TRYING;
-        gap = layer.timers.t1();
+        this.responseHop = responseHop;
+        isInvite = request.hasMethod("INVITE");
+        state = isInvite ? State.PROCEEDING : State.TRYING;
+        retransmitInterval = layer.timers.t1();
     }
 
+    /** The request that began the transaction. */
     public Request request() {
         return request;
     }
 
-    /** Where the request came from. */
+    /** Address that the request came from. */
     public Hop from() {
         return from;
     }
 
+    /** The current state. */
     public State state() {
         return state;
     }
 
-    /** True while an INVITE has had no response at all. */
+    /** True while no response to the INVITE has been sent. */
     public boolean isUnanswered() {
-        return state == State.PROCEEDING && last == null;
+        return state == State.PROCEEDING && lastResponse == null;
     }
 
-    /** What the user ties to it, for the CANCEL that may come. */
-    public void attach(Object owner) {
-        user = owner;
+    /** Attaches an object of the user, to be found again when a CANCEL arrives or the transaction ends. */
+    public void attach(Object newAttachment) {
+        attachment = newAttachment;
     }
 
+    /** The attached object, or null. */
     public Object attached() {
-        return user;
+        return attachment;
     }
 
-    /** Sends a response. A second final one, and any after the end, is not sent: false. */
+    /**
+     * Sends a response. Returns false without sending for a second final response and for any response after the end; a
+     * retransmitted 2xx to an INVITE is sent.
+     */
     public boolean respond(Response response) {
         boolean open = state == State.TRYING || state == State.PROCEEDING;
-        boolean repeatOf200 = state == State.ACCEPTED && response.isSuccess();
-        if (!open && !repeatOf200) {
+        boolean isRetransmitted2xx = state == State.ACCEPTED && response.isSuccess();
+        if (!open && !isRetransmitted2xx) {
             return false;
         }
         byte[] bytes = response.bytes();
         send(bytes);
         if (response.isProvisional()) {
             state = State.PROCEEDING;
-            last = bytes;
-        } else if (!invite) {
+            lastResponse = bytes;
+        } else if (!isInvite) {
             state = State.COMPLETED;
-            last = bytes;
-            linger(from.isReliable() ? Span.ZERO : layer.timers.transactionTimeout());
+            lastResponse = bytes;
+            terminateAfter(from.isReliable() ? Span.ZERO : layer.timers.transactionTimeout());
         } else if (response.isSuccess()) {
             if (state != State.ACCEPTED) {
                 state = State.ACCEPTED;
-                // Kept for 64 T1: what is not sent again need not weigh on the heap for so long.
-                last = null;
-                linger(layer.timers.transactionTimeout());
+                // The transaction lasts 64 T1 longer; a response that it will not retransmit is not kept on the heap.
+                lastResponse = null;
+                terminateAfter(layer.timers.transactionTimeout());
             }
         } else {
             state = State.COMPLETED;
-            last = bytes;
-            end = layer.wheel.scheduleCoarse(layer.timers.transactionTimeout(), this::terminate);
+            lastResponse = bytes;
+            endTimer = layer.timerWheel.scheduleCoarse(layer.timers.transactionTimeout(), this::terminate);
             if (!from.isReliable()) {
-                repeat = layer.wheel.scheduleAfter(gap, this::again);
+                retransmitTimer = layer.timerWheel.scheduleAfter(retransmitInterval, this::retransmit);
             }
         }
         return true;
     }
 
-    /** Taken over in its Accepted state: repeats of the INVITE are met, and the 2xx is not sent. */
+    /**
+     * Restores a transaction of another thread in the Accepted state: retransmitted INVITEs are absorbed, and the 2xx
+     * is not sent.
+     */
     public void restoreAccepted() {
         state = State.ACCEPTED;
-        linger(layer.timers.transactionTimeout());
+        terminateAfter(layer.timers.transactionTimeout());
     }
 
-    /** Taken over after its refusal was sent: it goes again to whoever asks again, or has not acknowledged it. */
+    /**
+     * Restores a transaction of another thread after its refusal was sent: the refusal is retransmitted until
+     * acknowledged and in response to a retransmitted request.
+     */
     public void restoreRefused(Response response) {
         state = State.COMPLETED;
-        last = response.bytes();
-        end = layer.wheel.scheduleCoarse(layer.timers.transactionTimeout(), this::terminate);
+        lastResponse = response.bytes();
+        endTimer = layer.timerWheel.scheduleCoarse(layer.timers.transactionTimeout(), this::terminate);
         if (!from.isReliable()) {
-            repeat = layer.wheel.scheduleAfter(gap, this::again);
+            retransmitTimer = layer.timerWheel.scheduleAfter(retransmitInterval, this::retransmit);
         }
     }
 
-    /** Timer G. */
-    private void again() {
+    /** Retransmits the final response on timer G. */
+    private void retransmit() {
         if (state == State.COMPLETED) {
-            send(last);
-            gap = layer.timers.nextInterval(gap);
-            repeat = layer.wheel.scheduleAfter(gap, this::again);
+            send(lastResponse);
+            retransmitInterval = layer.timers.nextInterval(retransmitInterval);
+            retransmitTimer = layer.timerWheel.scheduleAfter(retransmitInterval, this::retransmit);
         }
     }
 
-    void repeated() {
-        // In Accepted the 2xx is the dialog's to repeat (RFC 6026 7.1); in Confirmed nothing is owed.
-        if (last != null && (state == State.PROCEEDING || state == State.COMPLETED)) {
-            send(last);
+    void requestRetransmitted() {
+        // In Accepted the dialog retransmits the 2xx (RFC 6026 7.1); in Confirmed no response is pending.
+        if (lastResponse != null && (state == State.PROCEEDING || state == State.COMPLETED)) {
+            send(lastResponse);
         }
     }
 
-    /** Over the connection that the request came by; where that is over, over a new one (RFC 3261 18.2.2). */
+    /** Sends over the connection that the request came by; if that has ended, over a new one (RFC 3261 18.2.2). */
     private void send(byte[] bytes) {
-        if (!layer.out.send(bytes, back) && back.isReliable()) {
-            Hop again = TransactionLayer.anew(request, back);
-            if (again != null) {
-                back = again;
-                layer.out.send(bytes, back);
+        if (!layer.sender.send(bytes, responseHop) && responseHop.isReliable()) {
+            Hop fallback = TransactionLayer.newConnectionHop(request, responseHop);
+            if (fallback != null) {
+                responseHop = fallback;
+                layer.sender.send(bytes, responseHop);
             }
         }
     }
 
-    /** The ACK of a final response other than 2xx. */
-    void acked() {
-        if (state == State.COMPLETED && invite) {
+    /** Handles the ACK of a final response other than 2xx. */
+    void ackReceived() {
+        if (state == State.COMPLETED && isInvite) {
             state = State.CONFIRMED;
-            linger(from.isReliable() ? Span.ZERO : layer.timers.t4());
+            terminateAfter(from.isReliable() ? Span.ZERO : layer.timers.t4());
         }
     }
 
-    /** An answer that nobody has acknowledged may have been lost with the connection; it goes once more. */
-    void broken(Hop which) {
-        boolean mine = back.isReliable() && back.connectionId() == which.connectionId();
-        if (mine && state == State.COMPLETED && last != null) {
-            send(last);
+    /** Resends a final response that was not acknowledged, as it may have been lost with the connection. */
+    void connectionLost(Hop lostHop) {
+        boolean affected = responseHop.isReliable() && responseHop.connectionId() == lostHop.connectionId();
+        if (affected && state == State.COMPLETED && lastResponse != null) {
+            send(lastResponse);
         }
     }
 
-    boolean waitsForAck() {
-        return invite && (state == State.COMPLETED || state == State.CONFIRMED);
+    /** True if an ACK belongs to this transaction and not to a 2xx. */
+    boolean absorbsAck() {
+        return isInvite && (state == State.COMPLETED || state == State.CONFIRMED);
     }
 
     @Override
     void terminate() {
-        stop();
+        stopTimers();
         state = State.TERMINATED;
-        layer.over(this);
+        layer.remove(this);
     }
 }
--- a/src/main/java/martenslip/sip/transaction/Transaction.java
+++ b/src/main/java/martenslip/sip/transaction/Transaction.java
@@ -3,32 +3,32 @@
 import martenslip.control.Span;
 import martenslip.eventloop.TimerWheel;
 
-/** The timers of a transaction: one that repeats what was sent, and one that ends what lingers. */
+/** Timers of a transaction: one retransmits what was sent, the other ends the transaction. */
 abstract class Transaction {
     final TransactionLayer layer;
-    TimerWheel.Timer repeat;
-    TimerWheel.Timer end;
+    TimerWheel.Timer retransmitTimer;
+    TimerWheel.Timer endTimer;
 
     Transaction(TransactionLayer layer) {
         this.layer = layer;
     }
 
-    final void stop() {
-        if (repeat != null) {
-            repeat.cancel();
+    final void stopTimers() {
+        if (retransmitTimer != null) {
+            retransmitTimer.cancel();
         }
-        if (end != null) {
-            end.cancel();
+        if (endTimer != null) {
+            endTimer.cancel();
         }
     }
 
-    /** Ends after the span; at once where it is zero. */
-    final void linger(Span span) {
-        stop();
-        if (span.ns() == 0) {
+    /** Terminates after the delay; at once if it is zero. */
+    final void terminateAfter(Span delay) {
+        stopTimers();
+        if (delay.ns() == 0) {
             terminate();
         } else {
-            end = layer.wheel.scheduleCoarse(span, this::terminate);
+            endTimer = layer.timerWheel.scheduleCoarse(delay, this::terminate);
         }
     }
 
--- a/src/main/java/martenslip/sip/transport/BufferedStreamFramer.java
+++ b/src/main/java/martenslip/sip/transport/BufferedStreamFramer.java
@@ -2,21 +2,28 @@
 
 import java.util.Arrays;
 
-/** What a cutter has read and not cut yet: room that doubles up to a bound, and what is left moved to its front. */
+/**
+ * Buffer of bytes that were read and not yet framed. It doubles up to a maximum, and remaining bytes are moved to its
+ * front.
+ */
 public abstract class BufferedStreamFramer implements StreamFramer {
+    /** Bytes not framed yet, from index 0 on. */
     protected byte[] buffer;
+    /** Number of valid bytes in {@link #buffer}. */
     protected int length;
-    private final int most;
 
-    protected BufferedStreamFramer(int first, int most) {
-        buffer = new byte[first];
-        this.most = most;
+    private final int maxCapacity;
+
+    /** Creates the buffer; both capacities are in bytes. */
+    protected BufferedStreamFramer(int initialCapacity, int maxCapacity) {
+        buffer = new byte[initialCapacity];
+        this.maxCapacity = maxCapacity;
     }
 
     @Override
     public final byte[] buffer() {
         if (length == buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.min(2 * buffer.length, most));
+            buffer = Arrays.copyOf(buffer, Math.min(2 * buffer.length, maxCapacity));
         }
         return buffer;
     }
@@ -36,7 +43,7 @@
         return length > 0;
     }
 
-    /** Drops so many bytes from the front. */
+    /** Removes this many bytes from the front. */
     protected final void discard(int bytes) {
         length -= bytes;
         System.arraycopy(buffer, bytes, buffer, 0, length);
--- a/src/main/java/martenslip/sip/transport/Connection.java
+++ b/src/main/java/martenslip/sip/transport/Connection.java
@@ -12,66 +12,79 @@
 import martenslip.control.Span;
 
 /**
- * One TCP connection: a thread that reads and one that writes, the latter its own or one of {@link ConnectionThreadPool}. Whoever
- * notices its end closes it; the first reason is the one told, once.
+ * One TCP connection with one reading and one writing thread. The writing thread is its own or one of a
+ * {@link ConnectionThreadPool}. Whichever thread notices the end closes it; only the first reason is reported, once.
  */
 public final class Connection {
-    /** Called by the reading thread, the end by any. */
+    /** Called by the reading thread; {@link #ended} may be called by any thread. */
     public interface Listener {
+        /** A whole message was received. */
         void messageReceived(Connection connection, byte[] message) throws InterruptedException;
 
-        void ended(Connection connection, String why);
+        /** The connection has ended; called once. */
+        void ended(Connection connection, String reason);
 
-        /** One that was asked for has come up; with {@link ConnectionThreadPool} only. */
+        /** An outgoing connection has been established; called only with a {@link ConnectionThreadPool}. */
         default void connected(Connection connection) {}
     }
 
-    private static final int STACK = 256 * 1024;
+    private static final int STACK_SIZE_BYTES = 256 * 1024;
 
     final long id;
     private final InetSocketAddress peer;
-    private final TransportLimits bounds;
-    private final Listener events;
+    private final TransportLimits limits;
+    private final Listener listener;
     private final Socket socket;
-    private final StreamFramer cutter;
-    private final ConnectionThreadPool writers;
-    private final ArrayDeque<OutgoingMessage> unsent = new ArrayDeque<>();
+    private final StreamFramer framer;
+    private final ConnectionThreadPool threadPool;
+    private final ArrayDeque<OutgoingMessage> unsentMessages = new ArrayDeque<>();
     private int unsentBytes;
-    private long writingSince;
-    private boolean up;
+    /** Start of the write in progress; 0 while there is none. */
+    private long writeStartNanos;
+
+    private boolean established;
     private boolean closed;
     private boolean writing;
     private boolean wasRefused;
-    private long started;
-    private boolean saidOne;
-    private volatile boolean handling;
-    private int timeout;
+    private long readStartNanos;
+    private boolean hasReceivedMessage;
+    private volatile boolean handlingInput;
+    private int socketTimeoutMs;
 
     Connection(
-            long number, Socket socket, InetSocketAddress peer, boolean up, TransportLimits bounds, Listener events) {
-        this(number, socket, peer, up, bounds, events, new ContentLengthFramer(), null);
+            long id,
+            Socket socket,
+            InetSocketAddress peer,
+            boolean established,
+            TransportLimits limits,
+            Listener listener) {
+        this(id, socket, peer, established, limits, listener, new ContentLengthFramer(), null);
     }
 
-    /** With {@code writers} it has no writing thread of its own. */
+    /**
+     * Creates a connection on a socket that is already connected if {@code established}. If {@code threadPool} is null,
+     * the connection starts a writing thread of its own.
+     */
     public Connection(
-            long number,
+            long id,
             Socket socket,
             InetSocketAddress peer,
-            boolean up,
-            TransportLimits bounds,
-            Listener events,
-            StreamFramer cutter,
-            ConnectionThreadPool writers) {
-        this.id = number;
+            boolean established,
+            TransportLimits limits,
+            Listener listener,
+            StreamFramer framer,
+            ConnectionThreadPool threadPool) {
+        this.id = id;
         this.socket = socket;
         this.peer = peer;
-        this.up = up;
-        this.bounds = bounds;
-        this.events = events;
-        this.cutter = cutter;
-        this.writers = writers;
+        this.established = established;
+        this.limits = limits;
+        this.listener = listener;
+        this.framer = framer;
+        this.threadPool = threadPool;
     }
 
+    /** Identifier, unique among the connections of one transport. */
     public long id() {
         return id;
     }
@@ -80,20 +93,21 @@
         return new Hop(Hop.Protocol.TCP, peer, id);
     }
 
+    /** True if the connection was ever established. */
     public synchronized boolean wasEstablished() {
-        return up;
+        return established;
     }
 
-    /** True where something has arrived that the reading thread has not come to yet, or is amid of. */
+    /** True if bytes have arrived that the reading thread has not read or is still handling. */
     public boolean hasUnreadInput() {
         try {
-            return handling || socket.getInputStream().available() > 0;
+            return handlingInput || socket.getInputStream().available() > 0;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** True where the other side had nobody listening: proof that nothing runs there. */
+    /** True if the peer refused the connection, which proves that no process listens there. */
     public synchronized boolean wasRefused() {
         return wasRefused;
     }
@@ -102,21 +116,22 @@
         return socket.getLocalPort();
     }
 
+    /** Starts the threads, whose names begin with {@code name}; connects first if the connection is not established. */
     public void start(String name) {
-        if (writers != null) {
-            writers.read(this::connectAndRead);
+        if (threadPool != null) {
+            threadPool.executeRead(this::connectAndRead);
             return;
         }
-        // Asked before the writer runs: it may connect at once, and then begins to read by itself.
+        // Read before the writer starts: the writer may connect at once and then starts the reading thread itself.
         boolean accepted = wasEstablished();
-        new Thread(null, this::write, name + "-out-" + id, STACK).start();
+        new Thread(null, this::runWriter, name + "-out-" + id, STACK_SIZE_BYTES).start();
         if (accepted) {
             startReading(name);
         }
     }
 
     private void startReading(String name) {
-        new Thread(null, this::read, name + "-in-" + id, STACK).start();
+        new Thread(null, this::readUntilClosed, name + "-in-" + id, STACK_SIZE_BYTES).start();
     }
 
     private void connectAndRead() {
@@ -124,9 +139,9 @@
             if (!wasEstablished()) {
                 connect();
                 synchronized (this) {
-                    writeIfNeeded();
+                    startWritingIfNeeded();
                 }
-                events.connected(this);
+                listener.connected(this);
             }
         } catch (IOException e) {
             synchronized (this) {
@@ -135,158 +150,167 @@
             close(String.valueOf(e.getMessage()));
             return;
         }
-        read();
+        readUntilClosed();
     }
 
     private void connect() throws IOException {
-        socket.connect(peer, (int) (bounds.connectTimeout().ns() / 1_000_000));
+        socket.connect(peer, (int) (limits.connectTimeout().ns() / 1_000_000));
         socket.setTcpNoDelay(true);
         synchronized (this) {
-            up = true;
+            established = true;
         }
     }
 
-    /** Writes what these still have to say, in one piece: a turn of the deciding thread says several things to a peer. */
-    private void write(List<OutgoingMessage> next) throws IOException {
-        // Not under the lock: what an order finds out about its reason may make this thread wait.
-        List<byte[]> parts = new ArrayList<>(next.size());
-        for (OutgoingMessage one : next) {
-            byte[] part = one.bytes();
+    /**
+     * Writes the messages in one piece, as one turn of the sending thread often queues several messages for a peer.
+     */
+    private void write(List<OutgoingMessage> messages) throws IOException {
+        // Not under the lock: a message that checks whether it is still valid may block this thread.
+        List<byte[]> parts = new ArrayList<>(messages.size());
+        for (OutgoingMessage message : messages) {
+            byte[] part = message.bytes();
             if (part != null) {
                 parts.add(part);
             }
         }
         try {
             if (!parts.isEmpty()) {
-                socket.getOutputStream().write(joined(parts));
+                socket.getOutputStream().write(concatenate(parts));
             }
         } finally {
             synchronized (this) {
-                next.forEach(one -> unsentBytes -= one.size());
-                writingSince = 0;
+                messages.forEach(message -> unsentBytes -= message.size());
+                writeStartNanos = 0;
             }
-            next.forEach(OutgoingMessage::completed);
+            messages.forEach(OutgoingMessage::completed);
         }
     }
 
-    private static byte[] joined(List<byte[]> parts) {
+    private static byte[] concatenate(List<byte[]> parts) {
         if (parts.size() == 1) {
             return parts.get(0);
         }
-        byte[] whole = new byte[parts.stream().mapToInt(part -> part.length).sum()];
-        int at = 0;
+        byte[] joined = new byte[parts.stream().mapToInt(part -> part.length).sum()];
+        int offset = 0;
         for (byte[] part : parts) {
-            System.arraycopy(part, 0, whole, at, part.length);
-            at += part.length;
+            System.arraycopy(part, 0, joined, offset, part.length);
+            offset += part.length;
         }
-        return whole;
+        return joined;
     }
 
-    private void writeIfNeeded() {
-        if (up && !closed && !writing && !unsent.isEmpty()) {
+    private void startWritingIfNeeded() {
+        if (established && !closed && !writing && !unsentMessages.isEmpty()) {
             writing = true;
-            writers.submit(this::writeAll);
+            threadPool.submitWrite(this::writeAll);
         }
     }
 
     private void writeAll() {
         try {
-            for (List<OutgoingMessage> next = all(); !next.isEmpty(); next = all()) {
-                write(next);
+            for (List<OutgoingMessage> messages = takeAllUnsent(); !messages.isEmpty(); messages = takeAllUnsent()) {
+                write(messages);
             }
         } catch (IOException e) {
             close(String.valueOf(e.getMessage()));
         } catch (RuntimeException e) {
-            // A fault of the program with one message must not cost the thread that writes for all.
+            // A programming error with one message must not end a writing thread of the pool.
             close("fault: " + e);
         }
     }
 
-    /** All that is unsent; none where there is nothing, and then this thread no longer writes. */
-    private synchronized List<OutgoingMessage> all() {
-        if (unsent.isEmpty() || closed) {
+    /** Takes all unsent messages. An empty list means that this thread no longer writes for the connection. */
+    private synchronized List<OutgoingMessage> takeAllUnsent() {
+        if (unsentMessages.isEmpty() || closed) {
             writing = false;
             notifyAll();
             return List.of();
         }
-        writingSince = System.nanoTime();
-        List<OutgoingMessage> next = List.copyOf(unsent);
-        unsent.clear();
-        return next;
+        writeStartNanos = System.nanoTime();
+        List<OutgoingMessage> messages = List.copyOf(unsentMessages);
+        unsentMessages.clear();
+        return messages;
     }
 
-    /** Ends it once all that was queued is written, or after a bounded wait; the caller must be able to wait. */
-    public void flushAndClose(String why, Span atMost) {
-        long until = System.nanoTime() + atMost.ns();
+    /**
+     * Closes the connection once all queued messages are written, or after {@code maxWait}. Blocks the calling thread.
+     */
+    public void flushAndClose(String reason, Span maxWait) {
+        long deadlineNanos = System.nanoTime() + maxWait.ns();
         try {
             synchronized (this) {
-                for (long left = atMost.ns();
-                        left > 0 && !closed && unsentBytes > 0 && up;
-                        left = until - System.nanoTime()) {
-                    wait(Math.max(1, left / 1_000_000));
+                for (long remainingNanos = maxWait.ns();
+                        remainingNanos > 0 && !closed && unsentBytes > 0 && established;
+                        remainingNanos = deadlineNanos - System.nanoTime()) {
+                    wait(Math.max(1, remainingNanos / 1_000_000));
                 }
             }
             socket.shutdownOutput();
         } catch (IOException e) {
-            why = why + ", " + e.getMessage();
+            reason = reason + ", " + e.getMessage();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        close(why);
+        close(reason);
     }
 
+    /** Queues a message; false as in {@link #send(OutgoingMessage)}. */
     public boolean send(byte[] bytes) {
         return send(OutgoingMessage.of(bytes));
     }
 
-    /** Queues a message; false where the connection is over, or now is as its peer doesn't read. */
+    /**
+     * Queues a message. Returns false if the connection has ended, or ends it and returns false if its peer does not
+     * read.
+     */
     public boolean send(OutgoingMessage message) {
-        String why = null;
+        String closeReason = null;
         synchronized (this) {
             if (closed) {
                 return false;
             }
-            long stuck = writingSince == 0 ? 0 : System.nanoTime() - writingSince;
-            if (unsentBytes + message.size() > bounds.maxUnsentBytes()) {
-                why = "peer leaves " + unsentBytes + " bytes unread";
-            } else if (up && stuck > bounds.writeStallTimeout().ns()) {
-                why = "peer has read nothing for " + stuck / 1_000_000 + " ms";
+            long stalledNanos = writeStartNanos == 0 ? 0 : System.nanoTime() - writeStartNanos;
+            if (unsentBytes + message.size() > limits.maxUnsentBytes()) {
+                closeReason = "peer leaves " + unsentBytes + " bytes unread";
+            } else if (established && stalledNanos > limits.writeStallTimeout().ns()) {
+                closeReason = "peer has read nothing for " + stalledNanos / 1_000_000 + " ms";
             } else {
-                unsent.add(message);
+                unsentMessages.add(message);
                 unsentBytes += message.size();
-                if (writers != null) {
-                    writeIfNeeded();
+                if (threadPool != null) {
+                    startWritingIfNeeded();
                 } else {
                     notifyAll();
                 }
                 return true;
             }
         }
-        close(why);
+        close(closeReason);
         return false;
     }
 
-    public void close(String why) {
-        List<OutgoingMessage> never;
+    /** Closes the connection and discards unsent messages; no effect if it is closed already. */
+    public void close(String reason) {
+        List<OutgoingMessage> unwritten;
         synchronized (this) {
             if (closed) {
                 return;
             }
             closed = true;
-            never = List.copyOf(unsent);
-            unsent.clear();
+            unwritten = List.copyOf(unsentMessages);
+            unsentMessages.clear();
             notifyAll();
         }
         try {
             socket.close();
         } catch (IOException e) {
-            why = why + ", " + e.getMessage();
+            reason = reason + ", " + e.getMessage();
         }
-        events.ended(this, why);
-        never.forEach(OutgoingMessage::completed);
+        listener.ended(this, reason);
+        unwritten.forEach(OutgoingMessage::completed);
     }
 
-    /** Ends it with a reset in place of an orderly end, for stand-ins. */
+    /** Closes the connection with a TCP reset, for stand-ins. */
     void reset() {
         try {
             socket.setSoLinger(true, 0);
@@ -297,14 +321,15 @@
         close("reset here");
     }
 
-    private void write() {
+    /** Body of the connection's own writing thread; connects first if necessary. */
+    private void runWriter() {
         try {
             if (!wasEstablished()) {
                 connect();
                 startReading(Thread.currentThread().getName());
             }
-            for (OutgoingMessage next = take(); next != null; next = take()) {
-                write(List.of(next));
+            for (OutgoingMessage message = awaitNextUnsent(); message != null; message = awaitNextUnsent()) {
+                write(List.of(message));
             }
         } catch (IOException e) {
             close(String.valueOf(e.getMessage()));
@@ -313,78 +338,83 @@
         }
     }
 
-    private synchronized OutgoingMessage take() throws InterruptedException {
-        while (unsent.isEmpty() && !closed) {
+    private synchronized OutgoingMessage awaitNextUnsent() throws InterruptedException {
+        while (unsentMessages.isEmpty() && !closed) {
             wait();
         }
-        writingSince = closed ? 0 : System.nanoTime();
-        return closed ? null : unsent.poll();
+        writeStartNanos = closed ? 0 : System.nanoTime();
+        return closed ? null : unsentMessages.poll();
     }
 
-    private void read() {
-        long begun = 0;
-        started = System.nanoTime();
+    private void readUntilClosed() {
+        long messageStartNanos = 0;
+        readStartNanos = System.nanoTime();
         try {
-            InputStream in = socket.getInputStream();
+            InputStream input = socket.getInputStream();
             while (true) {
-                allow(begun);
-                byte[] room = cutter.buffer();
-                int got = in.read(room, cutter.position(), room.length - cutter.position());
-                if (got < 0) {
-                    close(cutter.hasPartialMessage() ? "ended amid a message" : "ended by the peer");
+                updateSocketTimeout(messageStartNanos);
+                byte[] buffer = framer.buffer();
+                int bytesRead = input.read(buffer, framer.position(), buffer.length - framer.position());
+                if (bytesRead < 0) {
+                    close(framer.hasPartialMessage() ? "ended amid a message" : "ended by the peer");
                     return;
                 }
-                handling = true;
-                begun = cutter.hasPartialMessage() ? begun : System.nanoTime();
-                cutter.advance(got);
-                for (byte[] whole : wholes()) {
-                    events.messageReceived(this, whole);
-                    begun = System.nanoTime();
-                    saidOne = true;
+                handlingInput = true;
+                messageStartNanos = framer.hasPartialMessage() ? messageStartNanos : System.nanoTime();
+                framer.advance(bytesRead);
+                for (byte[] message : nextMessages()) {
+                    listener.messageReceived(this, message);
+                    messageStartNanos = System.nanoTime();
+                    hasReceivedMessage = true;
                 }
-                handling = false;
+                handlingInput = false;
             }
         } catch (SocketTimeoutException e) {
             close(
-                    cutter.hasPartialMessage()
+                    framer.hasPartialMessage()
                             ? "a message took too long to arrive"
-                            : saidOne ? "idle" : "no message came");
+                            : hasReceivedMessage ? "idle" : "no message came");
         } catch (IOException | StreamFramer.FramingException e) {
             close(String.valueOf(e.getMessage()));
         } catch (InterruptedException e) {
             close("stopped");
         } catch (RuntimeException e) {
-            // A fault of the program with one message ends this connection and nothing else.
+            // A programming error with one message ends this connection only.
             close("fault: " + e);
         }
     }
 
-    /** All of what was read at once: nothing of it is handed up where its end shows that it was cut wrongly. */
-    private List<byte[]> wholes() throws StreamFramer.FramingException {
-        byte[] one = cutter.nextMessage();
-        if (one == null) {
+    /**
+     * Frames everything that was read at once. If any part of it is malformed, none of its messages are delivered, as
+     * the framing cannot be trusted.
+     */
+    private List<byte[]> nextMessages() throws StreamFramer.FramingException {
+        byte[] message = framer.nextMessage();
+        if (message == null) {
             return List.of();
         }
-        List<byte[]> all = new ArrayList<>(2);
-        for (; one != null; one = cutter.nextMessage()) {
-            all.add(one);
+        List<byte[]> messages = new ArrayList<>(2);
+        for (; message != null; message = framer.nextMessage()) {
+            messages.add(message);
         }
-        return all;
+        return messages;
     }
 
-    private void allow(long begun) throws IOException {
+    /** Sets the read timeout to the time left for the current message, or until the connection counts as idle. */
+    private void updateSocketTimeout(long messageStartNanos) throws IOException {
         long now = System.nanoTime();
-        long left = cutter.hasPartialMessage()
-                ? bounds.messageTimeout().ns() - (now - begun)
-                : bounds.idleTimeout().ns();
-        if (!saidOne) {
-            left = Math.min(left, bounds.firstMessageTimeout().ns() - (now - started));
+        long remainingNanos = framer.hasPartialMessage()
+                ? limits.messageTimeout().ns() - (now - messageStartNanos)
+                : limits.idleTimeout().ns();
+        if (!hasReceivedMessage) {
+            remainingNanos =
+                    Math.min(remainingNanos, limits.firstMessageTimeout().ns() - (now - readStartNanos));
         }
-        int ms = (int) Math.max(1, left / 1_000_000);
-        // Each setting is a call of the system; the time that is left changes little while messages come whole.
-        if (ms != timeout) {
-            timeout = ms;
-            socket.setSoTimeout(ms);
+        int timeoutMs = (int) Math.max(1, remainingNanos / 1_000_000);
+        // Setting the timeout is a system call; the value changes little while messages arrive whole.
+        if (timeoutMs != socketTimeoutMs) {
+            socketTimeoutMs = timeoutMs;
+            socket.setSoTimeout(timeoutMs);
         }
     }
 }
--- a/src/main/java/martenslip/sip/transport/ConnectionThreadPool.java
+++ b/src/main/java/martenslip/sip/transport/ConnectionThreadPool.java
@@ -6,79 +6,84 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A few threads that write for all connections which have something to say: a connection that says nothing costs one
- * small thread, the one that reads it. A peer that does not read holds one of them until its connection is ended, so
- * there may be {@code most}; past that connections wait for their turn, at most one place each.
+ * A few threads that write for all connections with unsent messages, so an idle connection costs only its reading
+ * thread, which has a small stack. A peer that does not read blocks one writing thread until its connection is closed;
+ * there are at most {@code maxWriters}. When all are busy, connections wait in a queue, each with at most one entry.
  *
- * <p>It keeps threads that read for a while too: where connections come and go by the hundred a second, making and
- * ending a thread for each is most of what they cost.
+ * <p>Reading threads are kept for a while too: where hundreds of connections open and close each second, creating and
+ * ending a thread for each is most of their cost.
  */
 public final class ConnectionThreadPool {
-    private static final int STACK = 128 * 1024;
-    private static final long LINGER_MS = 2000;
-    /** More connections than any process here may hold descriptors. */
-    private static final int MOST_READERS = 1024;
+    private static final int STACK_SIZE_BYTES = 128 * 1024;
+    private static final long IDLE_THREAD_TIMEOUT_MS = 2000;
+    /** Exceeds the number of descriptors that any process here may hold. */
+    private static final int MAX_READERS = 1024;
 
     private final String name;
-    private final int most;
-    private final ArrayDeque<Runnable> ready = new ArrayDeque<>();
+    private final int maxWriters;
+    private final ArrayDeque<Runnable> pendingWrites = new ArrayDeque<>();
     private final ThreadPoolExecutor readers;
-    private int threads;
-    private int idle;
+    private int writerCount;
+    private int idleWriters;
 
-    public ConnectionThreadPool(String name, int most) {
+    /** Creates a pool without threads; thread names begin with {@code name}. */
+    public ConnectionThreadPool(String name, int maxWriters) {
         this.name = name;
-        this.most = most;
+        this.maxWriters = maxWriters;
         readers = new ThreadPoolExecutor(
-                0, MOST_READERS, LINGER_MS, TimeUnit.MILLISECONDS, new SynchronousQueue<>(), what -> {
-                    Thread thread = new Thread(null, what, name + "-in", STACK);
+                0, MAX_READERS, IDLE_THREAD_TIMEOUT_MS, TimeUnit.MILLISECONDS, new SynchronousQueue<>(), task -> {
+                    Thread thread = new Thread(null, task, name + "-in", STACK_SIZE_BYTES);
                     thread.setDaemon(true);
                     return thread;
                 });
     }
 
-    /** Runs it on a thread of its own as long as it takes. Where none can be had it throws what the executor throws. */
-    void read(Runnable reading) {
-        readers.execute(reading);
+    /**
+     * Runs a reading loop on a thread of its own until it returns. Throws what the executor throws if there is no
+     * thread.
+     */
+    void executeRead(Runnable task) {
+        readers.execute(task);
     }
 
-    synchronized void submit(Runnable writing) {
-        ready.add(writing);
-        if (idle >= ready.size()) {
+    /** Queues a write; starts another writing thread if none is idle and the limit allows it. */
+    synchronized void submitWrite(Runnable task) {
+        pendingWrites.add(task);
+        if (idleWriters >= pendingWrites.size()) {
             notify();
-        } else if (threads < most) {
-            threads++;
-            Thread thread = new Thread(null, this::work, name + "-out-" + threads, STACK);
+        } else if (writerCount < maxWriters) {
+            writerCount++;
+            Thread thread = new Thread(null, this::runWriter, name + "-out-" + writerCount, STACK_SIZE_BYTES);
             thread.setDaemon(true);
             thread.start();
         }
     }
 
-    private void work() {
-        for (Runnable next = take(); next != null; next = take()) {
-            next.run();
+    private void runWriter() {
+        for (Runnable task = awaitWrite(); task != null; task = awaitWrite()) {
+            task.run();
         }
     }
 
-    private synchronized Runnable take() {
-        long until = System.nanoTime() + LINGER_MS * 1_000_000;
-        while (ready.isEmpty()) {
-            long left = (until - System.nanoTime()) / 1_000_000;
-            // The last one stays: most of the time one is enough.
-            if (left <= 0 && threads > 1) {
-                threads--;
+    private synchronized Runnable awaitWrite() {
+        long deadlineNanos = System.nanoTime() + IDLE_THREAD_TIMEOUT_MS * 1_000_000;
+        while (pendingWrites.isEmpty()) {
+            long remainingMs = (deadlineNanos - System.nanoTime()) / 1_000_000;
+            // The last thread stays: one is usually enough.
+            if (remainingMs <= 0 && writerCount > 1) {
+                writerCount--;
                 return null;
             }
-            idle++;
+            idleWriters++;
             try {
-                wait(left <= 0 ? 0 : left);
+                wait(remainingMs <= 0 ? 0 : remainingMs);
             } catch (InterruptedException e) {
-                threads--;
+                writerCount--;
                 return null;
             } finally {
-                idle--;
+                idleWriters--;
             }
         }
-        return ready.poll();
+        return pendingWrites.poll();
     }
 }
--- a/src/main/java/martenslip/sip/transport/DropCounter.java
+++ b/src/main/java/martenslip/sip/transport/DropCounter.java
@@ -5,25 +5,31 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts of what could not be answered or taken, by cause. Any thread may count and read. */
+/** Counts of what could not be answered or processed, by cause. Thread-safe. */
 public final class DropCounter {
-    private static final int MOST_WHY = 40;
+    private static final int MAX_DETAIL_LENGTH = 40;
 
-    /** Causes are phrases of the program, never of a message, so their number is bounded. */
-    private final ConcurrentHashMap<String, LongAdder> causes = new ConcurrentHashMap<>();
+    /** Causes are constants of the program and never text from a message, so the number of entries is bounded. */
+    private final ConcurrentHashMap<String, LongAdder> countsByCause = new ConcurrentHashMap<>();
 
+    /** Counts one drop. */
     public void increment(String cause) {
-        causes.computeIfAbsent(cause, any -> new LongAdder()).increment();
+        countsByCause.computeIfAbsent(cause, key -> new LongAdder()).increment();
     }
 
-    /** With why it was as far as a short text tells: reasons come from the system, and long ones would fill the table. */
-    public void increment(String cause, String why) {
-        increment(cause + ": " + (why.length() <= MOST_WHY ? why : why.substring(0, MOST_WHY)));
+    /**
+     * Counts one drop by cause and detail. The detail is truncated, as it may come from the operating system and long
+     * texts would fill the table.
+     */
+    public void increment(String cause, String detail) {
+        increment(cause + ": "
+                + (detail.length() <= MAX_DETAIL_LENGTH ? detail : detail.substring(0, MAX_DETAIL_LENGTH)));
     }
 
+    /** A snapshot of the counts, sorted by cause. */
     public Map<String, Long> counts() {
-        Map<String, Long> all = new TreeMap<>();
-        causes.forEach((cause, count) -> all.put(cause, count.sum()));
-        return all;
+        Map<String, Long> snapshot = new TreeMap<>();
+        countsByCause.forEach((cause, count) -> snapshot.put(cause, count.sum()));
+        return snapshot;
     }
 }
