--- a/src/main/java/martenslip/sip/transport/HopResolver.java
+++ b/src/main/java/martenslip/sip/transport/HopResolver.java
@@ -7,12 +7,13 @@
 import martenslip.sip.message.InvalidValueException;
 import martenslip.sip.message.SipUri;
 
-/** The place that a URI names (RFC 3263 without its look-ups: hosts are addresses, names are not asked for). */
+/** Resolves a URI to an address (RFC 3263 without DNS: hosts must be IP addresses). */
 public final class HopResolver {
     private static final int DEFAULT_PORT = 5060;
 
     private HopResolver() {}
 
+    /** The address that requests to the URI go to; UDP unless the URI names a transport. */
     public static Hop resolve(SipUri uri) throws InvalidValueException {
         String transport = uri.params().get("transport");
         if (uri.secure()) {
@@ -21,18 +22,20 @@
         if (transport != null && !transport.equalsIgnoreCase("udp") && !transport.equalsIgnoreCase("tcp")) {
             throw new InvalidValueException("transport " + transport + " is not served");
         }
-        InetSocketAddress at = parseAddress(uri.hostPort());
-        return transport != null && transport.equalsIgnoreCase("tcp") ? Hop.tcp(at) : Hop.udp(at);
+        InetSocketAddress address = parseAddress(uri.hostPort());
+        return transport != null && transport.equalsIgnoreCase("tcp") ? Hop.tcp(address) : Hop.udp(address);
     }
 
-    public static InetSocketAddress parseAddress(HostPort at) throws InvalidValueException {
-        String host = at.hostWithoutBrackets();
+    /** The socket address of a literal host; the port defaults to 5060. */
+    public static InetSocketAddress parseAddress(HostPort hostPort) throws InvalidValueException {
+        String host = hostPort.hostWithoutBrackets();
         boolean literal = host.indexOf(':') >= 0 || host.chars().allMatch(c -> c == '.' || c >= '0' && c <= '9');
         if (!literal) {
             throw new InvalidValueException("host " + host + " is no address, and names are not looked up");
         }
         try {
-            return new InetSocketAddress(InetAddress.getByName(host), at.port() < 0 ? DEFAULT_PORT : at.port());
+            return new InetSocketAddress(
+                    InetAddress.getByName(host), hostPort.port() < 0 ? DEFAULT_PORT : hostPort.port());
         } catch (UnknownHostException e) {
             throw new InvalidValueException("host " + host + " is no address");
         }
--- a/src/main/java/martenslip/sip/transport/MessageInterceptor.java
+++ b/src/main/java/martenslip/sip/transport/MessageInterceptor.java
@@ -3,17 +3,17 @@
 import java.util.function.Consumer;
 
 /**
- * Stands between the sockets and the rest, for stand-ins that record what passes and damage it on purpose. It
- * may pass bytes on at once, later, twice or never. Called by any thread.
+ * Intercepts messages between the sockets and the upper layers, for stand-ins that record or damage them. It may pass
+ * bytes on at once, later, twice or never. Called by any thread.
  */
 public interface MessageInterceptor {
     /** A whole message is about to be sent from the local port. */
     void outbound(int localPort, Hop to, byte[] bytes, Consumer<byte[]> send);
 
-    /** A whole message has come in at the local port. */
+    /** A whole message was received at the local port. */
     void inbound(int localPort, Hop from, byte[] bytes, Consumer<byte[]> deliver);
 
-    /** All passes at once. */
+    /** Passes every message on at once. */
     MessageInterceptor PASS_THROUGH = new MessageInterceptor() {
         @Override
         public void outbound(int localPort, Hop to, byte[] bytes, Consumer<byte[]> send) {
--- a/src/main/java/martenslip/sip/transport/OutgoingMessage.java
+++ b/src/main/java/martenslip/sip/transport/OutgoingMessage.java
@@ -1,27 +1,31 @@
 package martenslip.sip.transport;
 
 /**
- * What waits on a connection. What has been queued is not yet sent: whether it is said at all is settled when its write
- * begins, by the thread that writes. Nobody looks again between the queue and the socket but here.
+ * A message queued on a connection. Whether it is sent at all is decided by the writing thread when its write begins;
+ * this is the only check between the queue and the socket.
  */
 public interface OutgoingMessage {
-    /** What it counts for against the bound of what is unsent. */
+    /** Bytes counted against the limit of unsent data. */
     int size();
 
-    /** What is to be written, or null where there is nothing any more to say. Asked once, as the write begins. */
+    /** The bytes to write, or null if the message is no longer to be sent. Called once, as the write begins. */
     byte[] bytes();
 
-    /** Nothing of it is going to be written any more: it has been, it had nothing to say, or the connection is over. */
+    /** The message will not be written any further: it was written or withdrawn, or the connection has ended. */
     default void completed() {
-        // Most who queue something don't ask what became of it.
+        // Most senders need no notification.
     }
 
+    /** A message that is never withdrawn. */
     static OutgoingMessage of(byte[] message) {
         return of(message, () -> {});
     }
 
-    /** {@code done} is run by the writing thread, or by whoever ends the connection. */
-    static OutgoingMessage of(byte[] message, Runnable done) {
+    /**
+     * A message that is never withdrawn; {@code onCompleted} is run by the writing thread or by the thread that ends the
+     * connection.
+     */
+    static OutgoingMessage of(byte[] message, Runnable onCompleted) {
         return new OutgoingMessage() {
             @Override
             public int size() {
@@ -35,7 +39,7 @@
 
             @Override
             public void completed() {
-                done.run();
+                onCompleted.run();
             }
         };
     }
--- a/src/main/java/martenslip/sip/transport/QueuedMessage.java
+++ b/src/main/java/martenslip/sip/transport/QueuedMessage.java
@@ -1,4 +1,4 @@
 package martenslip.sip.transport;
 
-/** A message that waits on a connection, or went by it, and what it takes to have it back. */
+/** A revocable message together with the connection on which it was queued or sent. */
 public record QueuedMessage(long connectionId, RevocableMessage message) {}
--- a/src/main/java/martenslip/sip/transport/RevocableMessage.java
+++ b/src/main/java/martenslip/sip/transport/RevocableMessage.java
@@ -4,10 +4,10 @@
 import java.util.function.Supplier;
 
 /**
- * A message that can be taken back until its write begins. There is one moment at which it goes over from its sender,
- * who may revoke it, to the writing thread, which says it: the change of the state here. Its reason is looked at once
- * more just before, since it may have waited behind others, for a peer that does not read, or for a connection to come
- * up. Whoever finds it revoked knows that not one byte of it is or will be on the wire.
+ * A message that can be revoked until its write begins. The change of {@code state} is the single moment at which it
+ * passes from its sender, who may revoke it, to the writing thread. The supplier is asked just before, since the
+ * message may have waited behind others, for a peer that does not read, or for a connection to be established. Once it
+ * is revoked, no byte of it is or will be on the wire.
  */
 public final class RevocableMessage implements OutgoingMessage {
     private enum State {
@@ -17,21 +17,22 @@
     }
 
     private final int size;
-    private final Supplier<byte[]> says;
-    private final Runnable unsaid;
+    private final Supplier<byte[]> messageSupplier;
+    private final Runnable onWithdrawn;
     private final AtomicReference<State> state = new AtomicReference<>(State.QUEUED);
 
     /**
-     * {@code says} gives the message as it has to read at that moment, or null where its reason no longer holds; it is
-     * then revoked and {@code unsaid} is run, by the writing thread.
+     * Creates a queued message of {@code size} bytes. {@code messageSupplier} returns the bytes to write at that
+     * moment, or null if the message is no longer valid; it is then revoked, and the writing thread runs {@code
+     * onWithdrawn}.
      */
-    public RevocableMessage(int size, Supplier<byte[]> says, Runnable unsaid) {
+    public RevocableMessage(int size, Supplier<byte[]> messageSupplier, Runnable onWithdrawn) {
         this.size = size;
-        this.says = says;
-        this.unsaid = unsaid;
+        this.messageSupplier = messageSupplier;
+        this.onWithdrawn = onWithdrawn;
     }
 
-    /** Takes it back. True where it has not been written and never will be. Any thread. */
+    /** Revokes the message. Returns true if it has not been written and never will be. May be called by any thread. */
     public boolean revoke() {
         return state.compareAndSet(State.QUEUED, State.REVOKED) || state.get() == State.REVOKED;
     }
@@ -51,10 +52,10 @@
         if (state.get() != State.QUEUED) {
             return null;
         }
-        byte[] message = says.get();
+        byte[] message = messageSupplier.get();
         if (message == null) {
             if (state.compareAndSet(State.QUEUED, State.REVOKED)) {
-                unsaid.run();
+                onWithdrawn.run();
             }
             return null;
         }
--- a/src/main/java/martenslip/sip/transport/StreamFramer.java
+++ b/src/main/java/martenslip/sip/transport/StreamFramer.java
@@ -1,26 +1,29 @@
 package martenslip.sip.transport;
 
-/** Cuts what a connection brings into messages; bytes are read straight into its room. One thread uses it. */
+/** Splits the bytes of a connection into messages; bytes are read directly into its buffer. Used by one thread. */
 public interface StreamFramer {
-    /** A stream that can't be cut any further. */
+    /** The stream cannot be split any further. */
     final class FramingException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public FramingException(String what) {
-            super(what, null, false, false);
+        /** Creates the exception without a stack trace, as peers can cause it at any rate. */
+        public FramingException(String message) {
+            super(message, null, false, false);
         }
     }
 
-    /** Room to read into from {@link #position} on; at least one byte. */
+    /** Buffer to read into from {@link #position} on; it has room for at least one byte. */
     byte[] buffer();
 
+    /** Index in {@link #buffer} at which the next bytes go. */
     int position();
 
+    /** Adds this many bytes that were read into {@link #buffer}. */
     void advance(int bytes);
 
     /** True while a message has begun and not ended. */
     boolean hasPartialMessage();
 
-    /** The next whole message, or null where more must be read. */
+    /** The next whole message, or null if more bytes are needed. */
     byte[] nextMessage() throws FramingException;
 }
--- a/src/main/java/martenslip/sip/transport/Transport.java
+++ b/src/main/java/martenslip/sip/transport/Transport.java
@@ -21,240 +21,259 @@
 import martenslip.sip.message.Via;
 
 /**
- * Sockets of one endpoint: at most one UDP socket and one TCP listener, with connections to and from others
- * (RFC 3261 18). Blocking, one thread for the datagrams, one that accepts, two a connection. {@link #send} may
- * be called by any thread; it never blocks on a peer.
+ * Sockets of one endpoint: at most one UDP socket and one TCP listener, with connections to and from peers
+ * (RFC 3261 18). I/O is blocking, with one thread for datagrams, one that accepts and two for each connection.
+ * {@link #send} may be called by any thread and never blocks on a peer.
  */
 public final class Transport implements AutoCloseable {
-    private static final int STACK = 256 * 1024;
-    private static final int BUFFER = 4 << 20;
+    private static final int STACK_SIZE_BYTES = 256 * 1024;
+    private static final int ACCEPT_BACKLOG = 128;
+    /** Shorter input is a keep-alive. */
+    private static final int MIN_MESSAGE_BYTES = 5;
+
+    private static final int SOCKET_BUFFER_BYTES = 4 << 20;
 
     private final String name;
-    private final TransportLimits bounds;
+    private final TransportLimits limits;
     private final TransportEventSink sink;
-    private final MessageInterceptor gate;
+    private final MessageInterceptor interceptor;
     private final DropCounter dropCounter = new DropCounter();
-    private final AtomicLong numbers = new AtomicLong();
-    private final Map<Long, Connection> connectionCount = new ConcurrentHashMap<>();
-    private final Map<InetSocketAddress, Connection> byPeer = new ConcurrentHashMap<>();
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final AtomicLong connectionIds = new AtomicLong();
+    private final Map<Long, Connection> connections = new ConcurrentHashMap<>();
+    private final Map<InetSocketAddress, Connection> connectionsByPeer = new ConcurrentHashMap<>();
+    private final List<AutoCloseable> openSockets = new ArrayList<>();
     private String host = "";
     private int udpPort = -1;
     private int tcpPort = -1;
-    private InetAddress local;
-    private DatagramSocket udp;
-    private ServerSocket tcp;
+    private InetAddress localAddress;
+    private DatagramSocket udpSocket;
+    private ServerSocket tcpListener;
     private volatile boolean closing;
 
-    public Transport(String name, TransportLimits bounds, TransportEventSink sink, MessageInterceptor gate) {
+    /** Creates a transport without sockets; thread names begin with {@code name}. */
+    public Transport(String name, TransportLimits limits, TransportEventSink sink, MessageInterceptor interceptor) {
         this.name = name;
-        this.bounds = bounds;
+        this.limits = limits;
         this.sink = sink;
-        this.gate = gate;
+        this.interceptor = interceptor;
     }
 
+    /** Counts of what was dropped, by cause. */
     public DropCounter dropCounter() {
         return dropCounter;
     }
 
-    /** Opens the datagram socket; port 0 takes any. The port that was taken is returned. */
-    public int openUdp(InetSocketAddress at) throws IOException {
-        udp = new DatagramSocket(at);
-        opened(at.getAddress());
-        udp.setReceiveBufferSize(BUFFER);
-        udp.setSendBufferSize(BUFFER);
-        open.add(udp);
-        new Thread(null, this::readDatagrams, name + "-udp", STACK).start();
-        udpPort = udp.getLocalPort();
+    /** Opens the UDP socket and returns its port; port 0 selects any free port. */
+    public int openUdp(InetSocketAddress address) throws IOException {
+        udpSocket = new DatagramSocket(address);
+        recordAddress(address.getAddress());
+        udpSocket.setReceiveBufferSize(SOCKET_BUFFER_BYTES);
+        udpSocket.setSendBufferSize(SOCKET_BUFFER_BYTES);
+        openSockets.add(udpSocket);
+        new Thread(null, this::receiveDatagrams, name + "-udp", STACK_SIZE_BYTES).start();
+        udpPort = udpSocket.getLocalPort();
         return udpPort;
     }
 
-    /** Opens the listener; port 0 takes any. The port that was taken is returned. */
-    public int openTcp(InetSocketAddress at) throws IOException {
-        tcp = new ServerSocket();
-        tcp.setReuseAddress(true);
-        tcp.bind(at, 128);
-        opened(at.getAddress());
-        open.add(tcp);
-        new Thread(null, this::accept, name + "-tcp", STACK).start();
-        tcpPort = tcp.getLocalPort();
+    /** Opens the TCP listener and returns its port; port 0 selects any free port. */
+    public int openTcp(InetSocketAddress address) throws IOException {
+        tcpListener = new ServerSocket();
+        tcpListener.setReuseAddress(true);
+        tcpListener.bind(address, ACCEPT_BACKLOG);
+        recordAddress(address.getAddress());
+        openSockets.add(tcpListener);
+        new Thread(null, this::acceptConnections, name + "-tcp", STACK_SIZE_BYTES).start();
+        tcpPort = tcpListener.getLocalPort();
         return tcpPort;
     }
 
-    public boolean isOpen(Hop.Protocol kind) {
-        return kind == Hop.Protocol.UDP ? udp != null : tcp != null;
+    /** True if the socket of this protocol was opened. */
+    public boolean isOpen(Hop.Protocol protocol) {
+        return protocol == Hop.Protocol.UDP ? udpSocket != null : tcpListener != null;
     }
 
-    /** The port that was opened; it stays known after the close. */
-    public int port(Hop.Protocol kind) {
-        return kind == Hop.Protocol.UDP ? udpPort : tcpPort;
+    /** The port that was opened, also after {@link #close}; -1 if there is none. */
+    public int port(Hop.Protocol protocol) {
+        return protocol == Hop.Protocol.UDP ? udpPort : tcpPort;
     }
 
-    /** The address that was opened, an IPv6 one in brackets; it stays known after the close. */
+    /** The address that was opened, an IPv6 address in brackets, also after {@link #close}. */
     public String host() {
         return host;
     }
 
-    /** Host and port that a Via for this kind names. */
-    public String sentBy(Hop.Protocol kind) {
-        // Without a listener of its own a connection's peer answers over the connection.
-        Hop.Protocol other = kind == Hop.Protocol.UDP ? Hop.Protocol.TCP : Hop.Protocol.UDP;
-        return host + ":" + port(isOpen(kind) ? kind : other);
+    /** Host and port for a Via of this protocol. */
+    public String sentBy(Hop.Protocol protocol) {
+        // Without a listener for this protocol the peer answers over the connection that the request came by.
+        Hop.Protocol otherProtocol = protocol == Hop.Protocol.UDP ? Hop.Protocol.TCP : Hop.Protocol.UDP;
+        return host + ":" + port(isOpen(protocol) ? protocol : otherProtocol);
     }
 
-    private void opened(InetAddress address) {
-        String text = address.getHostAddress();
-        host = text.indexOf(':') < 0 ? text : "[" + text + "]";
-        local = address;
+    private void recordAddress(InetAddress address) {
+        String literal = address.getHostAddress();
+        host = literal.indexOf(':') < 0 ? literal : "[" + literal + "]";
+        localAddress = address;
     }
 
-    /** Sends a whole message. False where it is known not to go; later trouble comes as {@link TransportEvent.ConnectionLost}. */
+    /**
+     * Sends a whole message. Returns false if it is known not to leave; a later failure is reported as
+     * {@link TransportEvent.ConnectionLost}.
+     */
     public boolean send(byte[] bytes, Hop to) {
         if (to.protocol() == Hop.Protocol.UDP) {
-            if (udp == null || bytes.length > MessageParser.MAX_MESSAGE_BYTES) {
+            if (udpSocket == null || bytes.length > MessageParser.MAX_MESSAGE_BYTES) {
                 dropCounter.increment("datagram not sendable");
                 return false;
             }
-            gate.outbound(udp.getLocalPort(), to, bytes, held -> datagram(held, to));
+            interceptor.outbound(udpSocket.getLocalPort(), to, bytes, intercepted -> sendDatagram(intercepted, to));
             return true;
         }
-        Connection connection = connection(to);
+        Connection connection = findOrConnect(to);
         if (connection == null) {
             dropCounter.increment("no connection to be had");
             return false;
         }
-        gate.outbound(tcp == null ? connection.localPort() : tcp.getLocalPort(), connection.hop(), bytes, held -> {
-            if (!connection.send(held)) {
-                dropCounter.increment("connection over");
-            }
-        });
+        interceptor.outbound(
+                tcpListener == null ? connection.localPort() : tcpListener.getLocalPort(),
+                connection.hop(),
+                bytes,
+                intercepted -> {
+                    if (!connection.send(intercepted)) {
+                        dropCounter.increment("connection over");
+                    }
+                });
         return true;
     }
 
-    private void datagram(byte[] bytes, Hop to) {
+    private void sendDatagram(byte[] bytes, Hop to) {
         try {
-            udp.send(new DatagramPacket(bytes, bytes.length, to.address()));
+            udpSocket.send(new DatagramPacket(bytes, bytes.length, to.address()));
         } catch (IOException e) {
             dropCounter.increment("datagram not sent");
         }
     }
 
-    private Connection connection(Hop to) {
-        Connection known = to.connectionId() != 0 ? connectionCount.get(to.connectionId()) : null;
-        if (known != null) {
-            return known;
+    private Connection findOrConnect(Hop to) {
+        Connection identified = to.connectionId() != 0 ? connections.get(to.connectionId()) : null;
+        if (identified != null) {
+            return identified;
         }
-        // A connection that is named is the one meant: its far port may listen to nobody.
+        // A hop with a connection identifier means that connection only: nothing may listen on its remote port.
         if (to.connectionId() != 0 || closing) {
             return null;
         }
-        Connection same = byPeer.get(to.address());
-        if (same != null) {
-            return same;
+        Connection existing = connectionsByPeer.get(to.address());
+        if (existing != null) {
+            return existing;
         }
-        if (connectionCount.size() >= bounds.maxConnections()) {
+        if (connections.size() >= limits.maxConnections()) {
             return null;
         }
         Socket socket = new Socket();
         try {
-            // From the address that is listened on: a peer may know this endpoint by it.
-            socket.bind(new InetSocketAddress(local, 0));
+            // Bind to the listening address: a peer may know this endpoint by it.
+            socket.bind(new InetSocketAddress(localAddress, 0));
         } catch (IOException e) {
             dropCounter.increment("no local port");
             return null;
         }
-        return add(socket, to.address(), false);
+        return addConnection(socket, to.address(), false);
     }
 
-    private synchronized Connection add(Socket socket, InetSocketAddress peer, boolean up) {
-        Connection same = byPeer.get(peer);
-        if (same != null && !up) {
-            return same;
+    private synchronized Connection addConnection(Socket socket, InetSocketAddress peer, boolean established) {
+        Connection existing = connectionsByPeer.get(peer);
+        if (existing != null && !established) {
+            return existing;
         }
-        Connection added = new Connection(numbers.incrementAndGet(), socket, peer, up, bounds, events);
-        connectionCount.put(added.id, added);
-        byPeer.put(peer, added);
-        added.start(name);
-        return added;
+        Connection connection =
+                new Connection(connectionIds.incrementAndGet(), socket, peer, established, limits, connectionListener);
+        connections.put(connection.id, connection);
+        connectionsByPeer.put(peer, connection);
+        connection.start(name);
+        return connection;
     }
 
-    private final Connection.Listener events = new Connection.Listener() {
+    private final Connection.Listener connectionListener = new Connection.Listener() {
         @Override
         public void messageReceived(Connection connection, byte[] message) throws InterruptedException {
             Hop from = connection.hop();
-            int port = tcp == null ? connection.localPort() : tcp.getLocalPort();
-            gate.inbound(port, from, message, held -> {
-                TransportEvent arrival = arrival(held, held.length, from);
-                if (arrival != null) {
-                    putOrEnd(arrival);
+            int port = tcpListener == null ? connection.localPort() : tcpListener.getLocalPort();
+            interceptor.inbound(port, from, message, intercepted -> {
+                TransportEvent event = toEvent(intercepted, intercepted.length, from);
+                if (event != null) {
+                    putEvent(event);
                 }
             });
         }
 
         @Override
-        public void ended(Connection connection, String why) {
-            connectionCount.remove(connection.id, connection);
-            byPeer.remove(connection.hop().address(), connection);
+        public void ended(Connection connection, String reason) {
+            connections.remove(connection.id, connection);
+            connectionsByPeer.remove(connection.hop().address(), connection);
             if (!closing) {
-                putOrEnd(new TransportEvent.ConnectionLost(connection.hop(), connection.wasEstablished(), why));
+                putEvent(new TransportEvent.ConnectionLost(connection.hop(), connection.wasEstablished(), reason));
             }
         }
     };
 
-    private void putOrEnd(TransportEvent arrival) {
+    private void putEvent(TransportEvent event) {
         try {
-            sink.put(arrival);
+            sink.put(event);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void readDatagrams() {
-        byte[] room = new byte[MessageParser.MAX_MESSAGE_BYTES + 1];
-        DatagramPacket packet = new DatagramPacket(room, room.length);
+    private void receiveDatagrams() {
+        byte[] buffer = new byte[MessageParser.MAX_MESSAGE_BYTES + 1];
+        DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
         while (!closing) {
             try {
-                packet.setLength(room.length);
-                udp.receive(packet);
+                packet.setLength(buffer.length);
+                udpSocket.receive(packet);
                 Hop from = Hop.udp((InetSocketAddress) packet.getSocketAddress());
-                if (gate == MessageInterceptor.PASS_THROUGH) {
-                    offer(room, packet.getLength(), from);
+                if (interceptor == MessageInterceptor.PASS_THROUGH) {
+                    offerDatagram(buffer, packet.getLength(), from);
                 } else {
-                    byte[] bytes = java.util.Arrays.copyOf(room, packet.getLength());
-                    gate.inbound(udp.getLocalPort(), from, bytes, held -> offer(held, held.length, from));
+                    byte[] bytes = java.util.Arrays.copyOf(buffer, packet.getLength());
+                    interceptor.inbound(
+                            udpSocket.getLocalPort(),
+                            from,
+                            bytes,
+                            intercepted -> offerDatagram(intercepted, intercepted.length, from));
                 }
             } catch (SocketException e) {
                 dropCounter.increment(closing ? "closed" : "datagram socket fault");
-                if (udp.isClosed()) {
+                if (udpSocket.isClosed()) {
                     return;
                 }
             } catch (IOException | RuntimeException e) {
-                // Nothing that arrives ends the thread that reads for all.
+                // No datagram may end the thread that reads all of them.
                 dropCounter.increment("datagram read fault");
             }
         }
     }
 
-    private void offer(byte[] bytes, int length, Hop from) {
-        TransportEvent arrival = arrival(bytes, length, from);
-        if (arrival != null && !sink.offer(arrival)) {
+    private void offerDatagram(byte[] bytes, int length, Hop from) {
+        TransportEvent event = toEvent(bytes, length, from);
+        if (event != null && !sink.offer(event)) {
             dropCounter.increment("inbox full");
         }
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!closing) {
             try {
-                Socket socket = tcp.accept();
-                if (connectionCount.size() >= bounds.maxConnections()) {
+                Socket socket = tcpListener.accept();
+                if (connections.size() >= limits.maxConnections()) {
                     dropCounter.increment("too many connections");
                     socket.close();
                     continue;
                 }
                 socket.setTcpNoDelay(true);
-                add(socket, (InetSocketAddress) socket.getRemoteSocketAddress(), true);
+                addConnection(socket, (InetSocketAddress) socket.getRemoteSocketAddress(), true);
             } catch (IOException e) {
-                if (tcp.isClosed()) {
+                if (tcpListener.isClosed()) {
                     return;
                 }
                 dropCounter.increment("accept fault");
@@ -262,12 +281,15 @@
         }
     }
 
-    /** Parses and notes where a request came from (RFC 3261 18.2.1, RFC 3581 4). Null where it can't be used. */
-    private TransportEvent arrival(byte[] bytes, int length, Hop from) {
+    /**
+     * Parses a message and records the source address of a request (RFC 3261 18.2.1, RFC 3581 4). Null if it is
+     * unusable.
+     */
+    private TransportEvent toEvent(byte[] bytes, int length, Hop from) {
         ParseResult parsed = MessageParser.parse(bytes, length);
         Message message = parsed.message();
         if (message instanceof Request request) {
-            stamp(request, from);
+            recordSource(request, from);
         }
         if (parsed.isValid()) {
             return new TransportEvent.MessageReceived(message, from);
@@ -275,12 +297,12 @@
         if (parsed.isAnswerable()) {
             return new TransportEvent.InvalidRequest((Request) message, parsed.status(), parsed.fault(), from);
         }
-        boolean blank = length < 5;
-        dropCounter.increment(blank ? "keep-alive" : "unusable message");
+        boolean keepAlive = length < MIN_MESSAGE_BYTES;
+        dropCounter.increment(keepAlive ? "keep-alive" : "unusable message");
         return null;
     }
 
-    private static void stamp(Request request, Hop from) {
+    private static void recordSource(Request request, Hop from) {
         try {
             Via via = request.via();
             String host = from.address().getAddress().getHostAddress();
@@ -292,32 +314,33 @@
                 request.headers().set("Via", via.with("received", host));
             }
         } catch (InvalidValueException e) {
-            // Without a Via that can be read there is nobody to answer; the parser has told so.
+            // Without a readable Via there is no address to respond to; the parser has reported it.
             return;
         }
     }
 
-    /** Breaks all connections with a reset, for stand-ins. The number broken is returned. */
+    /** Closes all connections with a TCP reset, for stand-ins; returns their number. */
     public int resetAllConnections() {
-        List<Connection> all = new ArrayList<>(connectionCount.values());
-        all.forEach(Connection::reset);
-        return all.size();
+        List<Connection> open = new ArrayList<>(connections.values());
+        open.forEach(Connection::reset);
+        return open.size();
     }
 
+    /** The number of open connections. */
     public int connectionCount() {
-        return connectionCount.size();
+        return connections.size();
     }
 
     @Override
     public void close() {
         closing = true;
-        for (AutoCloseable one : open) {
+        for (AutoCloseable socket : openSockets) {
             try {
-                one.close();
+                socket.close();
             } catch (Exception e) {
                 dropCounter.increment("close fault");
             }
         }
-        new ArrayList<>(connectionCount.values()).forEach(one -> one.close("closing"));
+        new ArrayList<>(connections.values()).forEach(connection -> connection.close("closing"));
     }
 }
--- a/src/main/java/martenslip/sip/transport/TransportEventSink.java
+++ b/src/main/java/martenslip/sip/transport/TransportEventSink.java
@@ -1,10 +1,10 @@
 package martenslip.sip.transport;
 
-/** Takes what arrives. Called by reading threads, several at a time. */
+/** Receives transport events. Called by several reading threads at a time. */
 public interface TransportEventSink {
-    /** Takes it at once, or says no where there is no room: a datagram is then lost, as a network would do it. */
-    boolean offer(TransportEvent arrival);
+    /** Takes the event at once, or returns false if there is no room: a datagram is then lost, as on a network. */
+    boolean offer(TransportEvent event);
 
     /** Waits for room: a connection whose reader waits here is not read further. */
-    void put(TransportEvent arrival) throws InterruptedException;
+    void put(TransportEvent event) throws InterruptedException;
 }
--- a/src/test/java/martenslip/sip/dialog/DialogLayerTest.java
+++ b/src/test/java/martenslip/sip/dialog/DialogLayerTest.java
@@ -13,8 +13,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Call set-up, cancellation and release between two user agents, with lost and duplicated messages. */
 public class DialogLayerTest {
-    private static final double LONG = 80_000;
+    /** Longer than any transaction or dialog lasts. */
+    private static final double ALL_TIMERS_MS = 80_000;
 
     @DataProvider
     public Object[][] transports() {
@@ -22,233 +24,237 @@
     }
 
     @Test(dataProvider = "transports")
-    public void setUpAndRelease(boolean reliable) {
-        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
+    public void callIsEstablishedAndEndedByBye(boolean reliable) {
+        UserAgentPair pair = new UserAgentPair(reliable).startCall().advance(100);
         pair.accept();
-        pair.pass(1000);
-        assertEquals(pair.heard, List.of("incoming", "progress 100", "stood"));
-        pair.out.bye(null);
-        pair.pass(LONG);
-        assertEquals(pair.heard.get(3), "in ended BYE");
-        assertEquals(pair.sent("INVITE"), 1);
-        assertEquals(pair.sent("200"), 2);
-        assertEquals(pair.sent("ACK"), 1);
-        assertTrue(pair.empty(), pair.wire.toString());
+        pair.advance(1000);
+        assertEquals(pair.events, List.of("incoming", "progress 100", "established"));
+        pair.uacCall.bye(null);
+        pair.advance(ALL_TIMERS_MS);
+        assertEquals(pair.events.get(3), "uas ended BYE");
+        assertEquals(pair.sentCount("INVITE"), 1);
+        assertEquals(pair.sentCount("200"), 2);
+        assertEquals(pair.sentCount("ACK"), 1);
+        assertTrue(pair.isEmpty(), pair.sentMessages.toString());
     }
 
     @Test(dataProvider = "transports")
-    public void refusal(boolean reliable) {
-        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
-        assertTrue(pair.in.refuse(pair.in.response(486, "Busy")));
-        assertFalse(pair.in.refuse(pair.in.response(503, "Again")), "a second final answer");
-        assertFalse(pair.in.accept(pair.in.response(200, "OK")), "a second final answer");
-        pair.pass(LONG);
-        assertEquals(pair.heard, List.of("incoming", "progress 100", "refused 486"));
-        assertEquals(pair.sent("486"), 1);
-        assertEquals(pair.sent("ACK"), 1);
-        assertTrue(pair.empty());
+    public void onlyOneFinalResponseIsSent(boolean reliable) {
+        UserAgentPair pair = new UserAgentPair(reliable).startCall().advance(100);
+        assertTrue(pair.uasCall.refuse(pair.uasCall.response(486, "Busy")));
+        assertFalse(pair.uasCall.refuse(pair.uasCall.response(503, "Again")), "a second final response");
+        assertFalse(pair.uasCall.accept(pair.uasCall.response(200, "OK")), "a second final response");
+        pair.advance(ALL_TIMERS_MS);
+        assertEquals(pair.events, List.of("incoming", "progress 100", "refused 486"));
+        assertEquals(pair.sentCount("486"), 1);
+        assertEquals(pair.sentCount("ACK"), 1);
+        assertTrue(pair.isEmpty());
     }
 
-    /** Each message lost on its first way must be repaired by the timer that is there for it. */
+    /** Each message that is lost once must be retransmitted by its timer. */
     @DataProvider
-    public Object[][] lostOnce() {
+    public Object[][] messagesLostOnce() {
         return new Object[][] {{"INVITE"}, {"100"}, {"200"}, {"ACK"}, {"BYE"}, {"503"}};
     }
 
-    @Test(dataProvider = "lostOnce")
-    public void aLostMessageIsRepaired(String word) {
+    @Test(dataProvider = "messagesLostOnce")
+    public void lostMessageIsRetransmitted(String label) {
         UserAgentPair pair = new UserAgentPair(false);
-        int[] left = {1};
-        pair.loses = (message, toCalled) -> UserAgentPair.word(message).equals(word) && left[0]-- > 0;
-        pair.call().pass(700);
-        if (word.equals("503")) {
-            pair.in.refuse(pair.in.response(503, "Full"));
-            pair.pass(LONG);
-            assertEquals(pair.heard.get(2), "refused 503");
-            assertEquals(pair.sent("503"), 2);
+        int[] remainingLosses = {1};
+        pair.isLost = (message, toUas) -> UserAgentPair.label(message).equals(label) && remainingLosses[0]-- > 0;
+        pair.startCall().advance(700);
+        if (label.equals("503")) {
+            pair.uasCall.refuse(pair.uasCall.response(503, "Full"));
+            pair.advance(ALL_TIMERS_MS);
+            assertEquals(pair.events.get(2), "refused 503");
+            assertEquals(pair.sentCount("503"), 2);
         } else {
             pair.accept();
-            pair.pass(3000);
-            pair.out.bye(null);
-            pair.pass(LONG);
-            assertEquals(pair.heard.stream().filter("stood"::equals).count(), 1);
-            assertEquals(pair.heard.get(pair.heard.size() - 1), "in ended BYE");
+            pair.advance(3000);
+            pair.uacCall.bye(null);
+            pair.advance(ALL_TIMERS_MS);
+            assertEquals(pair.events.stream().filter("established"::equals).count(), 1);
+            assertEquals(pair.events.get(pair.events.size() - 1), "uas ended BYE");
         }
-        assertTrue(pair.empty(), pair.wire.toString());
+        assertTrue(pair.isEmpty(), pair.sentMessages.toString());
     }
 
     @Test
-    public void copiesOfAllMessagesChangeNothing() {
+    public void duplicatedMessagesChangeNothing() {
         UserAgentPair pair = new UserAgentPair(false);
-        pair.copies = true;
-        pair.call().pass(100);
+        pair.duplicateMessages = true;
+        pair.startCall().advance(100);
         pair.accept();
-        pair.pass(2000);
-        pair.in.bye(null);
-        pair.pass(LONG);
+        pair.advance(2000);
+        pair.uasCall.bye(null);
+        pair.advance(ALL_TIMERS_MS);
         assertEquals(
-                pair.heard.stream().filter(one -> !one.startsWith("progress")).toList(),
-                List.of("incoming", "stood", "out ended BYE"));
-        assertTrue(pair.empty());
+                pair.events.stream()
+                        .filter(event -> !event.startsWith("progress"))
+                        .toList(),
+                List.of("incoming", "established", "uac ended BYE"));
+        assertTrue(pair.isEmpty());
     }
 
     @Test
-    public void noAnswerAtAllFailsAfterTimerB() {
+    public void missingResponseFailsAfterTimerB() {
         UserAgentPair pair = new UserAgentPair(false);
-        pair.loses = (message, toCalled) -> true;
-        pair.call().pass(31_000);
-        assertEquals(pair.heard, List.of());
-        pair.pass(2000);
-        assertEquals(pair.heard, List.of("failed TIMED_OUT"));
-        assertEquals(pair.sent("INVITE"), 7);
-        assertTrue(pair.empty());
+        pair.isLost = (message, toUas) -> true;
+        pair.startCall().advance(31_000);
+        assertEquals(pair.events, List.of());
+        pair.advance(2000);
+        assertEquals(pair.events, List.of("failed TIMED_OUT"));
+        assertEquals(pair.sentCount("INVITE"), 7);
+        assertTrue(pair.isEmpty());
     }
 
     @Test
-    public void givenUpBeforeAnyResponseSendsNothingMoreUntilOneComes() {
+    public void cancelBeforeAnyResponseIsDelayedUntilOneArrives() {
         UserAgentPair pair = new UserAgentPair(false);
-        pair.loses = (message, toCalled) -> !toCalled;
-        pair.call().pass(50);
-        pair.out.cancel(null);
-        pair.pass(5000);
-        assertEquals(pair.sent("INVITE"), 1);
-        assertEquals(pair.sent("CANCEL"), 0);
-        // The 100 was lost; the called side now rings, and that is heard.
-        pair.loses = (message, toCalled) -> false;
-        pair.in.progress(pair.in.response(180, "Ringing"));
-        pair.pass(LONG);
-        assertEquals(pair.sent("CANCEL"), 1);
-        assertEquals(pair.sent("487"), 1);
-        assertEquals(pair.heard, List.of("incoming", "in cancelled"));
-        assertTrue(pair.empty());
+        pair.isLost = (message, toUas) -> !toUas;
+        pair.startCall().advance(50);
+        pair.uacCall.cancel(null);
+        pair.advance(5000);
+        assertEquals(pair.sentCount("INVITE"), 1);
+        assertEquals(pair.sentCount("CANCEL"), 0);
+        // The 100 was lost; the 180 that the UAS sends now arrives.
+        pair.isLost = (message, toUas) -> false;
+        pair.uasCall.progress(pair.uasCall.response(180, "Ringing"));
+        pair.advance(ALL_TIMERS_MS);
+        assertEquals(pair.sentCount("CANCEL"), 1);
+        assertEquals(pair.sentCount("487"), 1);
+        assertEquals(pair.events, List.of("incoming", "uas cancelled"));
+        assertTrue(pair.isEmpty());
     }
 
     @Test(dataProvider = "transports")
-    public void cancelInTime(boolean reliable) {
-        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
-        pair.out.cancel("Q.850;cause=102");
-        pair.pass(LONG);
-        assertEquals(pair.heard, List.of("incoming", "progress 100", "in cancelled"));
-        assertEquals(pair.sent("487"), 1);
-        assertTrue(pair.empty(), pair.wire.toString());
+    public void cancelBeforeFinalResponse(boolean reliable) {
+        UserAgentPair pair = new UserAgentPair(reliable).startCall().advance(100);
+        pair.uacCall.cancel("Q.850;cause=102");
+        pair.advance(ALL_TIMERS_MS);
+        assertEquals(pair.events, List.of("incoming", "progress 100", "uas cancelled"));
+        assertEquals(pair.sentCount("487"), 1);
+        assertTrue(pair.isEmpty(), pair.sentMessages.toString());
     }
 
-    /** The 200 and the CANCEL pass each other: the call stands there and must be ended. */
+    /** The 200 and the CANCEL cross: the call is established at the UAS and must be ended. */
     @Test(dataProvider = "transports")
-    public void cancelThatCrossesThe200EndsWithAckAndBye(boolean reliable) {
-        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
+    public void successCrossingCancelIsEndedWithAckAndBye(boolean reliable) {
+        UserAgentPair pair = new UserAgentPair(reliable).startCall().advance(100);
         pair.accept();
-        pair.out.cancel(null);
-        pair.pass(LONG);
-        assertEquals(pair.heard, List.of("incoming", "progress 100", "in ended BYE"));
-        assertEquals(pair.sent("ACK"), 1);
-        assertEquals(pair.sent("BYE"), 1);
-        assertTrue(pair.empty(), pair.wire.toString());
+        pair.uacCall.cancel(null);
+        pair.advance(ALL_TIMERS_MS);
+        assertEquals(pair.events, List.of("incoming", "progress 100", "uas ended BYE"));
+        assertEquals(pair.sentCount("ACK"), 1);
+        assertEquals(pair.sentCount("BYE"), 1);
+        assertTrue(pair.isEmpty(), pair.sentMessages.toString());
     }
 
     @Test
-    public void the200WhoseAckNeverComesIsEndedWithBye() {
+    public void unacknowledged200IsEndedWithBye() {
         UserAgentPair pair = new UserAgentPair(false);
-        pair.loses = (message, toCalled) -> UserAgentPair.word(message).equals("ACK");
-        pair.call().pass(100);
+        pair.isLost = (message, toUas) -> UserAgentPair.label(message).equals("ACK");
+        pair.startCall().advance(100);
         pair.accept();
-        pair.pass(LONG);
-        assertEquals(pair.heard, List.of("incoming", "progress 100", "stood", "in ended NO_ACK", "out ended BYE"));
-        assertEquals(pair.sent("200") - 1, 11, pair.wire.toString());
-        assertTrue(pair.empty());
+        pair.advance(ALL_TIMERS_MS);
+        assertEquals(
+                pair.events, List.of("incoming", "progress 100", "established", "uas ended NO_ACK", "uac ended BYE"));
+        assertEquals(pair.sentCount("200") - 1, 11, pair.sentMessages.toString());
+        assertTrue(pair.isEmpty());
     }
 
     @Test
-    public void theCalledSideWaitsForTheAckBeforeItsBye() {
+    public void uasWaitsForAckBeforeBye() {
         UserAgentPair pair = new UserAgentPair(false);
-        int[] lost = {1};
-        pair.loses = (message, toCalled) -> UserAgentPair.word(message).equals("ACK") && lost[0]-- > 0;
-        pair.call().pass(100);
+        int[] remainingLosses = {1};
+        pair.isLost = (message, toUas) -> UserAgentPair.label(message).equals("ACK") && remainingLosses[0]-- > 0;
+        pair.startCall().advance(100);
         pair.accept();
-        pair.pass(50);
-        pair.in.bye(null);
-        pair.pass(200);
-        assertEquals(pair.sent("BYE"), 0);
-        pair.pass(LONG);
-        assertEquals(pair.sent("BYE"), 1);
-        assertEquals(pair.heard, List.of("incoming", "progress 100", "stood", "out ended BYE"));
-        assertTrue(pair.empty());
+        pair.advance(50);
+        pair.uasCall.bye(null);
+        pair.advance(200);
+        assertEquals(pair.sentCount("BYE"), 0);
+        pair.advance(ALL_TIMERS_MS);
+        assertEquals(pair.sentCount("BYE"), 1);
+        assertEquals(pair.events, List.of("incoming", "progress 100", "established", "uac ended BYE"));
+        assertTrue(pair.isEmpty());
     }
 
     @Test(dataProvider = "transports")
     public void byeFromBothSidesAtOnce(boolean reliable) {
-        UserAgentPair pair = new UserAgentPair(reliable).call().pass(100);
+        UserAgentPair pair = new UserAgentPair(reliable).startCall().advance(100);
         pair.accept();
-        pair.pass(100);
-        pair.in.bye(null);
-        pair.out.bye(null);
-        pair.pass(LONG);
-        assertEquals(pair.heard, List.of("incoming", "progress 100", "stood"));
-        assertTrue(pair.empty(), pair.wire.toString());
+        pair.advance(100);
+        pair.uasCall.bye(null);
+        pair.uacCall.bye(null);
+        pair.advance(ALL_TIMERS_MS);
+        assertEquals(pair.events, List.of("incoming", "progress 100", "established"));
+        assertTrue(pair.isEmpty(), pair.sentMessages.toString());
     }
 
     @Test
-    public void aConnectionThatBreaksReachesTransactionsAndDialogs() {
-        UserAgentPair early = new UserAgentPair(true).call().pass(100);
-        Hop hop = new Hop(Hop.Protocol.TCP, early.out.hop().address(), 0);
-        early.caller.transactionLayer().handleEvent(new TransportEvent.ConnectionLost(hop, true, "reset"));
-        assertEquals(early.heard, List.of("incoming", "progress 100", "failed BROKEN", "broken"));
-        UserAgentPair stands = new UserAgentPair(true).call().pass(100);
-        stands.accept();
-        stands.pass(100);
-        stands.caller.transactionLayer().handleEvent(new TransportEvent.ConnectionLost(hop, true, "reset"));
-        assertEquals(stands.heard.get(3), "out ended BROKEN");
-        UserAgentPair never = new UserAgentPair(true);
-        never.loses = (message, toCalled) -> true;
-        never.call().pass(10);
-        never.caller.transactionLayer().handleEvent(new TransportEvent.ConnectionLost(hop, false, "refused"));
-        assertEquals(never.heard, List.of("failed NO_CONNECTION", "broken"));
+    public void connectionLossReachesTransactionsAndDialogs() {
+        UserAgentPair early = new UserAgentPair(true).startCall().advance(100);
+        Hop hop = new Hop(Hop.Protocol.TCP, early.uacCall.hop().address(), 0);
+        early.uacLayer.transactionLayer().handleEvent(new TransportEvent.ConnectionLost(hop, true, "reset"));
+        assertEquals(early.events, List.of("incoming", "progress 100", "failed BROKEN", "connection lost"));
+        UserAgentPair established = new UserAgentPair(true).startCall().advance(100);
+        established.accept();
+        established.advance(100);
+        established.uacLayer.transactionLayer().handleEvent(new TransportEvent.ConnectionLost(hop, true, "reset"));
+        assertEquals(established.events.get(3), "uac ended CONNECTION_LOST");
+        UserAgentPair unconnected = new UserAgentPair(true);
+        unconnected.isLost = (message, toUas) -> true;
+        unconnected.startCall().advance(10);
+        unconnected.uacLayer.transactionLayer().handleEvent(new TransportEvent.ConnectionLost(hop, false, "refused"));
+        assertEquals(unconnected.events, List.of("failed NO_CONNECTION", "connection lost"));
     }
 
-    /** Over TCP no timer repeats an answer; one that went down with its connection must go again. */
+    /** Over TCP no timer retransmits a response; one that was lost with its connection must be sent again. */
     @Test
-    public void anAnswerLostWithItsConnectionIsSentAgain() {
-        UserAgentPair pair = new UserAgentPair(true).call().pass(100);
-        pair.loses = (message, toCalled) -> UserAgentPair.word(message).equals("503");
-        pair.in.refuse(pair.in.response(503, "Full"));
-        pair.pass(50);
-        pair.loses = (message, toCalled) -> false;
-        pair.called
+    public void responseLostWithItsConnectionIsSentAgain() {
+        UserAgentPair pair = new UserAgentPair(true).startCall().advance(100);
+        pair.isLost = (message, toUas) -> UserAgentPair.label(message).equals("503");
+        pair.uasCall.refuse(pair.uasCall.response(503, "Full"));
+        pair.advance(50);
+        pair.isLost = (message, toUas) -> false;
+        pair.uasLayer
                 .transactionLayer()
-                .handleEvent(
-                        new TransportEvent.ConnectionLost(pair.in.transaction().from(), true, "reset"));
-        pair.pass(100);
-        assertEquals(pair.heard.get(pair.heard.size() - 1), "refused 503");
-        assertEquals(pair.sent("503"), 2);
+                .handleEvent(new TransportEvent.ConnectionLost(
+                        pair.uasCall.transaction().from(), true, "reset"));
+        pair.advance(100);
+        assertEquals(pair.events.get(pair.events.size() - 1), "refused 503");
+        assertEquals(pair.sentCount("503"), 2);
     }
 
-    private static String answered(UserAgentPair pair, Request request) {
-        pair.wire.clear();
+    /** The last message that the UAS sends when it receives the request, or "nothing". */
+    private static String lastResponseTo(UserAgentPair pair, Request request) {
+        pair.sentMessages.clear();
         byte[] bytes = request.bytes();
-        pair.called
+        pair.uasLayer
                 .transactionLayer()
                 .handleEvent(new TransportEvent.MessageReceived(
                         MessageParser.parse(bytes, bytes.length).message(),
-                        pair.call().out.hop()));
-        return pair.wire.stream()
+                        pair.startCall().uacCall.hop()));
+        return pair.sentMessages.stream()
                 .filter(line -> line.startsWith("<"))
                 .reduce((a, b) -> b)
                 .orElse("nothing");
     }
 
-    private static Request stray(String method, String branch, String toTag, String more) {
+    private static Request requestOutsideDialog(String method, String branch, String toTag, String extraHeader) {
         Headers headers = new Headers();
         headers.add("Via", "SIP/2.0/UDP 127.0.0.1:1000;branch=z9hG4bK" + branch);
         headers.add("From", "<sip:a@h>;tag=s").add("To", "<sip:b@h>" + toTag).add("Call-ID", "stray");
         headers.add("CSeq", "5 " + method).add("Contact", "<sip:a@127.0.0.1:1000>");
-        if (!more.isEmpty()) {
-            headers.add(more.split(": ")[0], more.split(": ")[1]);
+        if (!extraHeader.isEmpty()) {
+            headers.add(extraHeader.split(": ")[0], extraHeader.split(": ")[1]);
         }
         return new Request(method, "sip:b@127.0.0.1:2000", headers);
     }
 
     @DataProvider
-    public Object[][] strays() {
+    public Object[][] requestsOutsideDialogs() {
         return new Object[][] {
             {"BYE", ";tag=no", "", "< 481"},
             {"CANCEL", "", "", "< 481"},
@@ -262,54 +268,57 @@
         };
     }
 
-    @Test(dataProvider = "strays")
-    public void whatBelongsToNoCallGetsItsAnswer(String method, String toTag, String more, String answer) {
-        assertEquals(answered(new UserAgentPair(false), stray(method, "s", toTag, more)), answer);
+    @Test(dataProvider = "requestsOutsideDialogs")
+    public void requestOutsideDialogGetsItsResponse(String method, String toTag, String extraHeader, String expected) {
+        assertEquals(
+                lastResponseTo(new UserAgentPair(false), requestOutsideDialog(method, "s", toTag, extraHeader)),
+                expected);
     }
 
     @Test
-    public void theSameInviteByAnotherWayIsMerged() {
+    public void sameInviteByAnotherPathIsMerged() {
         UserAgentPair pair = new UserAgentPair(false);
-        assertEquals(answered(pair, stray("INVITE", "one", "", "")), "< 100");
-        assertEquals(answered(pair, stray("INVITE", "two", "", "")), "< 482");
+        assertEquals(lastResponseTo(pair, requestOutsideDialog("INVITE", "one", "", "")), "< 100");
+        assertEquals(lastResponseTo(pair, requestOutsideDialog("INVITE", "two", "", "")), "< 482");
     }
 
     @Test
-    public void requestsOutOfOrderAndChangesOfTheSession() {
-        UserAgentPair pair = new UserAgentPair(false).call().pass(100);
+    public void outOfOrderAndSessionChangingRequestsAreRefused() {
+        UserAgentPair pair = new UserAgentPair(false).startCall().advance(100);
         pair.accept();
-        pair.pass(100);
-        String to = pair.in.response(200, "OK").headers().first("To").replaceFirst(".*;tag=", ";tag=");
-        for (String[] one : new String[][] {{"2 INVITE", "< 488"}, {"2 INFO", "< 500"}, {"3 INFO", "< 405"}}) {
-            Request request = stray(one[0].substring(2), "o" + one[0].charAt(0) + one[1].charAt(2), to, "");
+        pair.advance(100);
+        String toTag = pair.uasCall.response(200, "OK").headers().first("To").replaceFirst(".*;tag=", ";tag=");
+        for (String[] row : new String[][] {{"2 INVITE", "< 488"}, {"2 INFO", "< 500"}, {"3 INFO", "< 405"}}) {
+            Request request =
+                    requestOutsideDialog(row[0].substring(2), "o" + row[0].charAt(0) + row[1].charAt(2), toTag, "");
             request.headers()
                     .set("From", "<sip:a@127.0.0.1>;tag=f")
                     .set("Call-ID", "call")
-                    .set("CSeq", one[0]);
+                    .set("CSeq", row[0]);
             byte[] bytes = request.bytes();
-            pair.wire.clear();
-            pair.called
+            pair.sentMessages.clear();
+            pair.uasLayer
                     .transactionLayer()
                     .handleEvent(new TransportEvent.MessageReceived(
-                            MessageParser.parse(bytes, bytes.length).message(), pair.out.hop()));
-            assertEquals(pair.wire.get(0), one[1], one[0]);
+                            MessageParser.parse(bytes, bytes.length).message(), pair.uacCall.hop()));
+            assertEquals(pair.sentMessages.get(0), row[1], row[0]);
         }
     }
 
     @Test
-    public void aFaultOfTheUserCostsNobodyTheAnswer() {
+    public void exceptionInUserAgentCoreIsAnswered500() {
         UserAgentPair pair = new UserAgentPair(false);
-        pair.faulty = true;
-        pair.call();
-        for (int i = 0; i < 100_000 && !pair.heard.contains("refused 500"); i++) {
+        pair.coreThrows = true;
+        pair.startCall();
+        for (int i = 0; i < 100_000 && !pair.events.contains("refused 500"); i++) {
             try {
-                pair.pass(1);
+                pair.advance(1);
             } catch (IllegalStateException e) {
-                assertEquals(e.getMessage(), "planted");
+                assertEquals(e.getMessage(), "injected failure");
             }
         }
-        assertEquals(pair.heard, List.of("progress 100", "refused 500"));
-        pair.pass(70_000);
-        assertTrue(pair.empty());
+        assertEquals(pair.events, List.of("progress 100", "refused 500"));
+        pair.advance(70_000);
+        assertTrue(pair.isEmpty());
     }
 }
--- a/src/test/java/martenslip/sip/dialog/UserAgentPair.java
+++ b/src/test/java/martenslip/sip/dialog/UserAgentPair.java
@@ -22,91 +22,104 @@
 import martenslip.sip.transport.Hop;
 import martenslip.sip.transport.TransportEvent;
 
-/** Two ends of real transaction and dialog code on driven time, with a network that loses what a test says. */
+/**
+ * A UAC and a UAS of real transaction and dialog code on simulated time. The network between them loses the messages
+ * that a test selects and may duplicate all others.
+ */
 final class UserAgentPair {
-    final TimerWheel wheel = new TimerWheel(new Moment(0));
-    final List<String> wire = new ArrayList<>();
-    final List<String> heard = new ArrayList<>();
-    final DialogLayer caller;
-    final DialogLayer called;
+    final TimerWheel timerWheel = new TimerWheel(new Moment(0));
+    /** Messages in the order sent: "> " from the UAC or "< " from the UAS, method or status, and " lost" if lost. */
+    final List<String> sentMessages = new ArrayList<>();
+    /** Callbacks of both sides in their order. */
+    final List<String> events = new ArrayList<>();
+
+    final DialogLayer uacLayer;
+    final DialogLayer uasLayer;
     final DropCounter drops = new DropCounter();
     final boolean reliable;
-    /** Says of a message, and whether it goes to the called end, that it is lost. */
-    BiPredicate<Message, Boolean> loses = (message, toCalled) -> false;
+    /** Decides whether a message is lost; the second argument is true on the way to the UAS. */
+    BiPredicate<Message, Boolean> isLost = (message, toUas) -> false;
 
-    boolean copies;
-    /** The called end's user has a fault. */
-    boolean faulty;
+    boolean duplicateMessages;
+    /** The user agent core throws on each new INVITE. */
+    boolean coreThrows;
 
-    UasCall in;
-    UacCall out;
-    private double now;
+    UasCall uasCall;
+    UacCall uacCall;
+    private double nowMs;
 
     UserAgentPair(boolean reliable) {
         this.reliable = reliable;
-        caller = end(false);
-        called = end(true);
+        uacLayer = createLayer(false);
+        uasLayer = createLayer(true);
     }
 
-    private static InetSocketAddress at(boolean isCalled) {
-        return new InetSocketAddress("127.0.0.1", isCalled ? 2000 : 1000);
+    private static InetSocketAddress address(boolean isUas) {
+        return new InetSocketAddress("127.0.0.1", isUas ? 2000 : 1000);
     }
 
-    private Hop hop(boolean isCalled) {
-        return new Hop(reliable ? Hop.Protocol.TCP : Hop.Protocol.UDP, at(isCalled), 0);
+    private Hop hop(boolean isUas) {
+        return new Hop(reliable ? Hop.Protocol.TCP : Hop.Protocol.UDP, address(isUas), 0);
     }
 
-    private DialogLayer end(boolean isCalled) {
-        MessageSender outlet = new MessageSender() {
+    private DialogLayer createLayer(boolean isUas) {
+        MessageSender sender = new MessageSender() {
             @Override
             public boolean send(byte[] bytes, Hop to) {
                 Message message = MessageParser.parse(bytes, bytes.length).message();
-                boolean lost = loses.test(message, !isCalled);
-                wire.add((isCalled ? "< " : "> ") + word(message) + (lost ? " lost" : ""));
-                for (int i = 0; !lost && i < (copies ? 2 : 1); i++) {
-                    wheel.scheduleAfter(
+                boolean lost = isLost.test(message, !isUas);
+                sentMessages.add((isUas ? "< " : "> ") + label(message) + (lost ? " lost" : ""));
+                for (int i = 0; !lost && i < (duplicateMessages ? 2 : 1); i++) {
+                    timerWheel.scheduleAfter(
                             Span.ofMillis(10),
-                            () -> (isCalled ? caller : called)
+                            () -> (isUas ? uacLayer : uasLayer)
                                     .transactionLayer()
                                     .handleEvent(new TransportEvent.MessageReceived(
                                             MessageParser.parse(bytes, bytes.length)
                                                     .message(),
-                                            hop(isCalled))));
+                                            hop(isUas))));
                 }
                 return true;
             }
 
             @Override
-            public String sentBy(Hop.Protocol kind) {
-                return "127.0.0.1:" + at(isCalled).getPort();
+            public String sentBy(Hop.Protocol protocol) {
+                return "127.0.0.1:" + address(isUas).getPort();
             }
         };
         return new DialogLayer(
-                wheel, TransactionTimers.RFC_3261, outlet, new IdGenerator(isCalled ? 2 : 1), user(), drops, 1000);
+                timerWheel,
+                TransactionTimers.RFC_3261,
+                sender,
+                new IdGenerator(isUas ? 2 : 1),
+                createUserAgentCore(),
+                drops,
+                1000);
     }
 
-    static String word(Message message) {
+    /** Method of a request or status of a response. */
+    static String label(Message message) {
         return message instanceof Request request ? request.method() : "" + ((Response) message).status();
     }
 
-    private UserAgentCore user() {
+    private UserAgentCore createUserAgentCore() {
         return new UserAgentCore() {
             @Override
             public void inviteReceived(UasCall call) {
-                if (faulty) {
-                    throw new IllegalStateException("planted");
+                if (coreThrows) {
+                    throw new IllegalStateException("injected failure");
                 }
-                in = call;
-                heard.add("incoming");
+                uasCall = call;
+                events.add("incoming");
                 call.setListener(new UasCall.Listener() {
                     @Override
                     public void cancelled() {
-                        heard.add("in cancelled");
+                        events.add("uas cancelled");
                     }
 
                     @Override
-                    public void ended(CallEndReason why, Request bye) {
-                        heard.add("in ended " + why);
+                    public void ended(CallEndReason reason, Request bye) {
+                        events.add("uas ended " + reason);
                     }
                 });
             }
@@ -117,8 +130,8 @@
             }
 
             @Override
-            public void connectionLost(Hop hop, boolean everUp) {
-                heard.add("broken");
+            public void connectionLost(Hop hop, boolean wasEstablished) {
+                events.add("connection lost");
             }
 
             @Override
@@ -135,61 +148,61 @@
         return new Request("INVITE", "sip:b@127.0.0.1:2000" + (reliable ? ";transport=tcp" : ""), headers);
     }
 
-    UserAgentPair call() {
-        out = caller.startCall(invite(), hop(true), new UacCall.Listener() {
+    UserAgentPair startCall() {
+        uacCall = uacLayer.startCall(invite(), hop(true), new UacCall.Listener() {
             @Override
             public void progress(Response response) {
-                heard.add("progress " + response.status());
+                events.add("progress " + response.status());
             }
 
             @Override
             public void established(Response response) {
-                heard.add("stood");
+                events.add("established");
             }
 
             @Override
             public void refused(Response response) {
-                heard.add("refused " + response.status());
+                events.add("refused " + response.status());
             }
 
             @Override
-            public void failed(RequestFailure why) {
-                heard.add("failed " + why);
+            public void failed(RequestFailure reason) {
+                events.add("failed " + reason);
             }
 
             @Override
-            public void ended(CallEndReason why, Request bye) {
-                heard.add("out ended " + why);
+            public void ended(CallEndReason reason, Request bye) {
+                events.add("uac ended " + reason);
             }
         });
         return this;
     }
 
-    /** Lets time pass, millisecond by millisecond. */
-    UserAgentPair pass(double ms) {
-        for (double end = now + ms; now < end; ) {
-            now++;
-            wheel.advanceTo(new Moment(Span.ofMillis(now).ns()));
+    /** Advances time in steps of a millisecond. */
+    UserAgentPair advance(double ms) {
+        for (double endMs = nowMs + ms; nowMs < endMs; ) {
+            nowMs++;
+            timerWheel.advanceTo(new Moment(Span.ofMillis(nowMs).ns()));
         }
         return this;
     }
 
     void accept() {
-        in.accept(in.response(200, "OK"));
+        uasCall.accept(uasCall.response(200, "OK"));
     }
 
-    long sent(String word) {
-        return wire.stream()
-                .filter(line -> line.replace(" lost", "").endsWith(" " + word))
+    long sentCount(String label) {
+        return sentMessages.stream()
+                .filter(line -> line.replace(" lost", "").endsWith(" " + label))
                 .count();
     }
 
-    /** Nothing is left of any call: no transaction, no dialog. */
-    boolean empty() {
-        return caller.transactionLayer().openCount()
-                        + called.transactionLayer().openCount()
-                        + caller.openDialogCount()
-                        + called.openDialogCount()
+    /** True if no transaction and no dialog is left on either side. */
+    boolean isEmpty() {
+        return uacLayer.transactionLayer().openCount()
+                        + uasLayer.transactionLayer().openCount()
+                        + uacLayer.openDialogCount()
+                        + uasLayer.openDialogCount()
                 == 0;
     }
 }
--- a/src/test/java/martenslip/sip/message/MessageParserTest.java
+++ b/src/test/java/martenslip/sip/message/MessageParserTest.java
@@ -12,8 +12,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Parsing, checking and writing of messages and their typed header values. */
 public class MessageParserTest {
-    private static final String HEAD =
+    private static final String MANDATORY_HEADERS =
             "Via: SIP/2.0/UDP 127.0.0.1:5060;branch=z9hG4bKa\r\nFrom: <sip:a@127.0.0.1>;tag=f\r\n"
                     + "To: <sip:b@127.0.0.1>\r\nCall-ID: c@127.0.0.1\r\nCSeq: 1 INVITE\r\n";
 
@@ -22,12 +23,12 @@
         return MessageParser.parse(bytes, bytes.length);
     }
 
-    private static ParseResult invite(String more) {
-        return parse("INVITE sip:b@127.0.0.1 SIP/2.0\r\n" + HEAD + more + "\r\n");
+    private static ParseResult invite(String extraHeaders) {
+        return parse("INVITE sip:b@127.0.0.1 SIP/2.0\r\n" + MANDATORY_HEADERS + extraHeaders + "\r\n");
     }
 
     @Test
-    public void readsCompactFoldedAndJoinedFields() throws InvalidValueException {
+    public void parsesCompactFoldedAndCommaSeparatedFields() throws InvalidValueException {
         ParseResult parsed = parse(
                 "INVITE sip:b%40x@[::1]:5070;lr;x=y?Subject=hi SIP/2.0\r\n"
                         + "v: SIP / 2.0 / UDP 10.0.0.1 ;branch=z9hG4bKa,SIP/2.0/TCP\r\n [::2]:99;branch=z9hG4bKb;rport\r\n"
@@ -53,31 +54,32 @@
     }
 
     @DataProvider
-    public Object[][] wrong() {
-        String long9 = "X: " + "y".repeat(MessageParser.MAX_LINE_BYTES + 1) + "\r\n";
+    public Object[][] invalidRequests() {
+        String longHeader = "X: " + "y".repeat(MessageParser.MAX_LINE_BYTES + 1) + "\r\n";
         return new Object[][] {
-            {"INVITE sip:b@h SIP/3.0\r\n" + HEAD + "\r\n", 505},
-            {"INVITE tel:123 SIP/2.0\r\n" + HEAD + "\r\n", 416},
-            {"INVITE sip:b@ho st SIP/2.0\r\n" + HEAD + "\r\n", 400},
-            {"INVITE sip:b@:::: SIP/2.0\r\n" + HEAD + "\r\n", 400},
-            {"BYE sip:b@h SIP/2.0\r\n" + HEAD + "\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Content-Length: 9\r\n\r\nshort", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Content-Length: -1\r\n\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Content-Length: 99999\r\n\r\n", 413},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Call-ID: second\r\n\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Max-Forwards: 256\r\n\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Expires: soon\r\n\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "no colon here\r\n\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Contact: \"open <sip:a@h>\r\n\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Route: <sip:a@h\r\n\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "Require: a,,b\r\n\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + long9 + "\r\n", 400},
-            {"INVITE sip:b@h SIP/2.0\r\n" + HEAD + "A: b\r\n".repeat(MessageParser.MAX_LINES) + "\r\n", 400},
+            {"INVITE sip:b@h SIP/3.0\r\n" + MANDATORY_HEADERS + "\r\n", 505},
+            {"INVITE tel:123 SIP/2.0\r\n" + MANDATORY_HEADERS + "\r\n", 416},
+            {"INVITE sip:b@ho st SIP/2.0\r\n" + MANDATORY_HEADERS + "\r\n", 400},
+            {"INVITE sip:b@:::: SIP/2.0\r\n" + MANDATORY_HEADERS + "\r\n", 400},
+            {"BYE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "Content-Length: 9\r\n\r\nshort", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "Content-Length: -1\r\n\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "Content-Length: 99999\r\n\r\n", 413},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "Call-ID: second\r\n\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "Max-Forwards: 256\r\n\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "Expires: soon\r\n\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "no colon here\r\n\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "Contact: \"open <sip:a@h>\r\n\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "Route: <sip:a@h\r\n\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "Require: a,,b\r\n\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + longHeader + "\r\n", 400},
+            {"INVITE sip:b@h SIP/2.0\r\n" + MANDATORY_HEADERS + "A: b\r\n".repeat(MessageParser.MAX_LINES) + "\r\n", 400
+            },
         };
     }
 
-    @Test(dataProvider = "wrong")
-    public void aWrongRequestGetsItsAnswer(String text, int status) {
+    @Test(dataProvider = "invalidRequests")
+    public void invalidRequestIsAnswerable(String text, int status) {
         ParseResult parsed = parse(text);
         assertEquals(parsed.status(), status, parsed.fault());
         assertTrue(parsed.isAnswerable());
@@ -85,47 +87,49 @@
     }
 
     @Test
-    public void whatNobodyCanBeAnsweredForIsNoMessage() {
+    public void unanswerableInputGivesNoMessage() {
         assertNull(parse("").message());
         assertNull(parse("\r\n\r\n").message());
         assertNull(parse("nonsense\r\n\r\n").message());
         assertNull(parse("INVITE sip:b@h SIP/2.0\r\n\r\n").message());
-        assertNull(parse("INVITE sip:b@h HTTP/1.1\r\n" + HEAD + "\r\n").message());
-        assertNull(parse("SIP/2.0 99 Low\r\n" + HEAD + "\r\n").message());
-        assertNull(parse("SIP/2.0 abc\r\n" + HEAD + "\r\n").message());
-        assertFalse(parse("ACK tel:1 SIP/2.0\r\n" + HEAD.replace("INVITE", "ACK") + "\r\n")
+        assertNull(parse("INVITE sip:b@h HTTP/1.1\r\n" + MANDATORY_HEADERS + "\r\n")
+                .message());
+        assertNull(parse("SIP/2.0 99 Low\r\n" + MANDATORY_HEADERS + "\r\n").message());
+        assertNull(parse("SIP/2.0 abc\r\n" + MANDATORY_HEADERS + "\r\n").message());
+        assertFalse(parse("ACK tel:1 SIP/2.0\r\n" + MANDATORY_HEADERS.replace("INVITE", "ACK") + "\r\n")
                 .isAnswerable());
     }
 
     @Test
-    public void aResponseMayHaveNoReason() {
-        Response response = (Response) parse("SIP/2.0 200\r\n" + HEAD + "\r\n").message();
+    public void responseMayHaveNoReasonPhrase() {
+        Response response =
+                (Response) parse("SIP/2.0 200\r\n" + MANDATORY_HEADERS + "\r\n").message();
         assertEquals(response.status(), 200);
         assertEquals(response.reason(), "");
     }
 
     @Test
-    public void writingAndReadingAgainChangesNothing() {
-        byte[] once = invite("Contact: <sip:a@h;transport=tcp>\r\nX-Odd: one\r\nX-Odd: two\r\n")
+    public void serializingAndParsingAgainChangesNothing() {
+        byte[] first = invite("Contact: <sip:a@h;transport=tcp>\r\nX-Odd: one\r\nX-Odd: two\r\n")
                 .message()
                 .bytes();
-        byte[] twice = MessageParser.parse(once, once.length).message().bytes();
-        assertEquals(new String(twice, StandardCharsets.UTF_8), new String(once, StandardCharsets.UTF_8));
+        byte[] second = MessageParser.parse(first, first.length).message().bytes();
+        assertEquals(new String(second, StandardCharsets.UTF_8), new String(first, StandardCharsets.UTF_8));
     }
 
-    /** Damage of all kinds ends in a verdict, never in an exception. */
+    /** Input damaged in any way gives a parse result, never an exception. */
     @Test
-    public void nothingThatArrivesThrows() {
-        SplittableRandom chance = new SplittableRandom(11);
-        byte[] good = invite("Contact: \"q\" <sip:a@[::1]:9;x=1>;q=1\r\nRoute: <sip:r@h;lr>\r\nl: 3\r\n\r\nxyz")
+    public void damagedInputNeverThrows() {
+        SplittableRandom random = new SplittableRandom(11);
+        byte[] validMessage = invite("Contact: \"q\" <sip:a@[::1]:9;x=1>;q=1\r\nRoute: <sip:r@h;lr>\r\nl: 3\r\n\r\nxyz")
                 .message()
                 .bytes();
         for (int i = 0; i < 30_000; i++) {
-            byte[] bytes = good.clone();
-            int length = chance.nextInt(10) == 0 ? chance.nextInt(good.length) : good.length;
-            for (int hit = chance.nextInt(6); hit >= 0; hit--) {
-                bytes[chance.nextInt(bytes.length)] = (byte)
-                        (chance.nextInt(3) == 0 ? "\r\n\";<>,:[]@ =".charAt(chance.nextInt(12)) : chance.nextInt(256));
+            byte[] bytes = validMessage.clone();
+            int length = random.nextInt(10) == 0 ? random.nextInt(validMessage.length) : validMessage.length;
+            for (int remaining = random.nextInt(6); remaining >= 0; remaining--) {
+                bytes[random.nextInt(bytes.length)] = (byte)
+                        (random.nextInt(3) == 0 ? "\r\n\";<>,:[]@ =".charAt(random.nextInt(12)) : random.nextInt(256));
             }
             ParseResult parsed = MessageParser.parse(bytes, length);
             assertTrue(parsed.isValid() || parsed.status() != 0);
@@ -136,7 +140,7 @@
     }
 
     @Test
-    public void theAnswerBearsWhatTheRequestSaid() throws InvalidValueException {
+    public void responseCopiesHeadersOfRequest() throws InvalidValueException {
         Request request = (Request) invite("Record-Route: <sip:p@h;lr>\r\n").message();
         Response response = request.createResponse(180, "Ringing", "tag9");
         assertEquals(response.to().tag(), "tag9");
@@ -151,7 +155,7 @@
     }
 
     @Test
-    public void trunkGroupsStandInTheUserPart() throws InvalidValueException {
+    public void trunkGroupIsReadFromUserPart() throws InvalidValueException {
         SipUri uri = SipUri.parse("sip:+914845500001;tgrp=g-0-1;trunk-context=returns.example@127.0.0.1:5060");
         assertEquals(uri.unescapedUser(), "+914845500001");
         assertEquals(uri.userParameter("tgrp"), "g-0-1");
--- a/src/test/java/martenslip/sip/transport/ContentLengthFramerTest.java
+++ b/src/test/java/martenslip/sip/transport/ContentLengthFramerTest.java
@@ -8,10 +8,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Strict framing: start lines are checked as soon as a part of them has been received. */
 public class ContentLengthFramerTest {
-    private static final String WHOLE = "OPTIONS sip:ping@net SIP/2.0\r\nContent-Length: 2\r\n\r\n";
+    private static final String HEADERS = "OPTIONS sip:ping@net SIP/2.0\r\nContent-Length: 2\r\n\r\n";
 
-    private static ContentLengthFramer given(String text) {
+    private static ContentLengthFramer framerWith(String text) {
         ContentLengthFramer framer = new ContentLengthFramer(4096, 2048, true);
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         System.arraycopy(bytes, 0, framer.buffer(), 0, bytes.length);
@@ -19,9 +20,9 @@
         return framer;
     }
 
-    /** What follows a body that is longer than its length says shows itself at once, before all of it has come. */
+    /** Bytes after a body that is longer than its Content-Length are detected before a whole line has arrived. */
     @DataProvider
-    public Object[][] noStart() {
+    public Object[][] invalidStartLines() {
         return new Object[][] {
             {"m=audio 31000"},
             {"\r\nm=audio 31000 RTP/AVP"},
@@ -34,15 +35,15 @@
         };
     }
 
-    @Test(dataProvider = "noStart")
-    public void aStreamWithoutStartLineIsLost(String rest) throws StreamFramer.FramingException {
-        ContentLengthFramer framer = given(WHOLE + "ab" + rest);
+    @Test(dataProvider = "invalidStartLines")
+    public void invalidStartLineEndsStream(String rest) throws StreamFramer.FramingException {
+        ContentLengthFramer framer = framerWith(HEADERS + "ab" + rest);
         assertNotNull(framer.nextMessage());
         assertThrows(StreamFramer.FramingException.class, framer::nextMessage);
     }
 
     @DataProvider
-    public Object[][] starts() {
+    public Object[][] partialMessages() {
         return new Object[][] {
             {"S"},
             {"SIP/2"},
@@ -55,10 +56,10 @@
         };
     }
 
-    @Test(dataProvider = "starts")
-    public void theBeginningOfAMessageIsWaitedFor(String rest) throws StreamFramer.FramingException {
-        ContentLengthFramer framer = given(WHOLE + "ab" + rest);
-        assertEquals(framer.nextMessage().length, WHOLE.length() + 2);
+    @Test(dataProvider = "partialMessages")
+    public void partialMessageIsAwaited(String rest) throws StreamFramer.FramingException {
+        ContentLengthFramer framer = framerWith(HEADERS + "ab" + rest);
+        assertEquals(framer.nextMessage().length, HEADERS.length() + 2);
         assertEquals(framer.nextMessage(), null);
     }
 }
--- a/src/test/java/martenslip/sip/transport/TransportTest.java
+++ b/src/test/java/martenslip/sip/transport/TransportTest.java
@@ -24,32 +24,33 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
+/** Framing, limits and error reports of real sockets on the loopback interface. */
 public class TransportTest {
-    private static final TransportLimits TIGHT = new TransportLimits(
+    private static final TransportLimits TIGHT_LIMITS = new TransportLimits(
             2, Span.ofMillis(700), Span.ofMillis(300), 200_000, Span.ofMillis(500), Span.ofMillis(300));
     private LinkedBlockingQueue<TransportEvent> inbox;
     private Transport transport;
 
     private Transport open() throws IOException {
-        return open(TIGHT);
+        return open(TIGHT_LIMITS);
     }
 
-    private Transport open(TransportLimits bounds) throws IOException {
-        // Of its own for each test: a connection of the one before may still tell its end.
-        LinkedBlockingQueue<TransportEvent> own = new LinkedBlockingQueue<>();
-        inbox = own;
+    private Transport open(TransportLimits limits) throws IOException {
+        // Each test has its own inbox: a connection of the previous test may still report its end.
+        LinkedBlockingQueue<TransportEvent> ownInbox = new LinkedBlockingQueue<>();
+        inbox = ownInbox;
         transport = new Transport(
                 "test",
-                bounds,
+                limits,
                 new TransportEventSink() {
                     @Override
-                    public boolean offer(TransportEvent arrival) {
-                        return own.offer(arrival);
+                    public boolean offer(TransportEvent event) {
+                        return ownInbox.offer(event);
                     }
 
                     @Override
-                    public void put(TransportEvent arrival) throws InterruptedException {
-                        own.put(arrival);
+                    public void put(TransportEvent event) throws InterruptedException {
+                        ownInbox.put(event);
                     }
                 },
                 MessageInterceptor.PASS_THROUGH);
@@ -74,72 +75,72 @@
         return socket;
     }
 
-    private static byte[] options(int number, String body) {
-        return ("OPTIONS sip:x@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/TCP 10.9.8.7:99;branch=z9hG4bK" + number
-                        + ";rport\r\nFrom: <sip:a@h>;tag=1\r\nTo: <sip:b@h>\r\nCall-ID: c\r\nCSeq: " + number
+    private static byte[] options(int cseqNumber, String body) {
+        return ("OPTIONS sip:x@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/TCP 10.9.8.7:99;branch=z9hG4bK" + cseqNumber
+                        + ";rport\r\nFrom: <sip:a@h>;tag=1\r\nTo: <sip:b@h>\r\nCall-ID: c\r\nCSeq: " + cseqNumber
                         + " OPTIONS\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    private TransportEvent next() throws InterruptedException {
-        TransportEvent arrival = inbox.poll(10, TimeUnit.SECONDS);
-        assertTrue(arrival != null, "nothing arrived");
-        return arrival;
+    private TransportEvent nextEvent() throws InterruptedException {
+        TransportEvent event = inbox.poll(10, TimeUnit.SECONDS);
+        assertTrue(event != null, "nothing arrived");
+        return event;
     }
 
-    private long number() throws InterruptedException, InvalidValueException {
-        return ((TransportEvent.MessageReceived) next()).message().cseq().number();
+    private long nextCseqNumber() throws InterruptedException, InvalidValueException {
+        return ((TransportEvent.MessageReceived) nextEvent()).message().cseq().number();
     }
 
     @Test
-    public void severalMessagesInOneWriteAndOneInMany() throws Exception {
+    public void framesSeveralMessagesInOneWriteAndOneInMany() throws Exception {
         open();
         try (Socket socket = connect()) {
-            byte[] one = options(1, "ab");
-            byte[] two = options(2, "");
-            byte[] both = new byte[one.length + two.length + 4];
+            byte[] first = options(1, "ab");
+            byte[] second = options(2, "");
+            byte[] both = new byte[first.length + second.length + 4];
             System.arraycopy("\r\n\r\n".getBytes(StandardCharsets.US_ASCII), 0, both, 0, 4);
-            System.arraycopy(one, 0, both, 4, one.length);
-            System.arraycopy(two, 0, both, 4 + one.length, two.length);
+            System.arraycopy(first, 0, both, 4, first.length);
+            System.arraycopy(second, 0, both, 4 + first.length, second.length);
             socket.getOutputStream().write(both);
-            assertEquals(number(), 1);
-            assertEquals(number(), 2);
+            assertEquals(nextCseqNumber(), 1);
+            assertEquals(nextCseqNumber(), 2);
             for (byte b : options(3, "xyz")) {
                 socket.getOutputStream().write(b);
                 socket.getOutputStream().flush();
             }
-            assertEquals(number(), 3);
+            assertEquals(nextCseqNumber(), 3);
         }
-        assertTrue(next() instanceof TransportEvent.ConnectionLost broken && broken.wasEstablished());
+        assertTrue(nextEvent() instanceof TransportEvent.ConnectionLost lost && lost.wasEstablished());
     }
 
-    /** Two readers of one stream would each cut its messages out of their own part of it. */
+    /** Two readers of one stream would each frame messages from their own part of it. */
     @Test
-    public void aConnectionThatIsUpAtOnceHasOneReader() throws Exception {
+    public void immediatelyEstablishedConnectionHasOneReader() throws Exception {
         open(TransportLimits.DEFAULTS);
-        List<AutoCloseable> far = new ArrayList<>();
+        List<AutoCloseable> remoteSockets = new ArrayList<>();
         try {
             for (int i = 0; i < 300; i++) {
-                ServerSocket one = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                far.add(one);
-                assertTrue(transport.send(options(1, ""), Hop.tcp(local(one.getLocalPort()))));
-                far.add(one.accept());
+                ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                remoteSockets.add(listener);
+                assertTrue(transport.send(options(1, ""), Hop.tcp(local(listener.getLocalPort()))));
+                remoteSockets.add(listener.accept());
             }
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-            Map<String, Integer> readers = readers();
-            while (readers.size() < 300 && System.nanoTime() < end) {
-                readers = readers();
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+            Map<String, Integer> readers = readerThreadsByConnection();
+            while (readers.size() < 300 && System.nanoTime() < deadlineNanos) {
+                readers = readerThreadsByConnection();
             }
             readers.forEach((connection, count) -> assertEquals(count, 1, connection));
             assertEquals(readers.size(), 300);
         } finally {
-            for (AutoCloseable one : far) {
-                one.close();
+            for (AutoCloseable socket : remoteSockets) {
+                socket.close();
             }
         }
     }
 
-    private static Map<String, Integer> readers() {
+    private static Map<String, Integer> readerThreadsByConnection() {
         Map<String, Integer> readers = new TreeMap<>();
         Thread.getAllStackTraces().keySet().stream()
                 .map(Thread::getName)
@@ -149,11 +150,11 @@
     }
 
     @Test
-    public void whereARequestCameFromIsNotedAndAnswersGoBackThere() throws Exception {
+    public void requestSourceIsRecordedAndResponsesReturnThere() throws Exception {
         open();
         try (Socket socket = connect()) {
             socket.getOutputStream().write(options(1, ""));
-            TransportEvent.MessageReceived received = (TransportEvent.MessageReceived) next();
+            TransportEvent.MessageReceived received = (TransportEvent.MessageReceived) nextEvent();
             Request request = (Request) received.message();
             assertEquals(request.via().params().get("received"), "127.0.0.1");
             assertEquals(request.via().params().get("rport"), "" + socket.getLocalPort());
@@ -163,79 +164,79 @@
     }
 
     @Test
-    public void aMessageThatArrivesTooSlowlyEndsItsConnectionOnly() throws Exception {
+    public void slowMessageEndsOnlyItsConnection() throws Exception {
         open();
         try (Socket slow = connect();
                 Socket other = connect()) {
             slow.getOutputStream().write("OPTIONS sip:x".getBytes(StandardCharsets.US_ASCII));
             other.getOutputStream().write(options(7, ""));
-            assertEquals(number(), 7);
-            assertTrue(((TransportEvent.ConnectionLost) next()).reason().contains("too long"));
+            assertEquals(nextCseqNumber(), 7);
+            assertTrue(((TransportEvent.ConnectionLost) nextEvent()).reason().contains("too long"));
             assertEquals(slow.getInputStream().read(), -1);
             other.getOutputStream().write(options(8, ""));
-            assertEquals(number(), 8);
+            assertEquals(nextCseqNumber(), 8);
         }
     }
 
     @Test
-    public void idleConnectionsAndThoseOverTheBoundAreClosed() throws Exception {
+    public void idleAndExcessConnectionsAreClosed() throws Exception {
         open();
-        try (Socket one = connect();
-                Socket two = connect()) {
-            one.getOutputStream().write(options(1, ""));
-            two.getOutputStream().write(options(2, ""));
-            number();
-            number();
-            try (Socket three = connect()) {
-                assertEquals(three.getInputStream().read(), -1);
+        try (Socket first = connect();
+                Socket second = connect()) {
+            first.getOutputStream().write(options(1, ""));
+            second.getOutputStream().write(options(2, ""));
+            nextCseqNumber();
+            nextCseqNumber();
+            try (Socket third = connect()) {
+                assertEquals(third.getInputStream().read(), -1);
             }
             assertEquals((long) transport.dropCounter().counts().get("too many connections"), 1L);
-            assertEquals(((TransportEvent.ConnectionLost) next()).reason(), "idle");
+            assertEquals(((TransportEvent.ConnectionLost) nextEvent()).reason(), "idle");
         }
     }
 
     @Test
-    public void aPeerThatDoesNotReadIsCutOff() throws Exception {
+    public void peerThatDoesNotReadIsDisconnected() throws Exception {
         open();
         try (Socket socket = connect()) {
             socket.getOutputStream().write(options(1, ""));
-            Hop back = ((TransportEvent.MessageReceived) next()).from();
+            Hop returnHop = ((TransportEvent.MessageReceived) nextEvent()).from();
             byte[] block = new byte[50_000];
             boolean sent = true;
             for (int i = 0; i < 2000 && sent; i++) {
-                sent = transport.send(block, back) && transport.connectionCount() > 0;
+                sent = transport.send(block, returnHop) && transport.connectionCount() > 0;
             }
-            TransportEvent.ConnectionLost broken = (TransportEvent.ConnectionLost) next();
-            assertTrue(broken.reason().contains("peer"), broken.reason());
+            TransportEvent.ConnectionLost lost = (TransportEvent.ConnectionLost) nextEvent();
+            assertTrue(lost.reason().contains("peer"), lost.reason());
         }
     }
 
     @Test
-    public void anUnframedStreamAndAnUnreachablePeerAreTold() throws Exception {
+    public void unframedStreamAndUnreachablePeerAreReported() throws Exception {
         open();
         try (Socket socket = connect()) {
             socket.getOutputStream().write("OPTIONS sip:x SIP/2.0\r\nX: y\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertTrue(((TransportEvent.ConnectionLost) next()).reason().contains("Content-Length"));
+            assertTrue(((TransportEvent.ConnectionLost) nextEvent()).reason().contains("Content-Length"));
         }
-        int nobody;
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = taken.getLocalPort();
+        int closedPort;
+        try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            closedPort = listener.getLocalPort();
         }
-        transport.send(options(1, ""), Hop.tcp(local(nobody)));
-        assertFalse(((TransportEvent.ConnectionLost) next()).wasEstablished());
+        transport.send(options(1, ""), Hop.tcp(local(closedPort)));
+        assertFalse(((TransportEvent.ConnectionLost) nextEvent()).wasEstablished());
     }
 
     @Test
-    public void damagedDatagramsEndNothing() throws Exception {
+    public void damagedDatagramsAreIgnored() throws Exception {
         open();
         try (DatagramSocket socket = new DatagramSocket(local(0))) {
             for (String text : new String[] {"", "\r\n\r\n", "garbage", "SIP/2.0 ", "\0\1\2"}) {
                 byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
                 socket.send(new DatagramPacket(bytes, bytes.length, local(transport.port(Hop.Protocol.UDP))));
             }
-            byte[] good = options(5, "");
-            socket.send(new DatagramPacket(good, good.length, local(transport.port(Hop.Protocol.UDP))));
-            assertEquals(number(), 5);
+            byte[] validRequest = options(5, "");
+            socket.send(new DatagramPacket(validRequest, validRequest.length, local(transport.port(Hop.Protocol.UDP))));
+            assertEquals(nextCseqNumber(), 5);
         }
     }
 }
