--- a/src/main/java/martenslip/eventloop/EventLoop.java
+++ b/src/main/java/martenslip/eventloop/EventLoop.java
@@ -5,24 +5,29 @@
 import martenslip.control.Moment;
 
 /**
- * A thread that owns a wheel and takes what stands in its inbox, in turns: it reads the clock once a turn, rings what
- * is due, takes at most {@link #BATCH} and ends the turn. A loop that has stalled can be fenced: another one, begun
- * with {@link #successor}, then goes on with the same inbox, and the fenced one takes nothing more, should it wake.
+ * A thread that owns a timer wheel and handles the tasks of its inbox, in turns: a turn reads the clock once, runs the
+ * due timers and handles at most {@link #MAX_TASKS_PER_TURN} tasks. A stalled loop can be fenced: another loop, created
+ * with {@link #successor}, then continues with the same inbox, and the fenced one handles no further task if it wakes
+ * up.
  */
 public final class EventLoop implements AutoCloseable {
-    private static final int BATCH = 256;
-    private static final int STACK = 1 << 20;
-    /** With thousands of timers one is due in every tick; without arrivals they wait this long for each other. */
-    private static final long REST = 2_000_000;
-
-    /** What a loop does; all is called by its thread. */
+    private static final int MAX_TASKS_PER_TURN = 256;
+    private static final int STACK_BYTES = 1 << 20;
+    /**
+     * The shortest wait for a task. With thousands of timers one is due in every tick; if no task arrives, timers are
+     * batched over this time.
+     */
+    private static final long MIN_WAIT_NANOS = 2_000_000;
+
+    /** Handles the tasks of a loop; all methods are called by the thread of the loop. */
     public interface Handler {
-        void handle(Object next);
+        /** Handles a task from the inbox that is not a {@link Runnable}. */
+        void handle(Object task);
 
-        /** The end of a turn. */
+        /** Called at the end of each turn. */
         void afterTurn();
 
-        /** Nothing that comes ends the thread: a fault is told and the next one is taken. */
+        /** Called with an exception of a task, a timer or {@link #afterTurn}; the loop then goes on. */
         void onFailure(Throwable fault);
     }
 
@@ -30,137 +35,152 @@
     private final ArrayBlockingQueue<Object> inbox;
     private final TimerWheel timerWheel;
     private final Thread thread;
-    private Handler duty;
-    private Runnable first;
+    private Handler handler;
+    private Runnable startAction;
     private volatile boolean closing;
-    private volatile boolean isFenced;
-    private volatile long turnAt;
-    private volatile Object inHand;
+    private volatile boolean fenced;
+    private volatile long lastTurnNanos;
+    private volatile Object currentTask;
 
-    public EventLoop(String name, int room) {
-        this(name, new ArrayBlockingQueue<>(room));
+    /** Creates a loop whose inbox has room for {@code capacity} tasks; see {@link #start}. */
+    public EventLoop(String name, int capacity) {
+        this(name, new ArrayBlockingQueue<>(capacity));
     }
 
     private EventLoop(String name, ArrayBlockingQueue<Object> inbox) {
         this.name = name;
         this.inbox = inbox;
         timerWheel = new TimerWheel(new Moment(System.nanoTime()));
-        turnAt = System.nanoTime();
-        thread = new Thread(null, this::work, name, STACK);
+        lastTurnNanos = System.nanoTime();
+        thread = new Thread(null, this::run, name, STACK_BYTES);
         thread.setDaemon(true);
     }
 
+    /** The timers of this loop; only its thread may use them. */
     public TimerWheel timerWheel() {
         return timerWheel;
     }
 
+    /** The name of the thread. */
     public String name() {
         return name;
     }
 
-    /** Once; {@code before} is the first that its thread does. */
-    public void start(Handler what, Runnable before) {
-        duty = what;
-        first = before;
-        turnAt = System.nanoTime();
+    /** Starts the thread; may be called once. {@code startupAction} is run before any task. */
+    public void start(Handler taskHandler, Runnable startupAction) {
+        handler = taskHandler;
+        startAction = startupAction;
+        lastTurnNanos = System.nanoTime();
         thread.start();
     }
 
-    /** False where there is no room. Any thread. */
-    public boolean offer(Object one) {
-        return inbox.offer(one);
+    /** Adds a task; returns false if the inbox is full. Any thread may call it. */
+    public boolean offer(Object task) {
+        return inbox.offer(task);
     }
 
-    /** Waits for room in steps; {@code waited} is run for each step that was in vain. False where the loop closes. */
-    public boolean put(Object one, Runnable waited) throws InterruptedException {
+    /**
+     * Adds a task and waits for room if the inbox is full; {@code onFullInbox} is run after each 100 ms of waiting.
+     * Returns false if the loop is closing.
+     */
+    public boolean put(Object task, Runnable onFullInbox) throws InterruptedException {
         while (!closing) {
-            if (inbox.offer(one, 100, TimeUnit.MILLISECONDS)) {
+            if (inbox.offer(task, 100, TimeUnit.MILLISECONDS)) {
                 return true;
             }
-            waited.run();
+            onFullInbox.run();
         }
         return false;
     }
 
-    /** When its last turn began, on the clock of {@link System#nanoTime}; an idle loop turns at least each 50 ms. */
+    /**
+     * When the last turn began, on the clock of {@link System#nanoTime}; an idle loop starts a turn at least every 50
+     * ms.
+     */
     public Moment lastTurnAt() {
-        return new Moment(turnAt);
+        return new Moment(lastTurnNanos);
     }
 
-    /** Waiting in the inbox now. */
+    /** Number of tasks in the inbox. */
     public int queueSize() {
         return inbox.size();
     }
 
-    /** True once another has taken over; what this one still does must reach nobody. Any thread. */
+    /**
+     * True once another loop has taken over; what this one still does must have no effect outside. Any thread may call
+     * it.
+     */
     public boolean isFenced() {
-        return isFenced;
+        return fenced;
     }
 
-    /** From now on this loop takes nothing more. What it was amid of is returned, or null. Any thread. */
+    /**
+     * Makes this loop handle no further tasks. Returns the task that it has not finished, or null. Any thread may call
+     * it.
+     */
     public Object fence() {
-        isFenced = true;
-        return inHand;
+        fenced = true;
+        return currentTask;
     }
 
-    /** A loop with the inbox of this one, which must have been fenced. */
-    public EventLoop successor(String itsName) {
-        return new EventLoop(itsName, inbox);
+    /** Creates a loop with the inbox of this one, which must be fenced. */
+    public EventLoop successor(String successorName) {
+        return new EventLoop(successorName, inbox);
     }
 
-    private void work() {
-        guarded(first);
-        guarded(duty::afterTurn);
-        while (!closing && !isFenced) {
+    private void run() {
+        runGuarded(startAction);
+        runGuarded(handler::afterTurn);
+        while (!closing && !fenced) {
             try {
-                Object next = inbox.poll(
-                        Math.max(REST, timerWheel.timeUntilNextTimer().ns()), TimeUnit.NANOSECONDS);
-                turn(next);
+                Object task = inbox.poll(
+                        Math.max(MIN_WAIT_NANOS, timerWheel.timeUntilNextTimer().ns()), TimeUnit.NANOSECONDS);
+                runTurn(task);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private void turn(Object first) {
+    private void runTurn(Object firstTask) {
         Moment now = new Moment(System.nanoTime());
-        turnAt = now.ns();
-        Object next = first;
-        for (int done = 0; next != null && done < BATCH; done++) {
-            inHand = next;
-            if (isFenced) {
-                // Taken out after the fence, so it is the successor's.
-                inbox.offer(next);
+        lastTurnNanos = now.ns();
+        Object task = firstTask;
+        for (int handled = 0; task != null && handled < MAX_TASKS_PER_TURN; handled++) {
+            currentTask = task;
+            if (fenced) {
+                // The task was taken out after the fence, so it belongs to the successor.
+                inbox.offer(task);
                 return;
             }
-            if (done == 0) {
-                guarded(() -> timerWheel.advanceTo(now));
+            if (handled == 0) {
+                runGuarded(() -> timerWheel.advanceTo(now));
             }
-            take(next);
-            inHand = null;
-            next = done + 1 < BATCH ? inbox.poll() : null;
+            handle(task);
+            currentTask = null;
+            task = handled + 1 < MAX_TASKS_PER_TURN ? inbox.poll() : null;
         }
-        if (first == null) {
-            guarded(() -> timerWheel.advanceTo(now));
+        if (firstTask == null) {
+            runGuarded(() -> timerWheel.advanceTo(now));
         }
-        guarded(duty::afterTurn);
+        runGuarded(handler::afterTurn);
     }
 
-    private void take(Object next) {
-        guarded(() -> {
-            if (next instanceof Runnable what) {
-                what.run();
+    private void handle(Object task) {
+        runGuarded(() -> {
+            if (task instanceof Runnable action) {
+                action.run();
             } else {
-                duty.handle(next);
+                handler.handle(task);
             }
         });
     }
 
-    private void guarded(Runnable what) {
+    private void runGuarded(Runnable action) {
         try {
-            what.run();
+            action.run();
         } catch (RuntimeException | StackOverflowError e) {
-            duty.onFailure(e);
+            handler.onFailure(e);
         }
     }
 
--- a/src/main/java/martenslip/eventloop/TimerWheel.java
+++ b/src/main/java/martenslip/eventloop/TimerWheel.java
@@ -4,140 +4,150 @@
 import martenslip.control.Span;
 
 /**
- * The time of one thread and all its timers: a wheel of slots, each {@link #TICK} wide. Setting and taking back
- * cost the same whatever the number of timers; a timer rings up to one tick late and never early. A span longer
- * than one turn of the wheel stays in its slot until its turn has come. One thread owns it.
+ * The clock of one thread and all its timers: a wheel of slots, each {@link #TICK} wide. Scheduling and cancelling take
+ * constant time whatever the number of timers; a timer expires up to one tick late and never early. A timer with a
+ * delay longer than one revolution of the wheel stays in its slot until its due tick. One thread owns the wheel.
  *
- * <p>Invariant: a timer that is set stands in the slot of its due tick, and {@code next} is the first tick whose
- * slot has not been emptied. A timer due in the past goes to the slot {@code next}, as an emptied slot is not
- * looked at again for a whole turn.
+ * <p>Invariant: a scheduled timer is in the slot of its due tick, and {@code nextTick} is the first tick whose slot has
+ * not been processed. A timer that is due in the past goes to the slot of {@code nextTick}, as a processed slot is not
+ * visited again for a whole revolution.
  */
 public final class TimerWheel {
-    /** Resolution: the shortest timer of RFC 3261 is 500 ms, but processors of stand-ins work in milliseconds. */
+    /**
+     * Resolution. The shortest timer of RFC 3261 is 500 ms, but simulated processors of stand-ins work in milliseconds.
+     */
     public static final Span TICK = Span.ofMillis(1);
-    /** By how much a loose timer may be late; RFC 3261 says of its lingering spans only how long they last at least. */
+    /** How late a coarse timer may expire; RFC 3261 gives only a minimum for the time that a transaction lingers. */
     public static final Span COARSE_TICK = Span.ofMillis(128);
 
-    private static final int SLOTS = 4096;
-    private static final int LOOK = 50;
+    private static final int SLOT_COUNT = 4096;
+    private static final int MAX_LOOKAHEAD_TICKS = 50;
 
-    /** One timer; it stands in at most one slot. */
+    /** One timer; it is in at most one slot. */
     public static final class Timer {
-        private final Runnable what;
-        private Timer before;
-        private Timer after;
-        private long tick;
+        private final Runnable action;
+        private Timer previous;
+        private Timer next;
+        private long dueTick;
 
-        private Timer(Runnable what) {
-            this.what = what;
+        private Timer(Runnable action) {
+            this.action = action;
         }
 
-        /** True from the setting until it rings or is taken back. */
+        /** True until the timer expires or is cancelled. */
         public boolean isScheduled() {
-            return before != null;
+            return previous != null;
         }
 
-        /** Takes it back; nothing happens where it has rung already. */
+        /** Cancels the timer; does nothing if it has expired. */
         public void cancel() {
-            if (before != null) {
-                before.after = after;
-                after.before = before;
-                before = null;
-                after = null;
+            if (previous != null) {
+                previous.next = next;
+                next.previous = previous;
+                previous = null;
+                next = null;
             }
         }
 
         private void link(Timer head) {
-            before = head.before;
-            after = head;
-            head.before.after = this;
-            head.before = this;
+            previous = head.previous;
+            next = head;
+            head.previous.next = this;
+            head.previous = this;
         }
     }
 
-    private final Timer[] slots = new Timer[SLOTS];
-    private long next;
+    private final Timer[] slots = new Timer[SLOT_COUNT];
+    private long nextTick;
     private Moment now;
 
+    /** Creates an empty wheel that starts at this time. */
     public TimerWheel(Moment now) {
-        for (int i = 0; i < SLOTS; i++) {
+        for (int i = 0; i < SLOT_COUNT; i++) {
             slots[i] = new Timer(null);
-            slots[i].before = slots[i];
-            slots[i].after = slots[i];
+            slots[i].previous = slots[i];
+            slots[i].next = slots[i];
         }
         this.now = now;
-        next = now.ns() / TICK.ns();
+        nextTick = now.ns() / TICK.ns();
     }
 
-    /** The moment of the turn in progress; it stands still until the next {@link #advanceTo}. */
+    /** The time of the current turn; it changes only with {@link #advanceTo}. */
     public Moment now() {
         return now;
     }
 
-    /** Rings {@code what} at {@code when} or up to a tick later. */
-    public Timer scheduleAt(Moment when, Runnable what) {
-        Timer timer = new Timer(what);
-        timer.tick = Math.max(next, Math.floorDiv(when.ns() + TICK.ns() - 1, TICK.ns()));
-        timer.link(slots[(int) (timer.tick % SLOTS)]);
+    /** Runs {@code action} at {@code dueAt} or up to one tick later. */
+    public Timer scheduleAt(Moment dueAt, Runnable action) {
+        Timer timer = new Timer(action);
+        timer.dueTick = Math.max(nextTick, Math.floorDiv(dueAt.ns() + TICK.ns() - 1, TICK.ns()));
+        timer.link(slots[(int) (timer.dueTick % SLOT_COUNT)]);
         return timer;
     }
 
-    public Timer scheduleAfter(Span span, Runnable what) {
-        return scheduleAt(now.plus(span), what);
+    /** Runs {@code action} after this delay from {@link #now()} or up to one tick later. */
+    public Timer scheduleAfter(Span delay, Runnable action) {
+        return scheduleAt(now.plus(delay), action);
     }
 
     /**
-     * Rings up to {@link #COARSE_TICK} later than asked, together with others of its kind: for ends of lingering states, of
-     * which thousands stand. Each would else wake an idle thread for itself.
+     * Runs {@code action} up to {@link #COARSE_TICK} later than asked, together with other coarse timers. Meant for the
+     * ends of lingering states, of which there are thousands: each would otherwise wake an idle thread on its own.
      */
-    public Timer scheduleCoarse(Span span, Runnable what) {
-        long wide = COARSE_TICK.ns();
-        return scheduleAt(new Moment(Math.floorDiv(now.plus(span).ns() + wide - 1, wide) * wide), what);
+    public Timer scheduleCoarse(Span delay, Runnable action) {
+        long coarseTickNanos = COARSE_TICK.ns();
+        return scheduleAt(
+                new Moment(
+                        Math.floorDiv(now.plus(delay).ns() + coarseTickNanos - 1, coarseTickNanos) * coarseTickNanos),
+                action);
     }
 
-    /** Begins a turn: time goes on to {@code moment} and all that are due ring, in the order of their ticks. */
+    /** Starts a turn: sets the time to {@code moment} and runs all due timers in the order of their ticks. */
     public void advanceTo(Moment moment) {
         now = moment;
-        long last = now.ns() / TICK.ns();
-        // After a pause of over a turn each slot needs one look only.
-        long from = Math.max(next, last - SLOTS + 1);
-        for (long tick = from; tick <= last; tick++) {
-            // What is set while this slot rings goes to a later one, or a timer that sets itself would ring on.
-            next = tick + 1;
-            boolean emptied = false;
+        long lastTick = now.ns() / TICK.ns();
+        // After a pause of more than one revolution each slot needs only one visit.
+        long firstTick = Math.max(nextTick, lastTick - SLOT_COUNT + 1);
+        for (long tick = firstTick; tick <= lastTick; tick++) {
+            // Timers scheduled while this slot expires go to a later one; otherwise a timer that reschedules itself
+            // would expire endlessly.
+            nextTick = tick + 1;
+            boolean expired = false;
             try {
-                empty(slots[(int) (tick % SLOTS)], last);
-                emptied = true;
+                expireSlot(slots[(int) (tick % SLOT_COUNT)], lastTick);
+                expired = true;
             } finally {
-                // After a fault the rest of the slot is for the next turn.
-                next = emptied ? next : tick;
+                // After an exception the rest of the slot is left to the next turn.
+                nextTick = expired ? nextTick : tick;
             }
         }
-        next = Math.max(next, last + 1);
+        nextTick = Math.max(nextTick, lastTick + 1);
     }
 
-    /** How long nothing will ring, as far as a short look ahead shows. */
+    /** A time in which no timer is due, at most {@link #MAX_LOOKAHEAD_TICKS} ticks. */
     public Span timeUntilNextTimer() {
-        int free = 0;
-        while (free < LOOK) {
-            Timer head = slots[(int) ((next + free) % SLOTS)];
-            if (head.after != head) {
+        int emptyTicks = 0;
+        while (emptyTicks < MAX_LOOKAHEAD_TICKS) {
+            Timer head = slots[(int) ((nextTick + emptyTicks) % SLOT_COUNT)];
+            if (head.next != head) {
                 break;
             }
-            free++;
+            emptyTicks++;
         }
-        return new Span((next + free) * TICK.ns()).minus(new Span(now.ns())).atLeast(Span.ZERO);
+        return new Span((nextTick + emptyTicks) * TICK.ns())
+                .minus(new Span(now.ns()))
+                .atLeast(Span.ZERO);
     }
 
-    private void empty(Timer head, long last) {
-        Timer timer = head.after;
+    private void expireSlot(Timer head, long lastTick) {
+        Timer timer = head.next;
         while (timer != head) {
-            Timer following = timer.after;
-            if (timer.tick <= last) {
+            Timer following = timer.next;
+            if (timer.dueTick <= lastTick) {
                 timer.cancel();
-                timer.what.run();
-                // What rang may have taken the following one back, so the slot is read from its start again.
-                following = head.after;
+                timer.action.run();
+                // The action may have cancelled the following timer, so the slot is read from its start again.
+                following = head.next;
             }
             timer = following;
         }
--- a/src/main/java/martenslip/exchange/AcceptedContact.java
+++ b/src/main/java/martenslip/exchange/AcceptedContact.java
@@ -7,83 +7,87 @@
 import martenslip.sip.dialog.UasCall;
 import martenslip.sip.message.Response;
 
-/** A contact that was taken: its caller's leg and its last ring, the only one that may be out. */
+/** A contact that the exchange accepted, with its caller leg and its last ring, the only one that may be in flight. */
 final class AcceptedContact {
     final Contact contact;
     final UasCall caller;
-    final String number;
-    final Moment at;
-    /** How many rings it has had. */
-    int rings;
+    final String calledNumber;
+    final Moment acceptedAt;
+    /** Number of rings so far. */
+    int ringCount;
 
-    Ring ring;
-    /** The final answer has been given, by whichever side. */
+    Ring lastRing;
+    /** The final answer is decided, by the decider, the lane or the caller leg. */
     boolean answered;
 
     Response answer;
-    boolean sent;
-    boolean confirmed;
-    HandoverRecord.PendingBye bye = HandoverRecord.PendingBye.NONE;
-    /** When the last ring ended that may still hold something. */
-    Moment heldUntil;
-    /** When a CANCEL left that could not leave as its ring was given up, or null. */
-    Moment cancelledLate;
-    /** Why the last ring ended, for a tandem to pass on. */
-    RejectionReason last = RejectionReason.NONE;
-    /** Its INVITE would count as a new one by now. */
-    boolean forgotten;
+    boolean answerSent;
+    boolean answerAcknowledged;
+    HandoverRecord.PendingBye pendingBye = HandoverRecord.PendingBye.NONE;
+    /** When the last ring ended that may still hold circuits, or null. */
+    Moment lastHeldRingEndedAt;
+    /** When a CANCEL was sent that had to wait for the first response to its ring (RFC 3261 9.1), or null. */
+    Moment delayedCancelSentAt;
+    /** Why the last ring was refused; a tandem passes it on. */
+    RejectionReason lastRejectionReason = RejectionReason.NONE;
+    /** The INVITE transaction has ended: a retransmission would count as a new INVITE. */
+    boolean inviteTransactionEnded;
 
-    TimerWheel.Timer lastWord;
+    TimerWheel.Timer answerDeadlineTimer;
 
-    AcceptedContact(Contact contact, UasCall caller, String number, Moment at) {
+    AcceptedContact(Contact contact, UasCall caller, String calledNumber, Moment acceptedAt) {
         this.contact = contact;
         this.caller = caller;
-        this.number = number;
-        this.at = at;
+        this.calledNumber = calledNumber;
+        this.acceptedAt = acceptedAt;
     }
 
-    /** As its will says; the ring is its successor's to build. */
-    AcceptedContact(HandoverRecord will, UasCall caller) {
-        this(will.contact(), caller, will.number(), will.at());
-        rings = will.rings();
-        heldUntil = will.heldUntil();
-        // It may have been a late CANCEL's: a will does not say, and to wait is safe.
-        cancelledLate = heldUntil;
-        last = will.last();
-        answered = will.answered();
-        answer = will.answer();
-        sent = will.sent();
-        confirmed = will.confirmed();
-        bye = will.bye();
+    /** Restores a contact from its handover record; the caller of this constructor restores the ring. */
+    AcceptedContact(HandoverRecord handoverRecord, UasCall caller) {
+        this(handoverRecord.contact(), caller, handoverRecord.calledNumber(), handoverRecord.acceptedAt());
+        ringCount = handoverRecord.ringCount();
+        lastHeldRingEndedAt = handoverRecord.lastHeldRingEndedAt();
+        // The record does not tell whether a delayed CANCEL was the cause; waiting for the release time is safe.
+        delayedCancelSentAt = lastHeldRingEndedAt;
+        lastRejectionReason = handoverRecord.lastRejectionReason();
+        answered = handoverRecord.answered();
+        answer = handoverRecord.answer();
+        answerSent = handoverRecord.answerSent();
+        answerAcknowledged = handoverRecord.answerAcknowledged();
+        pendingBye = handoverRecord.pendingBye();
     }
 
-    Ring ring(int wanted) {
-        return ring != null && ring.number == wanted ? ring : null;
+    /** The last ring if it has this number, else null. */
+    Ring ringWithNumber(int ringNumber) {
+        return lastRing != null && lastRing.number == ringNumber ? lastRing : null;
     }
 
-    /** The ring that is out or stands, or null. */
-    Ring live() {
-        return ring == null || ring.told ? null : ring;
+    /** The ring that is in flight or established, or null. */
+    Ring liveRing() {
+        return lastRing == null || lastRing.endReported ? null : lastRing;
     }
 
-    HandoverRecord will() {
-        HandoverRecord.InFlightRing out =
-                ring != null && (!ring.told || bye == HandoverRecord.PendingBye.RING) ? ring.out() : null;
+    /** A copy of the state for a successor thread. */
+    HandoverRecord toHandoverRecord() {
+        HandoverRecord.InFlightRing recordedRing =
+                lastRing != null && (!lastRing.endReported || pendingBye == HandoverRecord.PendingBye.RING)
+                        ? lastRing.toInFlightRing()
+                        : null;
         return new HandoverRecord(
                 contact,
-                number,
-                at,
+                calledNumber,
+                acceptedAt,
                 caller.invite(),
                 caller.transaction().from(),
                 caller.tag(),
-                rings,
-                out,
-                heldUntil,
-                last,
+                ringCount,
+                recordedRing,
+                lastHeldRingEndedAt,
+                lastRejectionReason,
                 answer,
                 answered,
-                sent,
-                confirmed,
-                bye);
+                answerSent,
+                answerAcknowledged,
+                pendingBye);
     }
 }
--- a/src/main/java/martenslip/exchange/Contacts.java
+++ b/src/main/java/martenslip/exchange/Contacts.java
@@ -24,477 +24,528 @@
 import martenslip.tracking.ContactRegistry;
 
 /**
- * Contacts of one lane, with their callers' legs and rings: carries out what the decider orders and tells it what
- * became of them. It holds the two rules that a program can hold against its own faults: one final answer, and no
- * second ring beside one that is out. Each contact's will is written before a step leaves.
+ * The contacts of one lane with their caller legs and rings. Carries out the commands of the decider and reports the
+ * results. Whatever the decider orders, it enforces two rules: one final answer for each contact, and no second ring
+ * while one is in flight. The handover record of a contact is written before each step that leaves the process.
  */
 final class Contacts {
-    private final ExchangeConfiguration site;
-    private final DialogLayer calls;
-    private final int lane;
-    private final HandoverStore estate;
+    private final ExchangeConfiguration configuration;
+    private final DialogLayer dialogLayer;
+    private final int laneNumber;
+    private final HandoverStore handoverStore;
     private final LaneReports reports;
-    private final BooleanSupplier fenced;
-    private final InviteReader incoming;
-    private final RingInviteBuilder invites;
+    private final BooleanSupplier isFenced;
+    private final InviteReader inviteReader;
+    private final RingInviteBuilder ringInviteBuilder;
     private final EventLog log;
-    private final ExchangeStatistics figures;
-    private final Map<Long, AcceptedContact> open = new LinkedHashMap<>();
-    private int unanswered;
-    private boolean closing;
+    private final ExchangeStatistics statistics;
+    private final Map<Long, AcceptedContact> openContacts = new LinkedHashMap<>();
+    private int unansweredCount;
+    private boolean refusingNewContacts;
 
     Contacts(
-            ExchangeConfiguration site,
-            DialogLayer calls,
-            int lane,
-            HandoverStore estate,
+            ExchangeConfiguration configuration,
+            DialogLayer dialogLayer,
+            int laneNumber,
+            HandoverStore handoverStore,
             LaneReports reports,
-            BooleanSupplier fenced,
+            BooleanSupplier isFenced,
             EventLog log,
-            ExchangeStatistics figures) {
-        this.site = site;
-        this.calls = calls;
-        this.lane = lane;
-        this.estate = estate;
+            ExchangeStatistics statistics) {
+        this.configuration = configuration;
+        this.dialogLayer = dialogLayer;
+        this.laneNumber = laneNumber;
+        this.handoverStore = handoverStore;
         this.reports = reports;
-        this.fenced = fenced;
+        this.isFenced = isFenced;
         this.log = log;
-        this.figures = figures;
-        incoming = new InviteReader(site);
-        invites = new RingInviteBuilder(site, calls);
+        this.statistics = statistics;
+        inviteReader = new InviteReader(configuration);
+        ringInviteBuilder = new RingInviteBuilder(configuration, dialogLayer);
     }
 
-    /** Contacts that are owed a final answer. */
-    int unanswered() {
-        return unanswered;
+    /** Number of contacts without a final answer. */
+    int unansweredCount() {
+        return unansweredCount;
     }
 
-    int open() {
-        return open.size();
+    /** Number of contacts that have no final answer yet or are established. */
+    int openCount() {
+        return openContacts.size();
     }
 
-    /** From now on new contacts are refused. */
-    void close() {
-        closing = true;
+    /** Refuses all new contacts from now on. */
+    void refuseNewContacts() {
+        refusingNewContacts = true;
     }
 
     private Moment now() {
-        return calls.timerWheel().now();
+        return dialogLayer.timerWheel().now();
     }
 
-    void incoming(UasCall call) {
-        if (closing
-                || open.size()
+    void inviteReceived(UasCall call) {
+        if (refusingNewContacts
+                || openContacts.size()
                         >= Math.max(
                                 1,
-                                site.limits().maxOpenContacts() / site.limits().lanes())) {
-            unseen(call, closing ? "Closing" : "Too many contacts");
+                                configuration.limits().maxOpenContacts()
+                                        / configuration.limits().lanes())) {
+            refuseBeforeOffer(call, refusingNewContacts ? "Closing" : "Too many contacts");
             return;
         }
-        InviteReader.Result read = incoming.read(call, estate::nextId);
-        if (read.contact() == null) {
-            figures.refusedUnseen++;
-            log.info(now(), "not-a-contact", "status", read.status(), "reason", read.reason());
-            call.setListener(DEAF);
-            call.refuse(call.response(read.status(), read.reason()));
+        InviteReader.Result result = inviteReader.read(call, handoverStore::nextContactId);
+        if (result.contact() == null) {
+            statistics.refusedBeforeOffer++;
+            log.info(now(), "not-a-contact", "status", result.status(), "reason", result.reason());
+            call.setListener(IGNORE_CALLER_EVENTS);
+            call.refuse(call.response(result.status(), result.reason()));
             return;
         }
-        AcceptedContact taken = new AcceptedContact(read.contact(), call, read.number(), now());
-        keep(taken);
-        if (!reports.offered(taken.contact, lane)) {
-            drop(taken);
-            unseen(call, "Too much to decide");
+        AcceptedContact acceptedContact = new AcceptedContact(result.contact(), call, result.calledNumber(), now());
+        saveHandoverRecord(acceptedContact);
+        if (!reports.contactOffered(acceptedContact.contact, laneNumber)) {
+            removeHandoverRecord(acceptedContact);
+            refuseBeforeOffer(call, "Too much to decide");
             return;
         }
-        enter(taken);
-        unanswered++;
-        figures.taken++;
-        call.setListener(new CallerListener(taken));
+        addOpenContact(acceptedContact);
+        unansweredCount++;
+        statistics.accepted++;
+        call.setListener(new CallerListener(acceptedContact));
     }
 
-    private void unseen(UasCall call, String why) {
-        figures.refusedUnseen++;
-        log.warn(now(), "refused-unseen", "why", why, "open", open.size());
-        call.setListener(DEAF);
-        call.refuse(unavailable(call, why, ReleaseCause.TEMPORARY_FAILURE));
+    private void refuseBeforeOffer(UasCall call, String reason) {
+        statistics.refusedBeforeOffer++;
+        log.warn(now(), "refused-unseen", "why", reason, "open", openContacts.size());
+        call.setListener(IGNORE_CALLER_EVENTS);
+        call.refuse(serviceUnavailable(call, reason, ReleaseCause.TEMPORARY_FAILURE));
     }
 
-    private void enter(AcceptedContact taken) {
-        open.put(taken.contact.id(), taken);
-        if (!taken.answered) {
-            taken.lastWord = calls.timerWheel()
-                    .scheduleAt(AnswerDeadline.forContact(taken.at, taken.contact.patience()), () -> lastWord(taken));
+    private void addOpenContact(AcceptedContact acceptedContact) {
+        openContacts.put(acceptedContact.contact.id(), acceptedContact);
+        if (!acceptedContact.answered) {
+            acceptedContact.answerDeadlineTimer = dialogLayer
+                    .timerWheel()
+                    .scheduleAt(
+                            AnswerDeadline.forContact(acceptedContact.acceptedAt, acceptedContact.contact.patience()),
+                            () -> answerDeadlineExpired(acceptedContact));
         }
     }
 
-    /** The decider has not spoken in time. */
-    private void lastWord(AcceptedContact taken) {
-        if (taken.answered) {
+    /** The decider gave no final answer in time, so the lane abandons the contact itself. */
+    private void answerDeadlineExpired(AcceptedContact acceptedContact) {
+        if (acceptedContact.answered) {
             return;
         }
-        log.warn(now(), "last-word", "contact", taken.contact.id());
-        abandon(taken.contact.id());
-        Ring ring = taken.live();
+        log.warn(now(), "last-word", "contact", acceptedContact.contact.id());
+        abandon(acceptedContact.contact.id());
+        Ring ring = acceptedContact.liveRing();
         if (ring != null) {
-            takeBack(taken, ring, new ReleaseCause(ReleaseCause.TIMER_EXPIRY, "").toString(), RingEndCause.TIMED_OUT);
+            cancelRing(
+                    acceptedContact,
+                    ring,
+                    new ReleaseCause(ReleaseCause.TIMER_EXPIRY, "").toString(),
+                    RingEndCause.TIMED_OUT);
         }
-        reports.gone(taken.contact.id());
+        reports.callerGone(acceptedContact.contact.id());
     }
 
-    void keep(AcceptedContact taken) {
-        // A thread that was replaced has nothing more to leave to anybody.
-        if (!fenced.getAsBoolean()) {
-            estate.put(taken.will());
+    /** Writes the current state of the contact for a successor thread. */
+    void saveHandoverRecord(AcceptedContact acceptedContact) {
+        // The handover records of a replaced thread belong to its successor.
+        if (!isFenced.getAsBoolean()) {
+            handoverStore.put(acceptedContact.toHandoverRecord());
         }
     }
 
-    private void drop(AcceptedContact taken) {
-        if (!fenced.getAsBoolean()) {
-            estate.remove(taken.contact.id());
+    private void removeHandoverRecord(AcceptedContact acceptedContact) {
+        if (!isFenced.getAsBoolean()) {
+            handoverStore.remove(acceptedContact.contact.id());
         }
     }
 
-    private static final UasCall.Listener DEAF = new UasCall.Listener() {
+    private static final UasCall.Listener IGNORE_CALLER_EVENTS = new UasCall.Listener() {
         @Override
         public void cancelled() {
-            // Refused already.
+            // The call was refused already.
         }
 
         @Override
-        public void ended(CallEndReason why, Request bye) {
-            // Never stood.
+        public void ended(CallEndReason endReason, Request bye) {
+            // The call was never established.
         }
     };
 
-    void ring(long contact, LaneCommands.RingCommand send) {
-        AcceptedContact taken = open.get(contact);
-        if (taken == null || send.number() < taken.rings) {
-            // Over, or carried out by the thread before this one.
-            log.info(now(), "ring-not-wanted", "contact", contact, "ring", send.number());
+    /** Sends a ring, or reports it as not sent if a rule or a limit forbids it. */
+    void ring(long contactId, LaneCommands.RingCommand command) {
+        AcceptedContact acceptedContact = openContacts.get(contactId);
+        if (acceptedContact == null || command.ringNumber() < acceptedContact.ringCount) {
+            // The contact has ended, or the ring was sent by the replaced thread.
+            log.info(now(), "ring-not-wanted", "contact", contactId, "ring", command.ringNumber());
             return;
         }
-        int far = send.to() == null ? -1 : send.to().entry().number();
-        Ring ring = new Ring(send.number(), send.target(), far, now(), now().plus(send.limit()));
-        boolean may = send.to() != null
-                && taken.live() == null
-                && !taken.answered
-                && send.limit().longerThan(Span.ZERO)
-                && released(taken)
-                && send.number() < site.limits().maxRings();
-        taken.rings = send.number() + 1;
-        if (!may) {
-            over(taken, ring, RingOutcome.of(RingEndCause.NOT_SENT), SipLoadReport.NONE);
+        int farExchange = command.listedSwitch() == null
+                ? -1
+                : command.listedSwitch().entry().number();
+        Ring ring =
+                new Ring(command.ringNumber(), command.target(), farExchange, now(), now().plus(command.timeLimit()));
+        boolean allowed = command.listedSwitch() != null
+                && acceptedContact.liveRing() == null
+                && !acceptedContact.answered
+                && command.timeLimit().longerThan(Span.ZERO)
+                && isReleaseTimeOver(acceptedContact)
+                && command.ringNumber() < configuration.limits().maxRings();
+        acceptedContact.ringCount = command.ringNumber() + 1;
+        if (!allowed) {
+            reportRingEnd(acceptedContact, ring, RingOutcome.of(RingEndCause.NOT_SENT), SipLoadReport.NONE);
             return;
         }
-        taken.ring = ring;
-        figures.rings++;
-        Request invite = invites.build(taken, send.to(), send.group(), send.limit());
-        watch(taken, ring);
-        ring.call = calls.startCall(invite, send.to().hop(), new RingListener(taken, ring));
-    }
-
-    /** Rule 5 counts from a CANCEL that left late too, of which the module knows nothing; the rest of it is its own. */
-    private boolean released(AcceptedContact taken) {
-        return taken.cancelledLate == null
-                || !now().before(taken.cancelledLate.plus(site.rules().releaseTime()));
-    }
-
-    /** Sets the timers of a ring that is out. */
-    void watch(AcceptedContact taken, Ring ring) {
-        ring.limit = calls.timerWheel().scheduleAt(ring.until, () -> gaveUp(taken, ring));
-        ring.silence =
-                calls.timerWheel().scheduleAt(ring.at.plus(site.limits().silenceTimeout()), () -> silent(taken, ring));
-    }
-
-    private void gaveUp(AcceptedContact taken, Ring ring) {
-        if (!ring.stood && !ring.told) {
-            takeBack(taken, ring, new ReleaseCause(ReleaseCause.TIMER_EXPIRY, "").toString(), RingEndCause.TIMED_OUT);
-        }
-    }
-
-    /** Nothing was heard. It may have arrived all the same, so it counts as a ring that may hold something. */
-    private void silent(AcceptedContact taken, Ring ring) {
+        acceptedContact.lastRing = ring;
+        statistics.ringsSent++;
+        Request invite =
+                ringInviteBuilder.build(acceptedContact, command.listedSwitch(), command.group(), command.timeLimit());
+        startRingTimers(acceptedContact, ring);
+        ring.call =
+                dialogLayer.startCall(invite, command.listedSwitch().hop(), new RingListener(acceptedContact, ring));
+    }
+
+    /**
+     * True once the release time after a delayed CANCEL is over. Rule 5 (release time) also counts from such a CANCEL,
+     * which the controller does not know of; for all other cases the controller keeps the rule.
+     */
+    private boolean isReleaseTimeOver(AcceptedContact acceptedContact) {
+        return acceptedContact.delayedCancelSentAt == null
+                || !now().before(acceptedContact.delayedCancelSentAt.plus(
+                        configuration.rules().releaseTime()));
+    }
+
+    /** Starts the timers of a ring in flight. */
+    void startRingTimers(AcceptedContact acceptedContact, Ring ring) {
+        ring.timeLimitTimer =
+                dialogLayer.timerWheel().scheduleAt(ring.expiresAt, () -> timeOutRing(acceptedContact, ring));
+        ring.silenceTimer = dialogLayer
+                .timerWheel()
+                .scheduleAt(
+                        ring.startedAt.plus(configuration.limits().silenceTimeout()),
+                        () -> silenceTimeoutExpired(acceptedContact, ring));
+    }
+
+    private void timeOutRing(AcceptedContact acceptedContact, Ring ring) {
+        if (!ring.established && !ring.endReported) {
+            cancelRing(
+                    acceptedContact,
+                    ring,
+                    new ReleaseCause(ReleaseCause.TIMER_EXPIRY, "").toString(),
+                    RingEndCause.TIMED_OUT);
+        }
+    }
+
+    /**
+     * Ends the ring if it got no response at all. The INVITE may have arrived nevertheless, so the ring counts as one
+     * that may hold circuits.
+     */
+    private void silenceTimeoutExpired(AcceptedContact acceptedContact, Ring ring) {
         if (!ring.call.hasResponse()) {
-            gaveUp(taken, ring);
+            timeOutRing(acceptedContact, ring);
         }
     }
 
-    private void takeBack(AcceptedContact taken, Ring ring, String reason, RingEndCause cause) {
+    private void cancelRing(AcceptedContact acceptedContact, Ring ring, String reason, RingEndCause cause) {
         ring.call.cancel(reason);
-        end(taken, ring, RingOutcome.of(cause), SipLoadReport.NONE);
+        endRing(acceptedContact, ring, RingOutcome.of(cause), SipLoadReport.NONE);
     }
 
-    void callOff(long contact, int number) {
-        AcceptedContact taken = open.get(contact);
-        Ring ring = taken == null ? null : taken.ring(number);
-        if (ring != null && !ring.told && !ring.stood && ring.call != null) {
-            takeBack(taken, ring, "SIP;cause=487;text=\"Called off\"", RingEndCause.CALLED_OFF);
+    /** Cancels the ring if it is still in flight. */
+    void cancel(long contactId, int ringNumber) {
+        AcceptedContact acceptedContact = openContacts.get(contactId);
+        Ring ring = acceptedContact == null ? null : acceptedContact.ringWithNumber(ringNumber);
+        if (ring != null && !ring.endReported && !ring.established && ring.call != null) {
+            cancelRing(acceptedContact, ring, "SIP;cause=487;text=\"Called off\"", RingEndCause.CALLED_OFF);
         }
     }
 
-    void defer(long contact, Span comeBack) {
-        AcceptedContact taken = open.get(contact);
-        if (taken == null || taken.answered) {
+    /** Sends 503 with the cause that the last ring was refused for, and Retry-After in whole seconds. */
+    void defer(long contactId, Span retryAfter) {
+        AcceptedContact acceptedContact = openContacts.get(contactId);
+        if (acceptedContact == null || acceptedContact.answered) {
             return;
         }
-        figures.deferred++;
-        int cause = taken.last == RejectionReason.PROCESSOR ? ReleaseCause.CONGESTION : ReleaseCause.NO_CIRCUIT;
-        Response response = unavailable(taken.caller, "Deferred", cause);
-        if (taken.contact.inTransit()) {
-            String place =
+        statistics.deferred++;
+        int cause = acceptedContact.lastRejectionReason == RejectionReason.PROCESSOR
+                ? ReleaseCause.CONGESTION
+                : ReleaseCause.NO_CIRCUIT;
+        Response response = serviceUnavailable(acceptedContact.caller, "Deferred", cause);
+        if (acceptedContact.contact.inTransit()) {
+            String location =
                     cause == ReleaseCause.CONGESTION ? ReleaseCause.REMOTE_LOCAL_NETWORK : ReleaseCause.TRANSIT_NETWORK;
-            response.headers().set("Reason", new ReleaseCause(cause, place));
+            response.headers().set("Reason", new ReleaseCause(cause, location));
         }
-        if (comeBack.longerThan(Span.ZERO)) {
-            response.headers().add("Retry-After", Math.max(1, Math.round(comeBack.ns() / 1e9)));
+        if (retryAfter.longerThan(Span.ZERO)) {
+            response.headers().add("Retry-After", Math.max(1, Math.round(retryAfter.ns() / 1e9)));
         }
-        refuse(taken, response);
+        sendRefusal(acceptedContact, response);
     }
 
-    void abandon(long contact) {
-        AcceptedContact taken = open.get(contact);
-        if (taken == null || taken.answered) {
+    /** Sends 504 with the Q.850 cause of an expired timer. */
+    void abandon(long contactId) {
+        AcceptedContact acceptedContact = openContacts.get(contactId);
+        if (acceptedContact == null || acceptedContact.answered) {
             return;
         }
-        figures.abandoned++;
-        Response response = taken.caller.response(504, "Abandoned");
-        String place = taken.contact.inTransit() ? ReleaseCause.TRANSIT_NETWORK : "";
-        response.headers().add("Reason", new ReleaseCause(ReleaseCause.TIMER_EXPIRY, place));
-        refuse(taken, response);
+        statistics.abandoned++;
+        Response response = acceptedContact.caller.response(504, "Abandoned");
+        String location = acceptedContact.contact.inTransit() ? ReleaseCause.TRANSIT_NETWORK : "";
+        response.headers().add("Reason", new ReleaseCause(ReleaseCause.TIMER_EXPIRY, location));
+        sendRefusal(acceptedContact, response);
     }
 
-    private static Response unavailable(UasCall call, String reason, int cause) {
+    private static Response serviceUnavailable(UasCall call, String reason, int cause) {
         Response response = call.response(503, reason);
         response.headers().add("Reason", new ReleaseCause(cause, ""));
         return response;
     }
 
-    private void refuse(AcceptedContact taken, Response response) {
-        closed(taken, response);
-        taken.caller.refuse(response);
-        taken.sent = true;
-        keep(taken);
-        forget(taken);
-    }
-
-    /** Before the final answer leaves. */
-    private void closed(AcceptedContact taken, Response response) {
-        taken.answered = true;
-        taken.answer = response.copy();
-        keep(taken);
-        unanswered--;
-        if (taken.lastWord != null) {
-            taken.lastWord.cancel();
-        }
-        figures.answered(now().since(taken.at));
-    }
-
-    private void forget(AcceptedContact taken) {
-        if (taken.answered && taken.live() == null) {
-            open.remove(taken.contact.id());
-            if (taken.forgotten) {
-                // The BYE that ended it may yet have to be sent by a successor.
-                calls.timerWheel()
-                        .scheduleCoarse(TransactionTimers.DELAYED_TRYING.transactionTimeout(), () -> drop(taken));
+    private void sendRefusal(AcceptedContact acceptedContact, Response response) {
+        recordFinalAnswer(acceptedContact, response);
+        acceptedContact.caller.refuse(response);
+        acceptedContact.answerSent = true;
+        saveHandoverRecord(acceptedContact);
+        removeIfEnded(acceptedContact);
+    }
+
+    /** Records the final answer; called before it is sent. */
+    private void recordFinalAnswer(AcceptedContact acceptedContact, Response response) {
+        acceptedContact.answered = true;
+        acceptedContact.answer = response.copy();
+        saveHandoverRecord(acceptedContact);
+        unansweredCount--;
+        if (acceptedContact.answerDeadlineTimer != null) {
+            acceptedContact.answerDeadlineTimer.cancel();
+        }
+        statistics.recordAnswer(now().since(acceptedContact.acceptedAt));
+    }
+
+    /** Removes the contact once it is answered and no ring is in flight or established. */
+    private void removeIfEnded(AcceptedContact acceptedContact) {
+        if (acceptedContact.answered && acceptedContact.liveRing() == null) {
+            openContacts.remove(acceptedContact.contact.id());
+            if (acceptedContact.inviteTransactionEnded) {
+                // A successor may still have to send the BYE that ended the contact.
+                dialogLayer
+                        .timerWheel()
+                        .scheduleCoarse(
+                                TransactionTimers.DELAYED_TRYING.transactionTimeout(),
+                                () -> removeHandoverRecord(acceptedContact));
             }
         }
     }
 
-    /** Tells the decider once of the ring's outcome. */
-    private void end(AcceptedContact taken, Ring ring, RingOutcome outcome, SipLoadReport load) {
-        if (ring.told) {
+    /** Records and reports the outcome of a ring; calls after the first do nothing. */
+    private void endRing(AcceptedContact acceptedContact, Ring ring, RingOutcome outcome, SipLoadReport loadReport) {
+        if (ring.endReported) {
             return;
         }
-        ring.told = true;
+        ring.endReported = true;
         ring.stopTimers();
-        taken.last = outcome.blame();
-        taken.heldUntil = ContactRegistry.mayHoldCircuits(outcome.cause()) ? now() : taken.heldUntil;
-        keep(taken);
-        over(taken, ring, outcome, load);
-        forget(taken);
+        acceptedContact.lastRejectionReason = outcome.rejectionReason();
+        acceptedContact.lastHeldRingEndedAt =
+                ContactRegistry.mayHoldCircuits(outcome.cause()) ? now() : acceptedContact.lastHeldRingEndedAt;
+        saveHandoverRecord(acceptedContact);
+        reportRingEnd(acceptedContact, ring, outcome, loadReport);
+        removeIfEnded(acceptedContact);
     }
 
-    private void over(AcceptedContact taken, Ring ring, RingOutcome outcome, SipLoadReport load) {
+    private void reportRingEnd(
+            AcceptedContact acceptedContact, Ring ring, RingOutcome outcome, SipLoadReport loadReport) {
         log.debug(
                 now(),
                 "ring-ended",
                 "contact",
-                taken.contact.id(),
+                acceptedContact.contact.id(),
                 "ring",
                 ring.number,
                 "far",
-                ring.far,
+                ring.farExchange,
                 "cause",
                 outcome.cause(),
                 "blame",
-                outcome.blame());
-        reports.ringOver(new LaneReports.RingResult(
-                taken.contact.id(),
+                outcome.rejectionReason());
+        reports.ringEnded(new LaneReports.RingResult(
+                acceptedContact.contact.id(),
                 ring.number,
                 ring.target,
-                ring.far,
-                taken.contact.width(),
+                ring.farExchange,
+                acceptedContact.contact.width(),
                 outcome,
-                now().since(ring.at),
-                taken.answered,
-                load));
+                now().since(ring.startedAt),
+                acceptedContact.answered,
+                loadReport));
     }
 
-    /** The caller's side. */
+    /** Handles the events of the caller leg. */
     private final class CallerListener implements UasCall.Listener {
-        private final AcceptedContact taken;
+        private final AcceptedContact acceptedContact;
 
-        CallerListener(AcceptedContact taken) {
-            this.taken = taken;
+        CallerListener(AcceptedContact acceptedContact) {
+            this.acceptedContact = acceptedContact;
         }
 
         @Override
-        public void beforeFinalResponse(Response last) {
-            if (!taken.answered) {
-                closed(taken, last);
+        public void beforeFinalResponse(Response response) {
+            if (!acceptedContact.answered) {
+                recordFinalAnswer(acceptedContact, response);
             }
         }
 
         @Override
         public void cancelled() {
-            figures.callerGone++;
-            taken.sent = true;
-            keep(taken);
-            reports.gone(taken.contact.id());
-            // A ring that is out is called off by the module; without one nothing is left to wait for.
-            forget(taken);
+            statistics.callerGone++;
+            acceptedContact.answerSent = true;
+            saveHandoverRecord(acceptedContact);
+            reports.callerGone(acceptedContact.contact.id());
+            // The controller cancels a ring in flight; without one the contact has ended.
+            removeIfEnded(acceptedContact);
         }
 
         @Override
         public void confirmed() {
-            taken.confirmed = true;
-            keep(taken);
+            acceptedContact.answerAcknowledged = true;
+            saveHandoverRecord(acceptedContact);
         }
 
         @Override
-        public void ended(CallEndReason why, Request bye) {
-            Ring ring = taken.live();
+        public void ended(CallEndReason endReason, Request bye) {
+            Ring ring = acceptedContact.liveRing();
             if (ring != null) {
-                RingOutcome outcome = RingOutcome.ofEnd(bye, RingEndCause.CALLED_OFF);
-                taken.bye = HandoverRecord.PendingBye.RING;
-                keep(taken);
-                ring.call.bye(passedOn(bye, outcome));
-                end(taken, ring, outcome, SipLoadReport.NONE);
+                RingOutcome outcome = RingOutcome.ofCallEnd(bye, RingEndCause.CALLED_OFF);
+                acceptedContact.pendingBye = HandoverRecord.PendingBye.RING;
+                saveHandoverRecord(acceptedContact);
+                ring.call.bye(reasonForOtherLeg(bye, outcome));
+                endRing(acceptedContact, ring, outcome, SipLoadReport.NONE);
             }
         }
 
         @Override
         public void transactionEnded() {
-            taken.forgotten = true;
-            if (!open.containsKey(taken.contact.id())) {
-                drop(taken);
+            acceptedContact.inviteTransactionEnded = true;
+            if (!openContacts.containsKey(acceptedContact.contact.id())) {
+                removeHandoverRecord(acceptedContact);
             }
         }
     }
 
-    private static String passedOn(Request bye, RingOutcome outcome) {
-        ReleaseCause release = bye == null ? null : ReleaseCause.of(bye);
-        if (release != null) {
-            return release.toString();
+    /**
+     * The Reason value for the BYE of the other leg, or null: that of the received BYE, else out of order after a lost
+     * leg.
+     */
+    private static String reasonForOtherLeg(Request bye, RingOutcome outcome) {
+        ReleaseCause releaseCause = bye == null ? null : ReleaseCause.of(bye);
+        if (releaseCause != null) {
+            return releaseCause.toString();
         }
         return outcome.cause() == RingEndCause.CUT ? new ReleaseCause(ReleaseCause.OUT_OF_ORDER, "").toString() : null;
     }
 
-    /** What a ring brings. */
+    /** Handles the events of a ring. */
     private final class RingListener implements UacCall.Listener {
-        private final AcceptedContact taken;
+        private final AcceptedContact acceptedContact;
         private final Ring ring;
 
-        RingListener(AcceptedContact taken, Ring ring) {
-            this.taken = taken;
+        RingListener(AcceptedContact acceptedContact, Ring ring) {
+            this.acceptedContact = acceptedContact;
             this.ring = ring;
         }
 
         @Override
-        public void beforeSend(Request invite, Hop to) {
+        public void beforeSend(Request invite, Hop hop) {
             ring.invite = invite.copy();
-            ring.hop = to;
-            keep(taken);
+            ring.hop = hop;
+            saveHandoverRecord(acceptedContact);
         }
 
         @Override
         public void progress(Response response) {
-            if (!ring.heard && !ring.told) {
-                ring.heard = true;
-                reports.heard(taken.contact.id(), ring.number, ring.far);
+            if (!ring.firstResponseReported && !ring.endReported) {
+                ring.firstResponseReported = true;
+                reports.firstResponseReceived(acceptedContact.contact.id(), ring.number, ring.farExchange);
             }
-            if (response.status() > 100 && !ring.told) {
-                taken.caller.progress(invites.passedOn(taken, response));
+            if (response.status() > 100 && !ring.endReported) {
+                acceptedContact.caller.progress(ringInviteBuilder.toCallerResponse(acceptedContact, response));
             }
         }
 
         @Override
         public void established(Response response) {
             ring.stopTimers();
-            if (taken.answered || !taken.caller.isPending()) {
+            if (acceptedContact.answered || !acceptedContact.caller.isPending()) {
                 ring.call.bye(null);
-                end(taken, ring, RingOutcome.of(RingEndCause.CALLED_OFF), SipLoadReport.of(response));
+                endRing(acceptedContact, ring, RingOutcome.of(RingEndCause.CALLED_OFF), SipLoadReport.of(response));
                 return;
             }
-            ring.stood = true;
-            ring.okay = response;
-            Response passed = invites.passedOn(taken, response);
-            closed(taken, passed);
-            figures.stood(now().since(taken.at));
-            taken.caller.accept(passed);
-            reports.stood(
-                    taken.contact.id(), ring.number, ring.target, now().since(ring.at), SipLoadReport.of(response));
+            ring.established = true;
+            ring.successResponse = response;
+            Response callerResponse = ringInviteBuilder.toCallerResponse(acceptedContact, response);
+            recordFinalAnswer(acceptedContact, callerResponse);
+            statistics.recordEstablished(now().since(acceptedContact.acceptedAt));
+            acceptedContact.caller.accept(callerResponse);
+            reports.established(
+                    acceptedContact.contact.id(),
+                    ring.number,
+                    ring.target,
+                    now().since(ring.startedAt),
+                    SipLoadReport.of(response));
         }
 
         @Override
         public void delayedCancelSent() {
-            if (open.containsKey(taken.contact.id())) {
-                taken.cancelledLate = now();
-                taken.heldUntil = now();
-                keep(taken);
+            if (openContacts.containsKey(acceptedContact.contact.id())) {
+                acceptedContact.delayedCancelSentAt = now();
+                acceptedContact.lastHeldRingEndedAt = now();
+                saveHandoverRecord(acceptedContact);
             }
         }
 
         @Override
         public void refused(Response response) {
-            end(taken, ring, RingOutcome.of(response), SipLoadReport.of(response));
+            endRing(acceptedContact, ring, RingOutcome.of(response), SipLoadReport.of(response));
         }
 
         @Override
-        public void failed(RequestFailure why) {
-            end(taken, ring, RingOutcome.of(why), SipLoadReport.NONE);
+        public void failed(RequestFailure failure) {
+            endRing(acceptedContact, ring, RingOutcome.of(failure), SipLoadReport.NONE);
         }
 
         @Override
-        public void ended(CallEndReason why, Request bye) {
-            RingOutcome outcome = RingOutcome.ofEnd(bye, RingEndCause.CONCLUDED);
-            taken.bye = HandoverRecord.PendingBye.CALLER;
-            keep(taken);
-            taken.caller.bye(passedOn(bye, outcome));
-            end(taken, ring, outcome, SipLoadReport.NONE);
+        public void ended(CallEndReason endReason, Request bye) {
+            RingOutcome outcome = RingOutcome.ofCallEnd(bye, RingEndCause.CONCLUDED);
+            acceptedContact.pendingBye = HandoverRecord.PendingBye.CALLER;
+            saveHandoverRecord(acceptedContact);
+            acceptedContact.caller.bye(reasonForOtherLeg(bye, outcome));
+            endRing(acceptedContact, ring, outcome, SipLoadReport.NONE);
         }
     }
 
-    /** Tells the decider of all that is open here. */
-    void tellHeld() {
-        List<ContactRegistry.LaneContact> held =
-                open.values().stream().map(taken -> taken.will().held()).toList();
-        reports.inherited(lane, held);
+    /** Reports all open contacts of this lane to the decider. */
+    void reportOpenContacts() {
+        List<ContactRegistry.LaneContact> laneContacts = openContacts.values().stream()
+                .map(acceptedContact -> acceptedContact.toHandoverRecord().toLaneContact())
+                .toList();
+        reports.openContactsReported(laneNumber, laneContacts);
     }
 
-    /** A contact of the thread before this one, with its legs as far as they are there again. */
-    void takenOver(AcceptedContact taken) {
-        unanswered += taken.answered ? 0 : 1;
-        if (!taken.answered || taken.live() != null) {
-            enter(taken);
+    /** Adds a contact of the replaced thread, with those of its legs that were restored. */
+    void addTakenOverContact(AcceptedContact acceptedContact) {
+        unansweredCount += acceptedContact.answered ? 0 : 1;
+        if (!acceptedContact.answered || acceptedContact.liveRing() != null) {
+            addOpenContact(acceptedContact);
         }
     }
 
-    UasCall.Listener callerOf(AcceptedContact taken) {
-        return new CallerListener(taken);
+    UasCall.Listener callerListener(AcceptedContact acceptedContact) {
+        return new CallerListener(acceptedContact);
     }
 
-    UacCall.Listener answersTo(AcceptedContact taken, Ring ring) {
-        return new RingListener(taken, ring);
+    UacCall.Listener ringListener(AcceptedContact acceptedContact, Ring ring) {
+        return new RingListener(acceptedContact, ring);
     }
 }
--- a/src/main/java/martenslip/exchange/Decider.java
+++ b/src/main/java/martenslip/exchange/Decider.java
@@ -21,266 +21,286 @@
 import martenslip.tracking.InFlightCircuits;
 
 /**
- * The module with what it needs to know and to be told: the switches and groups that stand, and the roll of contacts.
- * One thread owns it, the only one that uses circuits up: so two lanes can't be given the same one.
+ * Runs the controller: keeps the state it decides on (known switches, free circuits of the trunk groups, tracked
+ * contacts), delivers events to it in order and passes its orders on to the lanes. One thread owns it and is the only
+ * one that allocates circuits, so no circuit is given to two lanes.
  */
 final class Decider implements LaneReports {
-    private final ExchangeConfiguration site;
-    private final TimerWheel wheel;
-    private final LaneCommands hands;
+    private final ExchangeConfiguration configuration;
+    private final TimerWheel timerWheel;
+    private final LaneCommands laneCommands;
     private final EventLog log;
-    private final SwitchRegistry switchboard;
-    private final PendingEvents happenings = new PendingEvents();
-    private final ContactRegistry roll;
-    private final Controller module;
-    private final InFlightCircuits afloat = new InFlightCircuits();
-    private boolean begun;
-    private boolean listWanted;
-    private TimerWheel.Timer later;
+    private final SwitchRegistry switchRegistry;
+    private final PendingEvents pendingEvents = new PendingEvents();
+    private final ContactRegistry contactRegistry;
+    private final Controller controller;
+    private final InFlightCircuits inFlightCircuits = new InFlightCircuits();
+    private boolean started;
+    private boolean switchListWatchRequested;
+    private TimerWheel.Timer delayedOfferTimer;
 
     Decider(
-            ExchangeConfiguration site,
-            ControllerFactory maker,
+            ExchangeConfiguration configuration,
+            ControllerFactory controllerFactory,
             long seed,
-            TimerWheel wheel,
-            LaneCommands hands,
+            TimerWheel timerWheel,
+            LaneCommands laneCommands,
             EventLog log) {
-        this.site = site;
-        this.wheel = wheel;
-        this.hands = hands;
+        this.configuration = configuration;
+        this.timerWheel = timerWheel;
+        this.laneCommands = laneCommands;
         this.log = log;
-        switchboard = new SwitchRegistry(site);
-        module = maker.create(site.settings(Exchange.MAX_TIMER_LATENESS), seed, wheel.now(), new OrderExecutor());
-        roll = new ContactRegistry(module, site.rules().releaseTime(), hands::callOff);
+        switchRegistry = new SwitchRegistry(configuration);
+        controller = controllerFactory.create(
+                configuration.settings(Exchange.MAX_TIMER_LATENESS), seed, timerWheel.now(), new OrderExecutor());
+        contactRegistry = new ContactRegistry(controller, configuration.rules().releaseTime(), laneCommands::cancel);
     }
 
-    /** Once all that it orders from stands. */
-    void begin() {
-        begun = true;
-        if (listWanted) {
-            hands.watchList(true);
+    /**
+     * Called once when the lanes and the network monitor exist; applies a switch list watch that the controller
+     * requested before.
+     */
+    void start() {
+        started = true;
+        if (switchListWatchRequested) {
+            laneCommands.watchSwitchList(true);
         }
     }
 
-    /** At the end of each turn of its thread. */
-    void tellAll() {
-        happenings.tellAll(wheel.now());
-        Moment due = roll.nextOfferAt();
-        if (due != null && (later == null || !later.isScheduled())) {
-            later = wheel.scheduleAt(due, () -> happenings.add(roll::offerDue));
+    /** Delivers all pending events to the controller; called at the end of each turn of the owning thread. */
+    void deliverPendingEvents() {
+        pendingEvents.deliverAll(timerWheel.now());
+        Moment dueAt = contactRegistry.nextOfferAt();
+        if (dueAt != null && (delayedOfferTimer == null || !delayedOfferTimer.isScheduled())) {
+            delayedOfferTimer = timerWheel.scheduleAt(dueAt, () -> pendingEvents.add(contactRegistry::offerDue));
         }
     }
 
+    /** Queues the event that tells the controller of the stop. */
     void stop() {
-        happenings.add(module::stopped);
+        pendingEvents.add(controller::stopped);
     }
 
-    SwitchRegistry switchboard() {
-        return switchboard;
+    SwitchRegistry switchRegistry() {
+        return switchRegistry;
     }
 
-    /** Contacts that the module may still speak of. */
-    int size() {
-        return roll.size();
+    /** Number of contacts that the controller may still give orders for. */
+    int trackedContactCount() {
+        return contactRegistry.size();
     }
 
     @Override
-    public boolean offered(Contact contact, int lane) {
-        happenings.add(now -> roll.contactOffered(now, contact, lane));
+    public boolean contactOffered(Contact contact, int laneNumber) {
+        pendingEvents.add(now -> contactRegistry.contactOffered(now, contact, laneNumber));
         return true;
     }
 
     @Override
-    public void heard(long contact, int ring, int far) {
-        afloat.responseReceived(wheel.now(), far, contact, ring);
+    public void firstResponseReceived(long contactId, int ringNumber, int farExchange) {
+        inFlightCircuits.responseReceived(timerWheel.now(), farExchange, contactId, ringNumber);
     }
 
-    private float[] report(SipLoadReport load, SwitchRegistry.GroupCircuits group) {
-        return load.toReportValues(
-                group == null ? 0 : group.spare(), group == null ? 0 : group.total, site.configuredReportFields());
+    private float[] reportValues(SipLoadReport loadReport, SwitchRegistry.GroupCircuits group) {
+        return loadReport.toReportValues(
+                group == null ? 0 : group.availableCircuits(),
+                group == null ? 0 : group.total,
+                configuration.configuredReportFields());
     }
 
-    private SipLoadReport lessAfloat(SipLoadReport load, int far) {
-        return load.totalCircuits() < 0 ? load : load.withFewerFreeCircuits(afloat.inFlightCount(wheel.now(), far));
+    private SipLoadReport withoutInFlightCircuits(SipLoadReport loadReport, int farExchange) {
+        return loadReport.totalCircuits() < 0
+                ? loadReport
+                : loadReport.withFewerFreeCircuits(inFlightCircuits.inFlightCount(timerWheel.now(), farExchange));
     }
 
     @Override
-    public void stood(long contact, int ring, long target, Span took, SipLoadReport said) {
-        happenings.add(now -> roll.established(now, contact, ring, target, took));
-        ListedSwitch from = switchboard.neighbour(target);
-        int far = from == null ? -1 : from.entry().number();
-        heard(contact, ring, far);
-        SipLoadReport load = lessAfloat(said, far);
-        if (load != SipLoadReport.NONE && load.totalCircuits() >= 0) {
-            float[] report =
-                    load.toReportValues(load.freeCircuits(), load.totalCircuits(), site.configuredReportFields());
-            happenings.add(now -> module.switchReported(now, target, true, Span.ZERO, report));
+    public void established(long contactId, int ringNumber, long target, Span setupTime, SipLoadReport loadReport) {
+        pendingEvents.add(now -> contactRegistry.established(now, contactId, ringNumber, target, setupTime));
+        ListedSwitch listedSwitch = switchRegistry.switchById(target);
+        int farExchange = listedSwitch == null ? -1 : listedSwitch.entry().number();
+        firstResponseReceived(contactId, ringNumber, farExchange);
+        SipLoadReport adjustedLoadReport = withoutInFlightCircuits(loadReport, farExchange);
+        if (adjustedLoadReport != SipLoadReport.NONE && adjustedLoadReport.totalCircuits() >= 0) {
+            float[] values = adjustedLoadReport.toReportValues(
+                    adjustedLoadReport.freeCircuits(),
+                    adjustedLoadReport.totalCircuits(),
+                    configuration.configuredReportFields());
+            pendingEvents.add(now -> controller.switchReported(now, target, true, Span.ZERO, values));
         }
     }
 
     @Override
-    public void ringOver(RingResult over) {
-        SwitchRegistry.GroupCircuits group = switchboard.toward(over.far());
-        afloat.ringEnded(over.far(), over.contact(), over.ring());
-        switchboard.freed(over.far(), over.width());
-        float[] report = report(lessAfloat(over.load(), over.far()), group);
-        RingOutcome outcome = over.outcome();
-        RingEnd end = new RingEnd(
-                over.contact(),
-                over.ring(),
-                over.target(),
+    public void ringEnded(RingResult result) {
+        SwitchRegistry.GroupCircuits group = switchRegistry.groupToward(result.farExchange());
+        inFlightCircuits.ringEnded(result.farExchange(), result.contactId(), result.ringNumber());
+        switchRegistry.releaseCircuits(result.farExchange(), result.width());
+        float[] values = reportValues(withoutInFlightCircuits(result.loadReport(), result.farExchange()), group);
+        RingOutcome outcome = result.outcome();
+        RingEnd ringEnd = new RingEnd(
+                result.contactId(),
+                result.ringNumber(),
+                result.target(),
                 outcome.cause(),
-                outcome.blame(),
-                over.took(),
-                over.answered(),
-                report);
-        happenings.add(now -> roll.ringEnded(now, end));
+                outcome.rejectionReason(),
+                result.elapsed(),
+                result.answered(),
+                values);
+        pendingEvents.add(now -> contactRegistry.ringEnded(now, ringEnd));
     }
 
     @Override
-    public void gone(long contact) {
-        happenings.add(now -> roll.callerGone(now, contact));
+    public void callerGone(long contactId) {
+        pendingEvents.add(now -> contactRegistry.callerGone(now, contactId));
     }
 
     @Override
-    public void inherited(int lane, List<ContactRegistry.LaneContact> held) {
-        log.warn(wheel.now(), "inherited", "lane", lane, "contacts", held.size());
-        happenings.add(now -> roll.reconcileLane(now, lane, held));
+    public void openContactsReported(int laneNumber, List<ContactRegistry.LaneContact> laneContacts) {
+        log.warn(timerWheel.now(), "inherited", "lane", laneNumber, "contacts", laneContacts.size());
+        pendingEvents.add(now -> contactRegistry.reconcileLane(now, laneNumber, laneContacts));
     }
 
     @Override
-    public void listed(ListKind kind, List<ListedSwitch> lines) {
+    public void switchListReceived(ListKind kind, List<ListedSwitch> entries) {
         if (kind != ListKind.FAILED) {
-            switchboard.listed(lines, kind != ListKind.CHANGES);
+            switchRegistry.updateSwitches(entries, kind != ListKind.CHANGES);
         }
-        List<SwitchEntry> told = lines.stream().map(ListedSwitch::entry).toList();
-        happenings.add(now -> module.switchListReceived(now, kind, told));
+        List<SwitchEntry> switchEntries =
+                entries.stream().map(ListedSwitch::entry).toList();
+        pendingEvents.add(now -> controller.switchListReceived(now, kind, switchEntries));
         if (kind == ListKind.FAILED || kind == ListKind.CACHED) {
             return;
         }
-        // A machine that takes over a number begins without the state of its group.
-        for (ExchangeConfiguration.Group group : site.groups().values()) {
-            SwitchRegistry.GroupCircuits state = switchboard.toward(group.farExchange());
-            if (state.known) {
-                tellCircuits(state);
+        // A machine that takes over an exchange number is new to the controller, so it gets the state of its group
+        // again.
+        for (ExchangeConfiguration.Group group : configuration.groups().values()) {
+            SwitchRegistry.GroupCircuits circuits = switchRegistry.groupToward(group.farExchange());
+            if (circuits.known) {
+                reportGroupCircuits(circuits);
             }
         }
     }
 
     @Override
-    public void circuits(List<EventPackageCodec.GroupState> groups) {
-        afloat.retainContacts(roll::contains);
-        for (EventPackageCodec.GroupState state : groups) {
-            SwitchRegistry.GroupCircuits told = switchboard.told(state);
-            if (told != null) {
-                told.free -= afloat.inFlightCount(wheel.now(), told.group.farExchange());
-                tellCircuits(told);
+    public void groupStatesReceived(List<EventPackageCodec.GroupState> groupStates) {
+        inFlightCircuits.retainContacts(contactRegistry::contains);
+        for (EventPackageCodec.GroupState groupState : groupStates) {
+            SwitchRegistry.GroupCircuits group = switchRegistry.updateGroup(groupState);
+            if (group != null) {
+                group.free -= inFlightCircuits.inFlightCount(timerWheel.now(), group.configuration.farExchange());
+                reportGroupCircuits(group);
             }
         }
     }
 
-    private void tellCircuits(SwitchRegistry.GroupCircuits state) {
-        float[] report = report(SipLoadReport.NONE, state);
-        for (ListedSwitch one : switchboard.bearing(state.group.farExchange())) {
-            happenings.add(now -> module.switchReported(now, one.entry().id(), true, Span.ZERO, report));
+    private void reportGroupCircuits(SwitchRegistry.GroupCircuits group) {
+        float[] values = reportValues(SipLoadReport.NONE, group);
+        for (ListedSwitch listedSwitch : switchRegistry.switchesNotGone(group.configuration.farExchange())) {
+            pendingEvents.add(
+                    now -> controller.switchReported(now, listedSwitch.entry().id(), true, Span.ZERO, values));
         }
     }
 
     @Override
-    public void probed(long target, boolean reached, Span took, SipLoadReport load) {
-        ListedSwitch neighbour = switchboard.neighbour(target);
-        SwitchRegistry.GroupCircuits group =
-                neighbour == null ? null : switchboard.toward(neighbour.entry().number());
-        float[] report = load == null ? new float[0] : report(load, group);
-        happenings.add(now -> module.switchReported(now, target, reached, took, report));
+    public void probeCompleted(long target, boolean reached, Span elapsed, SipLoadReport loadReport) {
+        ListedSwitch listedSwitch = switchRegistry.switchById(target);
+        SwitchRegistry.GroupCircuits group = listedSwitch == null
+                ? null
+                : switchRegistry.groupToward(listedSwitch.entry().number());
+        float[] values = loadReport == null ? new float[0] : reportValues(loadReport, group);
+        pendingEvents.add(now -> controller.switchReported(now, target, reached, elapsed, values));
     }
 
     @Override
-    public void noted(int peer, byte[] note) {
-        happenings.add(now -> module.peerNoteReceived(now, peer, note));
+    public void peerNoteReceived(int peerNumber, byte[] note) {
+        pendingEvents.add(now -> controller.peerNoteReceived(now, peerNumber, note));
     }
 
-    /** The module's orders, passed on at once; what it wants while it is made waits until all parts stand. */
+    /**
+     * Passes the orders of the controller on at once. A switch list watch requested during the construction of the
+     * controller waits for {@link #start}.
+     */
     private final class OrderExecutor implements Orders {
         @Override
-        public void ring(long contact, long target, Span limit) {
-            int number = roll.ringOrdered(contact, target);
-            if (number < 0) {
-                log.warn(wheel.now(), "ring-for-unknown", "contact", contact);
+        public void ring(long contactId, long target, Span timeLimit) {
+            int ringNumber = contactRegistry.ringOrdered(contactId, target);
+            if (ringNumber < 0) {
+                log.warn(timerWheel.now(), "ring-for-unknown", "contact", contactId);
                 return;
             }
-            ListedSwitch to = switchboard.neighbour(target);
-            if (to == null) {
-                RingEnd end = new RingEnd(
-                        contact,
-                        number,
+            ListedSwitch listedSwitch = switchRegistry.switchById(target);
+            if (listedSwitch == null) {
+                RingEnd ringEnd = new RingEnd(
+                        contactId,
+                        ringNumber,
                         target,
                         RingEndCause.NOT_SENT,
                         RejectionReason.NONE,
                         Span.ZERO,
                         false,
                         new float[0]);
-                happenings.add(now -> roll.ringEnded(now, end));
+                pendingEvents.add(now -> contactRegistry.ringEnded(now, ringEnd));
                 return;
             }
-            int far = to.entry().number();
-            switchboard.seized(far, roll.width(contact));
-            afloat.ringSent(far, contact, number, roll.width(contact));
-            SwitchRegistry.GroupCircuits group = switchboard.toward(far);
-            hands.ring(
-                    contact,
-                    new LaneCommands.RingCommand(number, target, to, group == null ? null : group.group, limit));
+            int farExchange = listedSwitch.entry().number();
+            switchRegistry.seizeCircuits(farExchange, contactRegistry.width(contactId));
+            inFlightCircuits.ringSent(farExchange, contactId, ringNumber, contactRegistry.width(contactId));
+            SwitchRegistry.GroupCircuits group = switchRegistry.groupToward(farExchange);
+            laneCommands.ring(
+                    contactId,
+                    new LaneCommands.RingCommand(
+                            ringNumber, target, listedSwitch, group == null ? null : group.configuration, timeLimit));
         }
 
         @Override
-        public void cancel(long contact, int ring) {
-            hands.callOff(contact, roll.laneRingNumber(contact, ring));
+        public void cancel(long contactId, int ringNumber) {
+            laneCommands.cancel(contactId, contactRegistry.laneRingNumber(contactId, ringNumber));
         }
 
         @Override
-        public void defer(long contact, Span comeBack) {
-            hands.defer(contact, comeBack);
-            roll.contactAnswered(contact);
+        public void defer(long contactId, Span retryAfter) {
+            laneCommands.defer(contactId, retryAfter);
+            contactRegistry.contactAnswered(contactId);
         }
 
         @Override
-        public void abandon(long contact) {
-            hands.abandon(contact);
-            roll.contactAnswered(contact);
+        public void abandon(long contactId) {
+            laneCommands.abandon(contactId);
+            contactRegistry.contactAnswered(contactId);
         }
 
         @Override
         public void startTimer(Span delay, long token) {
-            wheel.scheduleAfter(delay, () -> happenings.add(now -> module.timerExpired(now, token)));
+            timerWheel.scheduleAfter(delay, () -> pendingEvents.add(now -> controller.timerExpired(now, token)));
         }
 
         @Override
         public void probe(long target) {
-            ListedSwitch to = switchboard.neighbour(target);
-            if (to == null) {
-                probed(target, false, Span.ZERO, null);
+            ListedSwitch listedSwitch = switchRegistry.switchById(target);
+            if (listedSwitch == null) {
+                probeCompleted(target, false, Span.ZERO, null);
             } else {
-                hands.probe(to);
+                laneCommands.probe(listedSwitch);
             }
         }
 
         @Override
-        public void sendNote(int peer, byte[] note) {
-            hands.note(peer, note);
+        public void sendNote(int peerNumber, byte[] note) {
+            laneCommands.sendNote(peerNumber, note);
         }
 
         @Override
-        public void watchSwitchList(boolean on) {
-            if (begun) {
-                hands.watchList(on);
+        public void watchSwitchList(boolean enabled) {
+            if (started) {
+                laneCommands.watchSwitchList(enabled);
             } else {
-                listWanted = on;
+                switchListWatchRequested = enabled;
             }
         }
 
         @Override
-        public void log(String line) {
-            log.info(wheel.now(), "module", "line", line);
+        public void log(String message) {
+            log.info(timerWheel.now(), "module", "line", message);
         }
     }
 }
--- a/src/main/java/martenslip/exchange/EventLog.java
+++ b/src/main/java/martenslip/exchange/EventLog.java
@@ -10,46 +10,46 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Structured events, one a line. Of each kind at most {@link #MOST} a second are written; how many were left out
- * is told with the next one. The backend's queue drops rather than waits. Any thread: lanes and the decider have one in
- * common.
+ * Logs structured events, one a line. At most {@link #MAX_LINES_PER_SECOND} a second are written of each event name;
+ * the next line that is written tells how many were left out. The queue of the log backend drops lines rather than
+ * wait. Any thread may log: the lanes and the decider share one instance.
  */
 final class EventLog {
     private static final Logger LOG = LoggerFactory.getLogger("martenslip.exchange");
-    private static final int MOST = 20;
-    private static final Span SECOND = Span.ofMillis(1000);
+    private static final int MAX_LINES_PER_SECOND = 20;
+    private static final Span LIMIT_WINDOW = Span.ofMillis(1000);
 
-    /** Its own lock is held for a few steps of counting, never while a line is written. */
+    /** Limits the lines of one event name. The lock is held only while counting, never while a line is written. */
     private static final class RateLimiter {
-        private Moment since;
-        private int written;
+        private Moment windowStart;
+        private int writtenInWindow;
         private long leftOut;
 
-        /** How many were left out before this one, or -1 where this one is left out too. */
-        synchronized long take(Moment now) {
-            if (since == null || now.since(since).longerThan(SECOND)) {
-                since = now;
-                written = 0;
+        /** Returns how many lines were left out before this one, or -1 if this one is left out too. */
+        synchronized long tryWrite(Moment now) {
+            if (windowStart == null || now.since(windowStart).longerThan(LIMIT_WINDOW)) {
+                windowStart = now;
+                writtenInWindow = 0;
             }
-            if (written >= MOST) {
+            if (writtenInWindow >= MAX_LINES_PER_SECOND) {
                 leftOut++;
                 return -1;
             }
-            written++;
-            long before = leftOut;
+            writtenInWindow++;
+            long leftOutBefore = leftOut;
             leftOut = 0;
-            return before;
+            return leftOutBefore;
         }
     }
 
-    private final Map<String, RateLimiter> kinds = new ConcurrentHashMap<>();
+    private final Map<String, RateLimiter> limitersByEvent = new ConcurrentHashMap<>();
     private final int exchange;
 
     EventLog(int exchange) {
         this.exchange = exchange;
     }
 
-    /** Fields are names and values in turn. */
+    /** Logs a warning. {@code fields} alternates names and values. */
     void warn(Moment now, String event, Object... fields) {
         write(Level.WARN, now, event, fields);
     }
@@ -68,8 +68,10 @@
         if (!LOG.isEnabledForLevel(level)) {
             return;
         }
-        long leftOut = kinds.computeIfAbsent(event, any -> new RateLimiter()).take(now);
-        if (leftOut < 0) {
+        long leftOutBefore = limitersByEvent
+                .computeIfAbsent(event, ignored -> new RateLimiter())
+                .tryWrite(now);
+        if (leftOutBefore < 0) {
             return;
         }
         LoggingEventBuilder line =
@@ -77,8 +79,8 @@
         for (int i = 0; i + 1 < fields.length; i += 2) {
             line = line.addKeyValue((String) fields[i], String.valueOf(fields[i + 1]));
         }
-        if (leftOut > 0) {
-            line = line.addKeyValue("left_out", leftOut);
+        if (leftOutBefore > 0) {
+            line = line.addKeyValue("left_out", leftOutBefore);
         }
         line.log(event);
     }
--- a/src/main/java/martenslip/exchange/Exchange.java
+++ b/src/main/java/martenslip/exchange/Exchange.java
@@ -20,136 +20,155 @@
 import martenslip.sip.transport.TransportLimits;
 
 /**
- * One exchange's call controller: sockets, lanes, the decider and the look-out over their threads. Any thread may
+ * The call controller of one exchange: sockets, lanes, the decider and the watchdog over their threads. Any thread may
  * call its methods.
  */
 public final class Exchange implements AutoCloseable {
-    /** How late the module may hear a clock: collectors were seen to pause a busy process by 20 to 60 ms. */
+    /**
+     * How late a timer of the controller may expire: garbage collection was seen to pause a busy process by 20 to 60
+     * ms.
+     */
     public static final Span MAX_TIMER_LATENESS = Span.ofMillis(25);
 
-    private final ExchangeConfiguration site;
-    private final ControllerFactory maker;
+    private final ExchangeConfiguration configuration;
+    private final ControllerFactory controllerFactory;
     private final EventLog log;
-    private final SwitchListStore kept;
+    private final SwitchListStore switchListStore;
     private final Transport transport;
-    private final ThreadSupervisor crew;
-
-    public Exchange(ExchangeConfiguration site, ControllerFactory maker) {
-        this.site = site;
-        this.maker = maker;
-        log = new EventLog(site.number());
-        kept = new SwitchListStore(site.keptListFile(), this::trouble);
-        InboundDispatcher intake = new InboundDispatcher(site.limits().lanes());
+    private final ThreadSupervisor threadSupervisor;
+
+    /** Creates the exchange without opening sockets or starting its lanes; see {@link #start}. */
+    public Exchange(ExchangeConfiguration configuration, ControllerFactory controllerFactory) {
+        this.configuration = configuration;
+        this.controllerFactory = controllerFactory;
+        log = new EventLog(configuration.number());
+        switchListStore = new SwitchListStore(configuration.keptListFile(), this::logWarning);
+        InboundDispatcher inboundDispatcher =
+                new InboundDispatcher(configuration.limits().lanes());
         transport = new Transport(
-                "exchange-" + site.number(), TransportLimits.DEFAULTS, intake, MessageInterceptor.PASS_THROUGH);
-        intake.drops(transport.dropCounter());
-        EventPackageCodec text = new EventPackageCodec(site.regions(), new Moment(System.nanoTime()), Instant.now());
-        crew = new ThreadSupervisor(
-                new Lane.SharedServices(site, transport, new SwitchStateCache(), kept, text, log),
-                maker,
-                this::fault,
-                // Never from the configured seed: a restart would use the branches and tags of its last run again.
+                "exchange-" + configuration.number(),
+                TransportLimits.DEFAULTS,
+                inboundDispatcher,
+                MessageInterceptor.PASS_THROUGH);
+        inboundDispatcher.setDropCounter(transport.dropCounter());
+        EventPackageCodec eventPackageCodec =
+                new EventPackageCodec(configuration.regions(), new Moment(System.nanoTime()), Instant.now());
+        threadSupervisor = new ThreadSupervisor(
+                new Lane.SharedServices(
+                        configuration, transport, new SwitchStateCache(), switchListStore, eventPackageCodec, log),
+                controllerFactory,
+                this::logFault,
+                // Not derived from the configured seed: a restart would reuse the branches and tags of the previous
+                // run.
                 new SecureRandom().nextLong());
-        intake.to(crew::loop);
+        inboundDispatcher.setLaneLoops(threadSupervisor::laneLoop);
     }
 
-    private void fault(Throwable fault) {
+    private void logFault(Throwable fault) {
         transport.dropCounter().increment("fault");
         org.slf4j.LoggerFactory.getLogger("martenslip.exchange").error("fault", fault);
     }
 
-    private void trouble(String what) {
-        org.slf4j.LoggerFactory.getLogger("martenslip.exchange").warn(what);
+    private void logWarning(String message) {
+        org.slf4j.LoggerFactory.getLogger("martenslip.exchange").warn(message);
     }
 
-    /** Opens the sockets and begins, once the code is warm: a caller who comes first waits no longer than others. */
+    /**
+     * Warms up the code, opens the sockets and starts the threads. After the warm-up the first callers wait no longer
+     * than later ones.
+     */
     public void start() throws IOException {
         try {
-            new WarmUp(site, maker).run();
+            new WarmUp(configuration, controllerFactory).run();
         } catch (RuntimeException e) {
-            trouble("not warmed: " + e);
+            logWarning("warm-up failed: " + e);
         }
-        open(site.udp(), site.tcp());
-        crew.start();
+        openSockets(configuration.udp(), configuration.tcp());
+        threadSupervisor.start();
     }
 
-    private void open(InetSocketAddress udp, InetSocketAddress tcp) throws IOException {
-        if (udp != null) {
-            transport.openUdp(udp);
+    private void openSockets(InetSocketAddress udpAddress, InetSocketAddress tcpAddress) throws IOException {
+        if (udpAddress != null) {
+            transport.openUdp(udpAddress);
         }
-        if (tcp != null) {
-            transport.openTcp(tcp);
+        if (tcpAddress != null) {
+            transport.openTcp(tcpAddress);
         }
     }
 
-    /** The port that was opened for this transport, or -1. */
-    public int port(Hop.Protocol kind) {
-        return transport.isOpen(kind) ? transport.port(kind) : -1;
+    /** The local port of this protocol, or -1 if it is not open. */
+    public int port(Hop.Protocol protocol) {
+        return transport.isOpen(protocol) ? transport.port(protocol) : -1;
     }
 
+    /** The host that the sockets listen on. */
     public String host() {
         return transport.host();
     }
 
-    /** Counts so far, one line. */
+    /** The counts since the start, in one line. */
     public String statistics() {
-        ExchangeStatistics sum = new ExchangeStatistics();
+        ExchangeStatistics total = new ExchangeStatistics();
         int[] counts = new int[3];
-        for (int i = 0; i < site.limits().lanes(); i++) {
-            crew.estate(i).addPast(sum);
-            ask(i, lane -> {
-                sum.add(lane.figures);
-                counts[0] += lane.contacts.unanswered();
-                counts[1] += lane.contacts.open();
-                counts[2] += lane.calls().transactionLayer().openCount();
+        for (int i = 0; i < configuration.limits().lanes(); i++) {
+            threadSupervisor.handoverStore(i).addReplacedThreadStatisticsTo(total);
+            askLane(i, lane -> {
+                total.add(lane.statistics);
+                counts[0] += lane.contacts.unansweredCount();
+                counts[1] += lane.contacts.openCount();
+                counts[2] += lane.dialogLayer().transactionLayer().openCount();
                 return true;
             });
         }
-        return sum.line(counts[0]) + " standing=" + (counts[1] - counts[0]) + " transactions=" + counts[2]
-                + " replaced=" + crew.replaced() + " drops="
+        return total.toLogLine(counts[0]) + " standing=" + (counts[1] - counts[0]) + " transactions=" + counts[2]
+                + " replaced=" + threadSupervisor.replacedThreadCount() + " drops="
                 + transport.dropCounter().counts();
     }
 
-    /** Switches that the exchange knows of. */
+    /** Number of known switches. */
     public int knownSwitchCount() {
-        return askDecider(decider -> decider.switchboard().all().size());
+        return askDecider(decider -> decider.switchRegistry().switches().size());
     }
 
-    /** Contacts that the module may still speak of. */
+    /** Number of contacts that the controller may still give orders for. */
     public int trackedContactCount() {
-        return askDecider(Decider::size);
+        return askDecider(Decider::trackedContactCount);
     }
 
-    /** Free circuits of the group toward an exchange as they were last told, -1 before that or without a group. */
-    public int freeCircuits(int far) {
+    /**
+     * Free circuits of the trunk group toward an exchange: the last reported count, adjusted by the rings since then;
+     * -1 before the first report or without a group.
+     */
+    public int freeCircuits(int farExchange) {
         return askDecider(decider -> {
-            SwitchRegistry.GroupCircuits circuits = decider.switchboard().toward(far);
-            return circuits == null || !circuits.known ? -1 : circuits.spare();
+            SwitchRegistry.GroupCircuits circuits = decider.switchRegistry().groupToward(farExchange);
+            return circuits == null || !circuits.known ? -1 : circuits.availableCircuits();
         });
     }
 
-    /** Threads that were replaced since the start. */
+    /** Number of threads replaced since the start. */
     public long replacedThreadCount() {
-        return crew.replaced();
+        return threadSupervisor.replacedThreadCount();
     }
 
     /**
-     * Plants a stall in a lane's thread, or in the decider's where {@code lane} is none of them: between two
-     * pieces of work where {@code amid} is null, else amid the next send of a message that begins with it.
+     * Stalls the thread of a lane, or that of the decider if {@code lane} is not the number of a lane. With a null
+     * {@code messagePrefix} the stall comes between two tasks, else during the next send of a message that starts with
+     * the prefix, for a lane only. For tests and scenarios.
      */
-    public void injectStall(int lane, Span span, String amid) {
-        crew.plant(lane, span, amid);
+    public void injectStall(int laneNumber, Span duration, String messagePrefix) {
+        threadSupervisor.injectStall(laneNumber, duration, messagePrefix);
     }
 
-    private <T> T ask(int lane, Function<Lane, T> what) {
+    private <T> T askLane(int laneNumber, Function<Lane, T> query) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        crew.tell(lane, one -> answer.complete(what.apply(one)));
+        threadSupervisor.runOnLane(laneNumber, ownedLane -> answer.complete(query.apply(ownedLane)));
         return await(answer);
     }
 
-    private <T> T askDecider(Function<Decider, T> what) {
+    private <T> T askDecider(Function<Decider, T> query) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        crew.tellDecider(one -> answer.complete(what.apply(one)));
+        threadSupervisor.runOnDecider(decider -> answer.complete(query.apply(decider)));
         return await(answer);
     }
 
@@ -158,40 +177,40 @@
             return answer.get(5, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted", e);
+            throw new IllegalStateException("interrupted while waiting for the thread of the exchange", e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalStateException("the exchange's thread does not answer", e);
+            throw new IllegalStateException("the thread of the exchange did not answer within 5 s", e);
         }
     }
 
     /**
-     * Takes nothing new, and waits until what is owed is answered or {@code most} is over. Contacts that stand are
-     * left standing. True where nothing is owed any more.
+     * Refuses new contacts and waits until all others have their final answer or the timeout is over. Established
+     * contacts stay. Returns true if no answer is outstanding.
      */
-    public boolean drain(Span most) throws InterruptedException {
-        crew.closing();
-        long end = System.nanoTime() + most.ns();
-        boolean owed = true;
-        while (owed && System.nanoTime() < end) {
-            owed = false;
-            for (int i = 0; i < site.limits().lanes(); i++) {
-                owed |= ask(i, lane -> lane.contacts.unanswered()) > 0;
+    public boolean drain(Span timeout) throws InterruptedException {
+        threadSupervisor.refuseNewContacts();
+        long deadlineNanos = System.nanoTime() + timeout.ns();
+        boolean answersOwed = true;
+        while (answersOwed && System.nanoTime() < deadlineNanos) {
+            answersOwed = false;
+            for (int i = 0; i < configuration.limits().lanes(); i++) {
+                answersOwed |= askLane(i, lane -> lane.contacts.unansweredCount()) > 0;
             }
-            if (owed) {
+            if (answersOwed) {
                 TimeUnit.MILLISECONDS.sleep(20);
             }
         }
-        crew.tell(0, lane -> lane.surroundings.stop());
-        crew.tellDecider(Decider::stop);
-        return !owed;
+        threadSupervisor.runOnLane(0, lane -> lane.networkMonitor.stop());
+        threadSupervisor.runOnDecider(Decider::stop);
+        return !answersOwed;
     }
 
     @Override
     public void close() {
         transport.close();
-        crew.close();
+        threadSupervisor.close();
         try {
-            kept.close();
+            switchListStore.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/martenslip/exchange/HandoverRecord.java
+++ b/src/main/java/martenslip/exchange/HandoverRecord.java
@@ -9,54 +9,68 @@
 import martenslip.tracking.ContactRegistry;
 
 /**
- * All that whoever takes a contact over must know of it. It is written before each step that leaves the process, so
- * a successor knows of all that may have left. Its messages are copies that nobody changes.
+ * The state of a contact that its lane thread leaves to a successor. It is written before each step that leaves the
+ * process, so the successor knows of everything that may have been sent. Its messages are copies that nobody changes.
  *
- * @param tag the tag of this side toward the caller
- * @param rings how many rings the contact has had
- * @param out the ring that is out or stands, or null
- * @param heldUntil when the last ring ended that may still hold something, or null
+ * @param callerHop where the INVITE of the caller came from
+ * @param localTag the tag of this side toward the caller
+ * @param ringCount how many rings the contact has had
+ * @param liveRing the ring that is in flight or established, or that a BYE is pending for, or null
+ * @param lastHeldRingEndedAt when the last ring ended that may still hold circuits, or null
  * @param answer the final answer, or null
- * @param sent the answer has left
- * @param confirmed its 2xx was acknowledged
- * @param bye the side that is owed a BYE
+ * @param answered whether the final answer is decided
+ * @param answerSent whether a refusal was sent
+ * @param answerAcknowledged whether the 2xx was acknowledged
+ * @param pendingBye the leg to which a BYE has to be sent
  */
 record HandoverRecord(
         Contact contact,
-        String number,
-        Moment at,
+        String calledNumber,
+        Moment acceptedAt,
         Request invite,
-        Hop from,
-        String tag,
-        int rings,
-        InFlightRing out,
-        Moment heldUntil,
-        RejectionReason last,
+        Hop callerHop,
+        String localTag,
+        int ringCount,
+        InFlightRing liveRing,
+        Moment lastHeldRingEndedAt,
+        RejectionReason lastRejectionReason,
         Response answer,
         boolean answered,
-        boolean sent,
-        boolean confirmed,
-        PendingBye bye) {
+        boolean answerSent,
+        boolean answerAcknowledged,
+        PendingBye pendingBye) {
+    /** The leg to which a BYE has to be sent. */
     enum PendingBye {
         NONE,
         CALLER,
         RING
     }
 
-    /** {@code invite} bears its Via; {@code stood} is its 2xx, or null. */
+    /**
+     * A ring that is in flight or established. {@code invite} contains its Via; {@code successResponse} is the 2xx, or
+     * null.
+     */
     record InFlightRing(
-            int number, long target, int far, Moment at, Moment until, Request invite, Hop hop, Response stood) {}
+            int number,
+            long target,
+            int farExchange,
+            Moment startedAt,
+            Moment expiresAt,
+            Request invite,
+            Hop hop,
+            Response successResponse) {}
 
-    ContactRegistry.LaneContact held() {
-        boolean live = out != null && bye == PendingBye.NONE;
+    /** The state that is reported to the decider after a replacement. */
+    ContactRegistry.LaneContact toLaneContact() {
+        boolean live = liveRing != null && pendingBye == PendingBye.NONE;
         return new ContactRegistry.LaneContact(
                 contact,
-                at,
-                rings,
-                live ? out.number() : -1,
-                live ? out.target() : 0,
-                live && out.stood() != null,
+                acceptedAt,
+                ringCount,
+                live ? liveRing.number() : -1,
+                live ? liveRing.target() : 0,
+                live && liveRing.successResponse() != null,
                 answered,
-                heldUntil);
+                lastHeldRingEndedAt);
     }
 }
--- a/src/main/java/martenslip/exchange/HandoverStore.java
+++ b/src/main/java/martenslip/exchange/HandoverStore.java
@@ -8,51 +8,52 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What of a lane outlives its thread: the wills of its contacts, the count of its ids and the figures of the threads
- * that were replaced. The lane's thread writes; a successor reads once that thread has been fenced. Bounded by the
- * contacts that are open and those whose INVITE may still be repeated.
+ * The state of a lane that outlives its thread: the handover records of its contacts, the counter of contact ids and
+ * the statistics of replaced threads. The thread of the lane writes; a successor reads once that thread has been
+ * fenced. Bounded by the open contacts and those whose INVITE may still be retransmitted.
  */
 final class HandoverStore {
-    private final int lane;
-    private final int lanes;
-    private final AtomicLong count = new AtomicLong();
-    private final Map<Long, HandoverRecord> wills = new ConcurrentHashMap<>();
-    private final List<ExchangeStatistics> past = new ArrayList<>();
+    private final int laneNumber;
+    private final int laneCount;
+    private final AtomicLong idCounter = new AtomicLong();
+    private final Map<Long, HandoverRecord> recordsById = new ConcurrentHashMap<>();
+    private final List<ExchangeStatistics> replacedThreadStatistics = new ArrayList<>();
 
-    HandoverStore(int lane, int lanes) {
-        this.lane = lane;
-        this.lanes = lanes;
+    HandoverStore(int laneNumber, int laneCount) {
+        this.laneNumber = laneNumber;
+        this.laneCount = laneCount;
     }
 
-    /** Ids tell their lane: see {@link #laneOf}. */
-    long nextId() {
-        return count.incrementAndGet() * lanes + lane;
+    /** A new contact id, from which {@link #laneOf} derives the lane. */
+    long nextContactId() {
+        return idCounter.incrementAndGet() * laneCount + laneNumber;
     }
 
-    static int laneOf(long contact, int lanes) {
-        return (int) (contact % lanes);
+    static int laneOf(long contactId, int laneCount) {
+        return (int) (contactId % laneCount);
     }
 
-    void put(HandoverRecord will) {
-        wills.put(will.contact().id(), will);
+    void put(HandoverRecord handoverRecord) {
+        recordsById.put(handoverRecord.contact().id(), handoverRecord);
     }
 
-    void remove(long contact) {
-        wills.remove(contact);
+    void remove(long contactId) {
+        recordsById.remove(contactId);
     }
 
-    /** In the order in which they were taken. */
-    List<HandoverRecord> wills() {
-        List<HandoverRecord> all = new ArrayList<>(wills.values());
-        all.sort(Comparator.comparing(will -> will.contact().id()));
-        return all;
+    /** The records in the order in which the contacts were accepted. */
+    List<HandoverRecord> records() {
+        List<HandoverRecord> sortedRecords = new ArrayList<>(recordsById.values());
+        sortedRecords.sort(
+                Comparator.comparing(handoverRecord -> handoverRecord.contact().id()));
+        return sortedRecords;
     }
 
-    synchronized void past(ExchangeStatistics figures) {
-        past.add(figures);
+    synchronized void addReplacedThreadStatistics(ExchangeStatistics statistics) {
+        replacedThreadStatistics.add(statistics);
     }
 
-    synchronized void addPast(ExchangeStatistics sum) {
-        past.forEach(sum::add);
+    synchronized void addReplacedThreadStatisticsTo(ExchangeStatistics total) {
+        replacedThreadStatistics.forEach(total::add);
     }
 }
--- a/src/main/java/martenslip/exchange/InboundDispatcher.java
+++ b/src/main/java/martenslip/exchange/InboundDispatcher.java
@@ -8,56 +8,57 @@
 import martenslip.sip.transport.TransportEventSink;
 
 /**
- * Leads what arrives to the lane of its Call-ID, without a lock of its own. At {@link #MOST} waiting a lane takes no
- * more from outside, so that orders and reports from inside find room: datagrams are lost, connections held up.
+ * Dispatches transport events to the lane of their Call-ID, without a lock of its own. A lane with {@link
+ * #MAX_QUEUED_ARRIVALS} waiting tasks accepts no more from outside, so that internal commands and reports find room:
+ * datagrams are dropped, and reading from connections waits.
  */
 final class InboundDispatcher implements TransportEventSink {
-    /** A quarter of a loop's inbox. */
-    static final int MOST = 16_384;
+    /** A quarter of the inbox of an event loop. */
+    static final int MAX_QUEUED_ARRIVALS = 16_384;
 
-    private final int lanes;
-    private IntFunction<EventLoop> loops;
-    private DropCounter drops;
+    private final int laneCount;
+    private IntFunction<EventLoop> laneLoops;
+    private DropCounter dropCounter;
 
-    InboundDispatcher(int lanes) {
-        this.lanes = lanes;
+    InboundDispatcher(int laneCount) {
+        this.laneCount = laneCount;
     }
 
-    /** Before the sockets are opened, as {@link #drops} is. */
-    void to(IntFunction<EventLoop> lanesLoops) {
-        loops = lanesLoops;
+    /** Must be called before the sockets are opened, as must {@link #setDropCounter}. */
+    void setLaneLoops(IntFunction<EventLoop> loopsByLane) {
+        laneLoops = loopsByLane;
     }
 
-    void drops(DropCounter counts) {
-        drops = counts;
+    void setDropCounter(DropCounter counter) {
+        dropCounter = counter;
     }
 
     @Override
-    public boolean offer(TransportEvent arrival) {
-        EventLoop loop = loops.apply(lane(arrival));
-        return loop.queueSize() < MOST && loop.offer(arrival);
+    public boolean offer(TransportEvent event) {
+        EventLoop loop = laneLoops.apply(laneOf(event));
+        return loop.queueSize() < MAX_QUEUED_ARRIVALS && loop.offer(event);
     }
 
     @Override
-    public void put(TransportEvent arrival) throws InterruptedException {
-        if (arrival instanceof TransportEvent.ConnectionLost) {
-            for (int i = 0; i < lanes; i++) {
-                loops.apply(i).put(arrival, () -> drops.increment("waited for the inbox"));
+    public void put(TransportEvent event) throws InterruptedException {
+        if (event instanceof TransportEvent.ConnectionLost) {
+            for (int i = 0; i < laneCount; i++) {
+                laneLoops.apply(i).put(event, () -> dropCounter.increment("waited for the inbox"));
             }
             return;
         }
-        int lane = lane(arrival);
-        while (loops.apply(lane).queueSize() >= MOST) {
-            drops.increment("waited for the inbox");
+        int lane = laneOf(event);
+        while (laneLoops.apply(lane).queueSize() >= MAX_QUEUED_ARRIVALS) {
+            dropCounter.increment("waited for the inbox");
             java.util.concurrent.TimeUnit.MILLISECONDS.sleep(5);
         }
-        loops.apply(lane).put(arrival, () -> drops.increment("waited for the inbox"));
+        laneLoops.apply(lane).put(event, () -> dropCounter.increment("waited for the inbox"));
     }
 
-    private int lane(TransportEvent arrival) {
-        Message message = arrival instanceof TransportEvent.MessageReceived received
+    private int laneOf(TransportEvent event) {
+        Message message = event instanceof TransportEvent.MessageReceived received
                 ? received.message()
-                : arrival instanceof TransportEvent.InvalidRequest wrong ? wrong.request() : null;
-        return message == null ? 0 : Lane.of(message.callId(), lanes);
+                : event instanceof TransportEvent.InvalidRequest invalid ? invalid.request() : null;
+        return message == null ? 0 : Lane.forCallId(message.callId(), laneCount);
     }
 }
--- a/src/main/java/martenslip/exchange/InviteReader.java
+++ b/src/main/java/martenslip/exchange/InviteReader.java
@@ -15,89 +15,95 @@
 import martenslip.sip.message.Request;
 import martenslip.sip.message.SipUri;
 
-/** An INVITE as the module's contact; see docs/sip-mapping.md. */
+/** Reads an INVITE of a caller or a neighbouring exchange as a contact; see docs/sip-mapping.md. */
 final class InviteReader {
-    /** What the INVITE says, or the answer to one that names no contact. */
-    record Result(Contact contact, String number, int status, String reason) {
+    /** The contact, or the status and reason phrase for an INVITE that describes none. */
+    record Result(Contact contact, String calledNumber, int status, String reason) {
         static Result refused(int status, String reason) {
             return new Result(null, "", status, reason);
         }
     }
 
-    private final ExchangeConfiguration site;
-    private final Map<String, ExchangeConfiguration.Group> groups = new HashMap<>();
+    private final ExchangeConfiguration configuration;
+    private final Map<String, ExchangeConfiguration.Group> groupsByName = new HashMap<>();
 
-    InviteReader(ExchangeConfiguration site) {
-        this.site = site;
-        site.groups().values().forEach(group -> groups.put(group.name(), group));
+    InviteReader(ExchangeConfiguration configuration) {
+        this.configuration = configuration;
+        configuration.groups().values().forEach(group -> groupsByName.put(group.name(), group));
     }
 
-    /** {@code id} is asked for a number once the INVITE proves to name a contact. */
-    Result read(UasCall call, LongSupplier id) {
+    /** {@code idSupplier} is asked for an id only once the INVITE is found to describe a contact. */
+    Result read(UasCall call, LongSupplier idSupplier) {
         Request invite = call.invite();
         try {
-            String number = invite.parsedUri().unescapedUser();
-            if (!Digits.isTelephoneNumber(number)) {
+            String calledNumber = invite.parsedUri().unescapedUser();
+            if (!Digits.isTelephoneNumber(calledNumber)) {
                 return Result.refused(484, "The number is incomplete or none");
             }
-            int destination = site.numbering().exchangeForNumber(number);
+            int destination = configuration.numbering().exchangeForNumber(calledNumber);
             if (destination < 0) {
                 return Result.refused(404, "No exchange has this number");
             }
-            int from = cameFrom(invite);
-            if (destination == site.number()) {
-                return from < 0
+            int originExchange = originExchange(invite);
+            if (destination == configuration.number()) {
+                return originExchange < 0
                         ? Result.refused(404, "The number ends at this exchange")
                         : Result.refused(482, "In transit to where it is");
             }
-            int skill = skill(invite);
-            Skill is = site.skills().get(skill);
-            Span patience = patience(invite).atMost(is.patience());
-            String again = invite.headers().first(ExtensionHeaders.RETRY_KIND);
+            int skillIndex = skillIndex(invite);
+            Skill configuredSkill = configuration.skills().get(skillIndex);
+            Span patience = patience(invite).atMost(configuredSkill.patience());
+            String retryKind = invite.headers().first(ExtensionHeaders.RETRY_KIND);
             Contact contact = new Contact(
-                    id.getAsLong(),
-                    skill,
-                    Long.parseLong(number),
+                    idSupplier.getAsLong(),
+                    skillIndex,
+                    Long.parseLong(calledNumber),
                     destination,
-                    from,
-                    is.width(),
+                    originExchange,
+                    configuredSkill.width(),
                     patience,
-                    again != null,
-                    from >= 0,
-                    "cut".equals(again));
-            return new Result(contact, number, 0, "");
+                    retryKind != null,
+                    originExchange >= 0,
+                    "cut".equals(retryKind));
+            return new Result(contact, calledNumber, 0, "");
         } catch (InvalidValueException e) {
             return Result.refused(400, e.getMessage());
         }
     }
 
-    /** The exchange at the far end of the trunk group that the Contact names (RFC 4904 5), -1 for an own caller. */
-    private int cameFrom(Request invite) throws InvalidValueException {
+    /**
+     * The exchange at the far end of the trunk group in the Contact header (RFC 4904 5), or -1 for a caller of this
+     * exchange.
+     */
+    private int originExchange(Request invite) throws InvalidValueException {
         String value = invite.headers().first("Contact");
         if (value == null) {
             return -1;
         }
         SipUri uri = SipUri.parse(NameAddr.parse(value).uri());
-        if (!site.trunkContext().equals(uri.userParameter("trunk-context"))) {
+        if (!configuration.trunkContext().equals(uri.userParameter("trunk-context"))) {
             return -1;
         }
         String name = uri.userParameter("tgrp");
-        ExchangeConfiguration.Group group = name == null ? null : groups.get(name);
+        ExchangeConfiguration.Group group = name == null ? null : groupsByName.get(name);
         return group == null ? -1 : group.farExchange();
     }
 
-    /** A value that no skill bears is passed over (RFC 4412 4.6.2). */
-    private int skill(Request invite) {
+    /**
+     * The skill with the Resource-Priority value of the request. Values that no skill has are ignored (RFC 4412 4.6.2).
+     */
+    private int skillIndex(Request invite) {
         for (String value : invite.headers().all("Resource-Priority")) {
-            for (int i = 0; i < site.skills().size(); i++) {
-                if (value.equalsIgnoreCase(site.skills().get(i).priority())) {
+            for (int i = 0; i < configuration.skills().size(); i++) {
+                if (value.equalsIgnoreCase(configuration.skills().get(i).priority())) {
                     return i;
                 }
             }
         }
-        return site.defaultSkill();
+        return configuration.defaultSkill();
     }
 
+    /** Time that the caller still waits, from Martenslip-Patience or else Expires; without both it is unlimited. */
     private Span patience(Request invite) throws InvalidValueException {
         String exact = invite.headers().first(ExtensionHeaders.PATIENCE);
         String seconds = invite.headers().first("Expires");
--- a/src/main/java/martenslip/exchange/Lane.java
+++ b/src/main/java/martenslip/exchange/Lane.java
@@ -16,91 +16,118 @@
 import martenslip.sip.transport.Transport;
 
 /**
- * One thread with the transactions, dialogs and contacts whose Call-IDs lead to it. What it sends passes its fence at
- * the last step before the socket: once another thread has its place, nothing of it leaves any more.
+ * One thread with the transactions, dialogs and contacts whose Call-IDs are assigned to it. Everything it sends passes
+ * its fence as the last step before the socket: once another thread has replaced it, it sends nothing any more.
  */
 final class Lane {
-    private static final int TRANSACTIONS_A_CONTACT = 8;
+    private static final int MAX_TRANSACTIONS_PER_CONTACT = 8;
+    /** Of all lanes together. */
+    private static final int MAX_TRANSACTIONS = 1 << 20;
 
-    /** What all lanes of an exchange have in common. */
+    /** Services that all lanes of an exchange share. */
     record SharedServices(
-            ExchangeConfiguration site,
+            ExchangeConfiguration configuration,
             Transport transport,
-            SwitchStateCache known,
-            SwitchListStore kept,
-            EventPackageCodec text,
-            EventLog log) {}
+            SwitchStateCache switchStateCache,
+            SwitchListStore switchListStore,
+            EventPackageCodec eventPackageCodec,
+            EventLog eventLog) {}
 
     final int number;
     final EventLoop loop;
     final Contacts contacts;
-    final NetworkMonitor surroundings;
-    final ExchangeStatistics figures = new ExchangeStatistics();
-    final StallInjector planted = new StallInjector();
-    private final SharedServices common;
-    private final DialogLayer calls;
-    /** The decider on this lane's own thread, where there is one lane; set before the thread starts. */
+    final NetworkMonitor networkMonitor;
+    final ExchangeStatistics statistics = new ExchangeStatistics();
+    final StallInjector stallInjector = new StallInjector();
+    private final SharedServices sharedServices;
+    private final DialogLayer dialogLayer;
+    /**
+     * The decider that shares the thread of this lane if the exchange has one lane, else null; set before the thread
+     * starts.
+     */
     Decider decider;
 
-    /** {@code seed} must differ at each start: branches and tags of an earlier one may still be about. */
-    Lane(int number, EventLoop loop, SharedServices common, HandoverStore estate, LaneReports reports, long seed) {
+    /** {@code seed} must differ at each start: peers may still know branches and tags of an earlier run. */
+    Lane(
+            int number,
+            EventLoop loop,
+            SharedServices sharedServices,
+            HandoverStore handoverStore,
+            LaneReports reports,
+            long seed) {
         this.number = number;
         this.loop = loop;
-        this.common = common;
-        ExchangeConfiguration site = common.site();
-        int lanes = site.limits().lanes();
-        int most = Math.min(1 << 20, site.limits().maxOpenContacts() * TRANSACTIONS_A_CONTACT) / lanes;
-        IdGenerator branches = new IdGenerator(seed, callId -> of(callId, lanes) == number);
-        calls = new DialogLayer(
+        this.sharedServices = sharedServices;
+        ExchangeConfiguration configuration = sharedServices.configuration();
+        int laneCount = configuration.limits().lanes();
+        int maxTransactions =
+                Math.min(MAX_TRANSACTIONS, configuration.limits().maxOpenContacts() * MAX_TRANSACTIONS_PER_CONTACT)
+                        / laneCount;
+        IdGenerator idGenerator = new IdGenerator(seed, callId -> forCallId(callId, laneCount) == number);
+        dialogLayer = new DialogLayer(
                 loop.timerWheel(),
                 TransactionTimers.DELAYED_TRYING,
-                outlet(),
-                branches,
-                user(),
-                common.transport().dropCounter(),
-                most);
-        contacts = new Contacts(site, calls, number, estate, reports, loop::isFenced, common.log(), figures);
-        surroundings =
-                new NetworkMonitor(site, calls, reports, common.text(), common.known(), common.kept(), common.log());
+                messageSender(),
+                idGenerator,
+                userAgentCore(),
+                sharedServices.transport().dropCounter(),
+                maxTransactions);
+        contacts = new Contacts(
+                configuration,
+                dialogLayer,
+                number,
+                handoverStore,
+                reports,
+                loop::isFenced,
+                sharedServices.eventLog(),
+                statistics);
+        networkMonitor = new NetworkMonitor(
+                configuration,
+                dialogLayer,
+                reports,
+                sharedServices.eventPackageCodec(),
+                sharedServices.switchStateCache(),
+                sharedServices.switchListStore(),
+                sharedServices.eventLog());
     }
 
-    /** The lane of a Call-ID, the same in each process and for all messages of its dialog. */
-    static int of(String callId, int lanes) {
+    /** The lane of a Call-ID: the same in each process and for all messages of the dialog. */
+    static int forCallId(String callId, int laneCount) {
         int hash = callId.hashCode();
-        return Math.floorMod(hash ^ hash >>> 15, lanes);
+        return Math.floorMod(hash ^ hash >>> 15, laneCount);
     }
 
-    DialogLayer calls() {
-        return calls;
+    DialogLayer dialogLayer() {
+        return dialogLayer;
     }
 
-    private MessageSender outlet() {
-        Transport transport = common.transport();
+    private MessageSender messageSender() {
+        Transport transport = sharedServices.transport();
         return new MessageSender() {
             @Override
-            public boolean send(byte[] bytes, Hop to) {
-                planted.sending(bytes);
-                return loop.isFenced() || transport.send(bytes, to);
+            public boolean send(byte[] bytes, Hop hop) {
+                stallInjector.beforeSend(bytes);
+                return loop.isFenced() || transport.send(bytes, hop);
             }
 
             @Override
-            public String sentBy(Hop.Protocol kind) {
-                return transport.sentBy(kind);
+            public String sentBy(Hop.Protocol protocol) {
+                return transport.sentBy(protocol);
             }
         };
     }
 
-    private UserAgentCore user() {
+    private UserAgentCore userAgentCore() {
         return new UserAgentCore() {
             @Override
             public void inviteReceived(UasCall call) {
-                contacts.incoming(call);
+                contacts.inviteReceived(call);
             }
 
             @Override
             public void requestReceived(ServerTransaction transaction) {
                 try {
-                    surroundings.requested(transaction);
+                    networkMonitor.requestReceived(transaction);
                 } catch (InvalidValueException e) {
                     transaction.respond(transaction.request().createResponse(400, "Unreadable value", null));
                 }
@@ -108,7 +135,9 @@
 
             @Override
             public void connectionLost(Hop hop, boolean everUp) {
-                common.log().info(loop.timerWheel().now(), "connection-ended", "hop", hop, "ever_up", everUp);
+                sharedServices
+                        .eventLog()
+                        .info(loop.timerWheel().now(), "connection-ended", "hop", hop, "ever_up", everUp);
             }
 
             @Override
--- a/src/main/java/martenslip/exchange/LaneCommandDispatcher.java
+++ b/src/main/java/martenslip/exchange/LaneCommandDispatcher.java
@@ -4,59 +4,60 @@
 import martenslip.control.Span;
 import martenslip.signaling.ListedSwitch;
 
-/** Orders on their way to the lane that has the contact; what is about no contact is the first lane's. */
+/** Passes each command to the lane that has the contact; commands without a contact go to the first lane. */
 final class LaneCommandDispatcher implements LaneCommands {
+    /** Carries a command to a lane. */
     interface Channel {
-        void toContacts(int lane, Consumer<Contacts> order);
+        void toContacts(int laneNumber, Consumer<Contacts> command);
 
-        /** To those of the first lane. */
-        void toSurroundings(Consumer<NetworkMonitor> order);
+        /** To the network monitor of the first lane. */
+        void toNetworkMonitor(Consumer<NetworkMonitor> command);
     }
 
-    private final int lanes;
-    private final Channel way;
+    private final int laneCount;
+    private final Channel channel;
 
-    LaneCommandDispatcher(int lanes, Channel way) {
-        this.lanes = lanes;
-        this.way = way;
+    LaneCommandDispatcher(int laneCount, Channel channel) {
+        this.laneCount = laneCount;
+        this.channel = channel;
     }
 
-    private void pass(long contact, Consumer<Contacts> order) {
-        way.toContacts(HandoverStore.laneOf(contact, lanes), order);
+    private void pass(long contactId, Consumer<Contacts> command) {
+        channel.toContacts(HandoverStore.laneOf(contactId, laneCount), command);
     }
 
     @Override
-    public void ring(long contact, RingCommand send) {
-        pass(contact, lane -> lane.ring(contact, send));
+    public void ring(long contactId, RingCommand command) {
+        pass(contactId, lane -> lane.ring(contactId, command));
     }
 
     @Override
-    public void callOff(long contact, int ring) {
-        pass(contact, lane -> lane.callOff(contact, ring));
+    public void cancel(long contactId, int ringNumber) {
+        pass(contactId, lane -> lane.cancel(contactId, ringNumber));
     }
 
     @Override
-    public void defer(long contact, Span comeBack) {
-        pass(contact, lane -> lane.defer(contact, comeBack));
+    public void defer(long contactId, Span retryAfter) {
+        pass(contactId, lane -> lane.defer(contactId, retryAfter));
     }
 
     @Override
-    public void abandon(long contact) {
-        pass(contact, lane -> lane.abandon(contact));
+    public void abandon(long contactId) {
+        pass(contactId, lane -> lane.abandon(contactId));
     }
 
     @Override
-    public void probe(ListedSwitch to) {
-        way.toSurroundings(around -> around.probe(to));
+    public void probe(ListedSwitch listedSwitch) {
+        channel.toNetworkMonitor(networkMonitor -> networkMonitor.probe(listedSwitch));
     }
 
     @Override
-    public void note(int peer, byte[] note) {
-        way.toSurroundings(around -> around.note(peer, note));
+    public void sendNote(int peerNumber, byte[] note) {
+        channel.toNetworkMonitor(networkMonitor -> networkMonitor.sendNote(peerNumber, note));
     }
 
     @Override
-    public void watchList(boolean on) {
-        way.toSurroundings(around -> around.watchList(on));
+    public void watchSwitchList(boolean enabled) {
+        channel.toNetworkMonitor(networkMonitor -> networkMonitor.watchSwitchList(enabled));
     }
 }
--- a/src/main/java/martenslip/exchange/LaneCommands.java
+++ b/src/main/java/martenslip/exchange/LaneCommands.java
@@ -4,22 +4,37 @@
 import martenslip.control.Span;
 import martenslip.signaling.ListedSwitch;
 
-/** What the decider has lanes do. */
+/**
+ * Commands of the decider to the lanes. Rings are numbered per contact from 0, over all deciders that the contact has
+ * had; {@code target} is the id of a switch.
+ */
 interface LaneCommands {
-    /** A ring as the lane needs it: its number, the switch, the group toward it (null without one) and the limit. */
-    record RingCommand(int number, long target, ListedSwitch to, ExchangeConfiguration.Group group, Span limit) {}
+    /** A ring to send: its number, the switch, the trunk group toward it (null without one) and the time limit. */
+    record RingCommand(
+            int ringNumber,
+            long target,
+            ListedSwitch listedSwitch,
+            ExchangeConfiguration.Group group,
+            Span timeLimit) {}
 
-    void ring(long contact, RingCommand send);
+    /** Sends a ring for the contact. */
+    void ring(long contactId, RingCommand command);
 
-    void callOff(long contact, int ring);
+    /** Cancels a ring that is not established yet. */
+    void cancel(long contactId, int ringNumber);
 
-    void defer(long contact, Span comeBack);
+    /** Refuses the contact for now; the caller may come back after {@code retryAfter}, if that is over zero. */
+    void defer(long contactId, Span retryAfter);
 
-    void abandon(long contact);
+    /** Refuses the contact because no time is left for it. */
+    void abandon(long contactId);
 
-    void probe(ListedSwitch to);
+    /** Sends an OPTIONS request to the switch. */
+    void probe(ListedSwitch listedSwitch);
 
-    void note(int peer, byte[] note);
+    /** Sends a note to one peer controller, or to all with {@link martenslip.control.Orders#ALL_PEERS}. */
+    void sendNote(int peerNumber, byte[] note);
 
-    void watchList(boolean on);
+    /** Starts or stops the subscription to the switch list. */
+    void watchSwitchList(boolean enabled);
 }
--- a/src/main/java/martenslip/exchange/LaneReportDispatcher.java
+++ b/src/main/java/martenslip/exchange/LaneReportDispatcher.java
@@ -10,70 +10,77 @@
 import martenslip.signaling.SipLoadReport;
 import martenslip.tracking.ContactRegistry;
 
-/** Reports on their way to the decider: at once on its own thread, or through its inbox. */
+/**
+ * Passes the reports of a lane to the decider: by a direct call if both share a thread, else through the inbox of the
+ * decider.
+ */
 final class LaneReportDispatcher implements LaneReports {
+    /** Carries a report to the decider. */
     interface Channel {
-        /** False where it was not passed; what is {@code refusable} must leave room for what is not. */
-        boolean pass(Consumer<Decider> report, boolean refusable);
+        /**
+         * Returns false if the report was not passed on. Reports that may be refused must leave room in the inbox for
+         * the others.
+         */
+        boolean pass(Consumer<Decider> report, boolean mayBeRefused);
     }
 
-    private final Channel way;
+    private final Channel channel;
 
-    LaneReportDispatcher(Channel way) {
-        this.way = way;
+    LaneReportDispatcher(Channel channel) {
+        this.channel = channel;
     }
 
     private void pass(Consumer<Decider> report) {
-        way.pass(report, false);
+        channel.pass(report, false);
     }
 
     @Override
-    public boolean offered(Contact contact, int lane) {
-        return way.pass(decider -> decider.offered(contact, lane), true);
+    public boolean contactOffered(Contact contact, int laneNumber) {
+        return channel.pass(decider -> decider.contactOffered(contact, laneNumber), true);
     }
 
     @Override
-    public void heard(long contact, int ring, int far) {
-        pass(decider -> decider.heard(contact, ring, far));
+    public void firstResponseReceived(long contactId, int ringNumber, int farExchange) {
+        pass(decider -> decider.firstResponseReceived(contactId, ringNumber, farExchange));
     }
 
     @Override
-    public void stood(long contact, int ring, long target, Span took, SipLoadReport load) {
-        pass(decider -> decider.stood(contact, ring, target, took, load));
+    public void established(long contactId, int ringNumber, long target, Span setupTime, SipLoadReport loadReport) {
+        pass(decider -> decider.established(contactId, ringNumber, target, setupTime, loadReport));
     }
 
     @Override
-    public void ringOver(RingResult over) {
-        pass(decider -> decider.ringOver(over));
+    public void ringEnded(RingResult result) {
+        pass(decider -> decider.ringEnded(result));
     }
 
     @Override
-    public void gone(long contact) {
-        pass(decider -> decider.gone(contact));
+    public void callerGone(long contactId) {
+        pass(decider -> decider.callerGone(contactId));
     }
 
     @Override
-    public void inherited(int lane, List<ContactRegistry.LaneContact> held) {
-        pass(decider -> decider.inherited(lane, held));
+    public void openContactsReported(int laneNumber, List<ContactRegistry.LaneContact> laneContacts) {
+        pass(decider -> decider.openContactsReported(laneNumber, laneContacts));
     }
 
     @Override
-    public void listed(ListKind kind, List<ListedSwitch> lines) {
-        pass(decider -> decider.listed(kind, lines));
+    public void switchListReceived(ListKind kind, List<ListedSwitch> entries) {
+        pass(decider -> decider.switchListReceived(kind, entries));
     }
 
     @Override
-    public void circuits(List<EventPackageCodec.GroupState> groups) {
-        pass(decider -> decider.circuits(groups));
+    public void groupStatesReceived(List<EventPackageCodec.GroupState> groupStates) {
+        pass(decider -> decider.groupStatesReceived(groupStates));
     }
 
     @Override
-    public void probed(long target, boolean reached, Span took, SipLoadReport load) {
-        pass(decider -> decider.probed(target, reached, took, load));
+    public void probeCompleted(long target, boolean reached, Span elapsed, SipLoadReport loadReport) {
+        pass(decider -> decider.probeCompleted(target, reached, elapsed, loadReport));
     }
 
     @Override
-    public void noted(int peer, byte[] note) {
-        pass(decider -> decider.noted(peer, note));
+    public void peerNoteReceived(int peerNumber, byte[] note) {
+        pass(decider -> decider.peerNoteReceived(peerNumber, note));
     }
 }
--- a/src/main/java/martenslip/exchange/LaneReports.java
+++ b/src/main/java/martenslip/exchange/LaneReports.java
@@ -9,41 +9,55 @@
 import martenslip.signaling.SipLoadReport;
 import martenslip.tracking.ContactRegistry;
 
-/** What lanes tell the decider. Rings bear the lane's numbers. */
+/**
+ * Reports of a lane to the decider. Rings are numbered by the lane, per contact from 0; {@code target} is the id of a
+ * switch and {@code farExchange} the number of the exchange that it belongs to, or -1 if unknown.
+ */
 interface LaneReports {
-    /** False where no more can be taken: the contact is then refused at once. */
-    boolean offered(Contact contact, int lane);
+    /**
+     * Offers a new contact. Returns false if the decider has no room for it; the lane then refuses the contact at once.
+     */
+    boolean contactOffered(Contact contact, int laneNumber);
 
-    /** The switch has said the first of a ring: it now counts among what the switch tells of its circuits. */
-    void heard(long contact, int ring, int far);
+    /**
+     * The first response to a ring arrived: from now on the circuits of the ring are included in what the switch
+     * reports of its free circuits.
+     */
+    void firstResponseReceived(long contactId, int ringNumber, int farExchange);
 
-    void stood(long contact, int ring, long target, Span took, SipLoadReport load);
+    /** The contact was set up by this ring. */
+    void established(long contactId, int ringNumber, long target, Span setupTime, SipLoadReport loadReport);
 
-    void ringOver(RingResult over);
+    /** The ring ended; reported once for each ring. */
+    void ringEnded(RingResult result);
 
-    /** The caller is gone, or the lane had the last word. */
-    void gone(long contact);
+    /** The caller left, or the lane abandoned the contact at its answer deadline. */
+    void callerGone(long contactId);
 
-    /** All that the lane holds, after its thread or the decider's was replaced. */
-    void inherited(int lane, List<ContactRegistry.LaneContact> held);
+    /** All open contacts of the lane, after its thread or that of the decider was replaced. */
+    void openContactsReported(int laneNumber, List<ContactRegistry.LaneContact> laneContacts);
 
-    void listed(ListKind kind, List<ListedSwitch> lines);
+    /** A switch list arrived, was loaded from disk or could not be obtained, depending on the kind. */
+    void switchListReceived(ListKind kind, List<ListedSwitch> entries);
 
-    void circuits(List<EventPackageCodec.GroupState> groups);
+    /** The state of trunk groups was notified. */
+    void groupStatesReceived(List<EventPackageCodec.GroupState> groupStates);
 
-    void probed(long target, boolean reached, Span took, SipLoadReport load);
+    /** A probe was answered ({@code reached}) or failed. {@code loadReport} is null if there is none. */
+    void probeCompleted(long target, boolean reached, Span elapsed, SipLoadReport loadReport);
 
-    void noted(int peer, byte[] note);
+    /** A note of a peer controller arrived. */
+    void peerNoteReceived(int peerNumber, byte[] note);
 
-    /** The one outcome of a ring. */
+    /** The outcome of a ring. {@code answered} tells whether the contact already has its final answer. */
     record RingResult(
-            long contact,
-            int ring,
+            long contactId,
+            int ringNumber,
             long target,
-            int far,
+            int farExchange,
             int width,
             RingOutcome outcome,
-            Span took,
+            Span elapsed,
             boolean answered,
-            SipLoadReport load) {}
+            SipLoadReport loadReport) {}
 }
--- a/src/main/java/martenslip/exchange/LaneTakeover.java
+++ b/src/main/java/martenslip/exchange/LaneTakeover.java
@@ -6,89 +6,106 @@
 import martenslip.sip.message.Response;
 
 /**
- * Goes on with what a lane's thread held that was replaced: legs, rings and answers are built again from the wills. A
- * step that may or may not have left is taken once more with the same bytes, which the far side takes for a repeat.
+ * Restores the contacts of a replaced lane thread: legs, rings and answers are rebuilt from the handover records. A
+ * message that may or may not have been sent is sent again with the same bytes, which the far side treats as a
+ * retransmission.
  */
 final class LaneTakeover {
     private final Contacts contacts;
-    private final DialogLayer calls;
-    private final HandoverStore estate;
+    private final DialogLayer dialogLayer;
+    private final HandoverStore handoverStore;
     private final EventLog log;
 
-    LaneTakeover(Contacts contacts, DialogLayer calls, HandoverStore estate, EventLog log) {
+    LaneTakeover(Contacts contacts, DialogLayer dialogLayer, HandoverStore handoverStore, EventLog log) {
         this.contacts = contacts;
-        this.calls = calls;
-        this.estate = estate;
+        this.dialogLayer = dialogLayer;
+        this.handoverStore = handoverStore;
         this.log = log;
     }
 
-    /** Before any other work of the lane's new thread; the decider is told of all that is open. */
+    /**
+     * Restores all contacts and reports the open ones to the decider; called before any other work of the new thread.
+     */
     void takeOver() {
-        for (HandoverRecord will : estate.wills()) {
+        for (HandoverRecord handoverRecord : handoverStore.records()) {
             try {
-                takeOver(will);
+                takeOver(handoverRecord);
             } catch (InvalidValueException e) {
                 log.warn(
-                        calls.timerWheel().now(),
+                        dialogLayer.timerWheel().now(),
                         "will-not-read",
                         "contact",
-                        will.contact().id(),
+                        handoverRecord.contact().id(),
                         "why",
                         e.getMessage());
             }
         }
-        contacts.tellHeld();
+        contacts.reportOpenContacts();
     }
 
-    private void takeOver(HandoverRecord will) throws InvalidValueException {
-        boolean stood = will.answer() != null && will.answer().isSuccess();
-        boolean quiet = stood && (will.confirmed() || will.bye() == HandoverRecord.PendingBye.RING);
-        UasCall caller = calls.takeOver(will.invite(), will.from(), will.tag(), quiet);
+    private void takeOver(HandoverRecord handoverRecord) throws InvalidValueException {
+        boolean established =
+                handoverRecord.answer() != null && handoverRecord.answer().isSuccess();
+        boolean settled = established
+                && (handoverRecord.answerAcknowledged()
+                        || handoverRecord.pendingBye() == HandoverRecord.PendingBye.RING);
+        UasCall caller = dialogLayer.takeOver(
+                handoverRecord.invite(), handoverRecord.callerHop(), handoverRecord.localTag(), settled);
         if (caller == null) {
             return;
         }
-        AcceptedContact taken = new AcceptedContact(will, caller);
-        caller.setListener(contacts.callerOf(taken));
-        if (will.out() != null) {
-            ring(taken, will.out());
+        AcceptedContact acceptedContact = new AcceptedContact(handoverRecord, caller);
+        caller.setListener(contacts.callerListener(acceptedContact));
+        if (handoverRecord.liveRing() != null) {
+            restoreRing(acceptedContact, handoverRecord.liveRing());
         }
-        contacts.takenOver(taken);
-        if (will.answer() != null) {
-            answer(taken, stood, quiet);
+        contacts.addTakenOverContact(acceptedContact);
+        if (handoverRecord.answer() != null) {
+            restoreAnswer(acceptedContact, established, settled);
         }
-        if (will.bye() == HandoverRecord.PendingBye.CALLER) {
+        if (handoverRecord.pendingBye() == HandoverRecord.PendingBye.CALLER) {
             caller.bye(null);
         }
     }
 
-    private void answer(AcceptedContact taken, boolean stood, boolean quiet) {
-        Response answer = taken.answer.copy();
-        if (stood && !quiet) {
-            taken.caller.accept(answer);
-        } else if (!stood && taken.sent) {
-            taken.caller.restoreRefused(answer);
-        } else if (!stood) {
-            taken.caller.refuse(answer);
-            taken.sent = true;
-            contacts.keep(taken);
+    private void restoreAnswer(AcceptedContact acceptedContact, boolean established, boolean settled) {
+        Response answer = acceptedContact.answer.copy();
+        if (established && !settled) {
+            acceptedContact.caller.accept(answer);
+        } else if (!established && acceptedContact.answerSent) {
+            acceptedContact.caller.restoreRefused(answer);
+        } else if (!established) {
+            acceptedContact.caller.refuse(answer);
+            acceptedContact.answerSent = true;
+            contacts.saveHandoverRecord(acceptedContact);
         }
     }
 
-    private void ring(AcceptedContact taken, HandoverRecord.InFlightRing out) throws InvalidValueException {
-        Ring ring = new Ring(out.number(), out.target(), out.far(), out.at(), out.until());
-        ring.invite = out.invite();
-        ring.hop = out.hop();
-        ring.okay = out.stood();
-        ring.stood = out.stood() != null;
-        taken.ring = ring;
-        ring.call = calls.takeOver(out.invite().copy(), out.hop(), out.stood(), contacts.answersTo(taken, ring));
-        if (taken.bye == HandoverRecord.PendingBye.RING) {
-            ring.told = true;
+    private void restoreRing(AcceptedContact acceptedContact, HandoverRecord.InFlightRing recordedRing)
+            throws InvalidValueException {
+        Ring ring = new Ring(
+                recordedRing.number(),
+                recordedRing.target(),
+                recordedRing.farExchange(),
+                recordedRing.startedAt(),
+                recordedRing.expiresAt());
+        ring.invite = recordedRing.invite();
+        ring.hop = recordedRing.hop();
+        ring.successResponse = recordedRing.successResponse();
+        ring.established = recordedRing.successResponse() != null;
+        acceptedContact.lastRing = ring;
+        ring.call = dialogLayer.takeOver(
+                recordedRing.invite().copy(),
+                recordedRing.hop(),
+                recordedRing.successResponse(),
+                contacts.ringListener(acceptedContact, ring));
+        if (acceptedContact.pendingBye == HandoverRecord.PendingBye.RING) {
+            ring.endReported = true;
             ring.call.bye(null);
-        } else if (taken.bye == HandoverRecord.PendingBye.CALLER) {
-            ring.told = true;
-        } else if (!ring.stood) {
-            contacts.watch(taken, ring);
+        } else if (acceptedContact.pendingBye == HandoverRecord.PendingBye.CALLER) {
+            ring.endReported = true;
+        } else if (!ring.established) {
+            contacts.startRingTimers(acceptedContact, ring);
         }
     }
 }
--- a/src/main/java/martenslip/exchange/NetworkMonitor.java
+++ b/src/main/java/martenslip/exchange/NetworkMonitor.java
@@ -26,270 +26,292 @@
 import martenslip.sip.transaction.ServerTransaction;
 
 /**
- * All that the exchange learns apart from contacts: the switch list, its groups' circuits, answers to probes and
- * notes of peers. It asks what the module orders and tells the module what comes.
+ * Obtains what the exchange needs to know apart from contacts: the switch list, the circuits of its groups, answers to
+ * probes and notes of peers. It sends the requests that the decider orders and reports what arrives.
  */
 final class NetworkMonitor {
-    /** Between two tries to subscribe: a service that refuses at once would else be asked without end. */
-    private static final Span AGAIN = Span.ofMillis(1000);
+    /**
+     * Time between two attempts to subscribe: a service that refuses at once would otherwise be asked without pause.
+     */
+    private static final Span RETRY_INTERVAL = Span.ofMillis(1000);
 
-    private static final int MOST_NOTE = 256;
+    private static final int MAX_NOTE_BYTES = 256;
 
-    private final ExchangeConfiguration site;
-    private final DialogLayer calls;
+    private final ExchangeConfiguration configuration;
+    private final DialogLayer dialogLayer;
     private final LaneReports reports;
-    private final SwitchStateCache known;
-    private final EventPackageCodec text;
-    private final SwitchListStore kept;
+    private final SwitchStateCache switchStateCache;
+    private final EventPackageCodec eventPackageCodec;
+    private final SwitchListStore switchListStore;
     private final EventLog log;
-    private final EventSubscriber list;
-    private final EventSubscriber circuits;
-    private long listVersion;
+    private final EventSubscriber switchListSubscriber;
+    private final EventSubscriber circuitsSubscriber;
+    private long switchListVersion;
     private long circuitsVersion;
-    private TimerWheel.Timer listAgain;
-    private TimerWheel.Timer circuitsAgain;
-    private Moment listAsked;
+    private TimerWheel.Timer switchListTimer;
+    private TimerWheel.Timer circuitsRetryTimer;
+    private Moment switchListSubscribedAt;
 
     NetworkMonitor(
-            ExchangeConfiguration site,
-            DialogLayer calls,
+            ExchangeConfiguration configuration,
+            DialogLayer dialogLayer,
             LaneReports reports,
-            EventPackageCodec text,
-            SwitchStateCache known,
-            SwitchListStore kept,
+            EventPackageCodec eventPackageCodec,
+            SwitchStateCache switchStateCache,
+            SwitchListStore switchListStore,
             EventLog log) {
-        this.site = site;
-        this.calls = calls;
+        this.configuration = configuration;
+        this.dialogLayer = dialogLayer;
         this.reports = reports;
-        this.text = text;
-        this.known = known;
-        this.kept = kept;
+        this.eventPackageCodec = eventPackageCodec;
+        this.switchStateCache = switchStateCache;
+        this.switchListStore = switchListStore;
         this.log = log;
-        list = new EventSubscriber(
-                calls,
-                site.switchListUri(),
-                site.switchListHop(),
+        switchListSubscriber = new EventSubscriber(
+                dialogLayer,
+                configuration.switchListUri(),
+                configuration.switchListHop(),
                 EventPackageCodec.SWITCHES_EVENT_PACKAGE,
                 EventPackageCodec.CONTENT_TYPE,
-                listener(this::listed, this::listFailed));
-        circuits = new EventSubscriber(
-                calls,
-                site.circuitsUri(),
-                site.circuitsHop(),
+                subscriptionListener(this::switchListReceived, this::switchListFailed));
+        circuitsSubscriber = new EventSubscriber(
+                dialogLayer,
+                configuration.circuitsUri(),
+                configuration.circuitsHop(),
                 EventPackageCodec.CIRCUITS_EVENT_PACKAGE,
                 EventPackageCodec.CONTENT_TYPE,
-                listener(this::circuitsTold, this::circuitsFailed));
+                subscriptionListener(this::circuitsReceived, this::circuitsFailed));
     }
 
+    /** Parses and handles the body of a notification. */
     private interface BodyHandler {
-        void take(byte[] body) throws InvalidFileException, InvalidValueException;
+        void handle(byte[] body) throws InvalidFileException, InvalidValueException;
     }
 
-    private EventSubscriber.Listener listener(BodyHandler told, java.util.function.Consumer<String> failed) {
+    private EventSubscriber.Listener subscriptionListener(
+            BodyHandler bodyHandler, java.util.function.Consumer<String> failureHandler) {
         return new EventSubscriber.Listener() {
             @Override
             public void notified(byte[] body) {
                 try {
-                    told.take(body);
+                    bodyHandler.handle(body);
                 } catch (InvalidFileException | InvalidValueException e) {
-                    log.warn(calls.timerWheel().now(), "notice-refused", "why", e.getMessage());
+                    log.warn(dialogLayer.timerWheel().now(), "notice-refused", "why", e.getMessage());
                 }
             }
 
             @Override
-            public void failed(String why) {
-                failed.accept(why);
+            public void failed(String reason) {
+                failureHandler.accept(reason);
             }
         };
     }
 
     /**
-     * Asks for the circuits of the own groups. At the process's start it begins with the list of the last run, which
-     * may be stale; a thread that takes over begins with what is known.
+     * Subscribes to the circuits of the own groups. At the start of the process the stored switch list of the last run,
+     * which may be stale, is reported first; a thread that takes over starts with the cached state.
      */
-    void start(boolean afresh) {
-        if (afresh) {
-            remembered();
+    void start(boolean atProcessStart) {
+        if (atProcessStart) {
+            loadStoredSwitchList();
         } else {
-            reports.listed(ListKind.FULL, known.lines());
-            reports.circuits(known.groups());
+            reports.switchListReceived(ListKind.FULL, switchStateCache.switches());
+            reports.groupStatesReceived(switchStateCache.groups());
         }
-        circuits.start();
+        circuitsSubscriber.start();
     }
 
-    private void remembered() {
+    private void loadStoredSwitchList() {
         try {
-            byte[] last = kept.read();
-            if (last != null) {
-                EventPackageCodec.SwitchList read = text.parseSwitchList(last);
-                known.lines(read.entries(), true);
-                reports.listed(ListKind.CACHED, read.entries());
+            byte[] storedBody = switchListStore.read();
+            if (storedBody != null) {
+                EventPackageCodec.SwitchList switchList = eventPackageCodec.parseSwitchList(storedBody);
+                switchStateCache.updateSwitches(switchList.entries(), true);
+                reports.switchListReceived(ListKind.CACHED, switchList.entries());
             }
         } catch (IOException | InvalidFileException | InvalidValueException e) {
-            log.warn(calls.timerWheel().now(), "kept-list-refused", "why", e.getMessage());
+            log.warn(dialogLayer.timerWheel().now(), "kept-list-refused", "why", e.getMessage());
         }
     }
 
-    /** Another decider wants to be told all. */
-    void anew() {
-        circuits.start();
+    /** Renews the subscription to circuits, so that a new decider gets the full state. */
+    void resubscribeCircuits() {
+        circuitsSubscriber.start();
     }
 
+    /** Ends both subscriptions. */
     void stop() {
-        list.stop();
-        circuits.stop();
+        switchListSubscriber.stop();
+        circuitsSubscriber.stop();
     }
 
-    void watchList(boolean on) {
-        if (!on) {
-            list.stop();
-        } else if (listAgain == null || !listAgain.isScheduled()) {
-            Moment now = calls.timerWheel().now();
-            Moment due = listAsked == null ? now : listAsked.plus(AGAIN);
-            listAgain = calls.timerWheel().scheduleAt(due.before(now) ? now : due, this::askList);
+    /**
+     * Starts or stops the subscription to the switch list; repeated starts are at least {@link #RETRY_INTERVAL} apart.
+     */
+    void watchSwitchList(boolean enabled) {
+        if (!enabled) {
+            switchListSubscriber.stop();
+        } else if (switchListTimer == null || !switchListTimer.isScheduled()) {
+            Moment now = dialogLayer.timerWheel().now();
+            Moment dueAt = switchListSubscribedAt == null ? now : switchListSubscribedAt.plus(RETRY_INTERVAL);
+            switchListTimer =
+                    dialogLayer.timerWheel().scheduleAt(dueAt.before(now) ? now : dueAt, this::subscribeSwitchList);
         }
     }
 
-    private void askList() {
-        listAsked = calls.timerWheel().now();
-        list.start();
+    /** Subscribes anew and records the time. */
+    private void subscribeSwitchList() {
+        switchListSubscribedAt = dialogLayer.timerWheel().now();
+        switchListSubscriber.start();
     }
 
-    private void listed(byte[] body) throws InvalidFileException, InvalidValueException {
-        EventPackageCodec.SwitchList read = text.parseSwitchList(body);
-        if (!read.full() && read.version() <= listVersion) {
-            log.info(calls.timerWheel().now(), "list-older", "had", listVersion, "got", read.version());
+    private void switchListReceived(byte[] body) throws InvalidFileException, InvalidValueException {
+        EventPackageCodec.SwitchList switchList = eventPackageCodec.parseSwitchList(body);
+        if (!switchList.full() && switchList.version() <= switchListVersion) {
+            log.info(
+                    dialogLayer.timerWheel().now(),
+                    "list-older",
+                    "had",
+                    switchListVersion,
+                    "got",
+                    switchList.version());
             return;
         }
-        if (!read.full() && read.version() != listVersion + 1) {
-            // A notice was lost. What this one says is the newest all the same, and a drain may not wait.
-            log.info(calls.timerWheel().now(), "list-gap", "had", listVersion, "got", read.version());
-            list.refresh();
+        if (!switchList.full() && switchList.version() != switchListVersion + 1) {
+            // A notification was lost. This one is still the newest and may announce a drain, so it is reported at
+            // once.
+            log.info(dialogLayer.timerWheel().now(), "list-gap", "had", switchListVersion, "got", switchList.version());
+            switchListSubscriber.refresh();
         }
-        listVersion = read.version();
-        known.lines(read.entries(), read.full());
-        reports.listed(read.full() ? ListKind.FULL : ListKind.CHANGES, read.entries());
-        kept.keep(text.write(new EventPackageCodec.SwitchList(listVersion, true, known.lines())));
+        switchListVersion = switchList.version();
+        switchStateCache.updateSwitches(switchList.entries(), switchList.full());
+        reports.switchListReceived(switchList.full() ? ListKind.FULL : ListKind.CHANGES, switchList.entries());
+        switchListStore.save(eventPackageCodec.write(
+                new EventPackageCodec.SwitchList(switchListVersion, true, switchStateCache.switches())));
     }
 
-    private void listFailed(String why) {
-        log.warn(calls.timerWheel().now(), "list-failed", "why", why);
-        reports.listed(ListKind.FAILED, List.of());
+    private void switchListFailed(String reason) {
+        log.warn(dialogLayer.timerWheel().now(), "list-failed", "why", reason);
+        reports.switchListReceived(ListKind.FAILED, List.of());
     }
 
-    private void circuitsTold(byte[] body) throws InvalidFileException, InvalidValueException {
-        EventPackageCodec.CircuitList groups = text.parseCircuitList(body);
-        if (!groups.full() && groups.version() <= circuitsVersion) {
+    private void circuitsReceived(byte[] body) throws InvalidFileException, InvalidValueException {
+        EventPackageCodec.CircuitList circuitList = eventPackageCodec.parseCircuitList(body);
+        if (!circuitList.full() && circuitList.version() <= circuitsVersion) {
             return;
         }
-        if (!groups.full() && groups.version() != circuitsVersion + 1) {
-            circuits.refresh();
+        if (!circuitList.full() && circuitList.version() != circuitsVersion + 1) {
+            circuitsSubscriber.refresh();
         }
-        circuitsVersion = groups.version();
-        known.groups(groups.groups());
-        reports.circuits(groups.groups());
+        circuitsVersion = circuitList.version();
+        switchStateCache.updateGroups(circuitList.groups());
+        reports.groupStatesReceived(circuitList.groups());
     }
 
-    private void circuitsFailed(String why) {
-        log.warn(calls.timerWheel().now(), "circuits-failed", "why", why);
-        if (circuitsAgain == null || !circuitsAgain.isScheduled()) {
-            circuitsAgain = calls.timerWheel().scheduleAfter(AGAIN, circuits::start);
+    private void circuitsFailed(String reason) {
+        log.warn(dialogLayer.timerWheel().now(), "circuits-failed", "why", reason);
+        if (circuitsRetryTimer == null || !circuitsRetryTimer.isScheduled()) {
+            circuitsRetryTimer = dialogLayer.timerWheel().scheduleAfter(RETRY_INTERVAL, circuitsSubscriber::start);
         }
     }
 
-    void probe(ListedSwitch neighbour) {
-        Request options = outside("OPTIONS", neighbour.uri().toString());
-        long target = neighbour.entry().id();
-        Moment began = calls.timerWheel().now();
-        calls.transactionLayer().send(options, neighbour.hop(), new ClientTransactionUser() {
+    /** Sends OPTIONS to a switch and reports the result with the load in the response. */
+    void probe(ListedSwitch listedSwitch) {
+        Request options = outOfDialogRequest("OPTIONS", listedSwitch.uri().toString());
+        long target = listedSwitch.entry().id();
+        Moment sentAt = dialogLayer.timerWheel().now();
+        dialogLayer.transactionLayer().send(options, listedSwitch.hop(), new ClientTransactionUser() {
             @Override
             public void responseReceived(ClientTransaction transaction, Response response) {
                 if (!response.isProvisional()) {
-                    Span took = calls.timerWheel().now().since(began);
-                    reports.probed(target, response.isSuccess(), took, SipLoadReport.of(response));
+                    Span elapsed = dialogLayer.timerWheel().now().since(sentAt);
+                    reports.probeCompleted(target, response.isSuccess(), elapsed, SipLoadReport.of(response));
                 }
             }
 
             @Override
-            public void failed(ClientTransaction transaction, RequestFailure why) {
-                reports.probed(target, false, calls.timerWheel().now().since(began), null);
+            public void failed(ClientTransaction transaction, RequestFailure failure) {
+                reports.probeCompleted(
+                        target, false, dialogLayer.timerWheel().now().since(sentAt), null);
             }
         });
     }
 
-    void note(int peer, byte[] note) {
-        List<ExchangeConfiguration.Peer> to = new ArrayList<>();
-        site.peers().forEach((number, one) -> {
-            if (peer == Orders.ALL_PEERS || peer == number) {
-                to.add(one);
+    /** Sends a note to one peer, or to all with {@link Orders#ALL_PEERS}. */
+    void sendNote(int peerNumber, byte[] note) {
+        List<ExchangeConfiguration.Peer> receivers = new ArrayList<>();
+        configuration.peers().forEach((number, receiver) -> {
+            if (peerNumber == Orders.ALL_PEERS || peerNumber == number) {
+                receivers.add(receiver);
             }
         });
-        for (ExchangeConfiguration.Peer one : to) {
-            Request message = outside("MESSAGE", one.uri());
+        for (ExchangeConfiguration.Peer receiver : receivers) {
+            Request message = outOfDialogRequest("MESSAGE", receiver.uri());
             message.body("application/octet-stream", note);
-            calls.transactionLayer().send(message, one.hop(), LOSSY);
+            dialogLayer.transactionLayer().send(message, receiver.hop(), IGNORE_OUTCOME);
         }
     }
 
-    /** A note may be lost; the module counts on none. */
-    private static final ClientTransactionUser LOSSY = new ClientTransactionUser() {
+    /** Notes may be lost: the controller relies on none. */
+    private static final ClientTransactionUser IGNORE_OUTCOME = new ClientTransactionUser() {
         @Override
         public void responseReceived(ClientTransaction transaction, Response response) {
-            // Nothing hangs on it.
+            // Nothing depends on the response.
         }
 
         @Override
-        public void failed(ClientTransaction transaction, RequestFailure why) {
-            // As above.
+        public void failed(ClientTransaction transaction, RequestFailure failure) {
+            // Nothing depends on the delivery.
         }
     };
 
-    private Request outside(String method, String uri) {
+    private Request outOfDialogRequest(String method, String uri) {
         Headers headers = new Headers();
         headers.add("Max-Forwards", "70");
         headers.add(
                 "From",
-                "<sip:exchange-" + site.number() + "@" + "martenslip.invalid>;tag="
-                        + calls.idGenerator().nextTag());
-        headers.add("To", "<" + uri + ">").add("Call-ID", calls.idGenerator().nextCallId("x" + site.number()));
+                "<sip:exchange-" + configuration.number() + "@" + "martenslip.invalid>;tag="
+                        + dialogLayer.idGenerator().nextTag());
+        headers.add("To", "<" + uri + ">")
+                .add("Call-ID", dialogLayer.idGenerator().nextCallId("x" + configuration.number()));
         headers.add("CSeq", "1 " + method);
         return new Request(method, uri, headers);
     }
 
-    /** Requests outside of calls: notices, notes of peers, probes of this exchange. */
-    void requested(ServerTransaction transaction) throws InvalidValueException {
+    /** Handles requests outside of dialogs: notifications, notes of peers and probes of this exchange. */
+    void requestReceived(ServerTransaction transaction) throws InvalidValueException {
         Request request = transaction.request();
         if (request.hasMethod("NOTIFY")) {
-            if (!list.handleNotify(transaction) && !circuits.handleNotify(transaction)) {
+            if (!switchListSubscriber.handleNotify(transaction) && !circuitsSubscriber.handleNotify(transaction)) {
                 transaction.respond(request.createResponse(
-                        481, "No such subscription", calls.idGenerator().nextTag()));
+                        481, "No such subscription", dialogLayer.idGenerator().nextTag()));
             }
         } else if (request.hasMethod("MESSAGE")) {
-            noteFrom(transaction, request);
+            peerNoteReceived(transaction, request);
         } else {
             transaction.respond(
-                    request.createResponse(200, "OK", calls.idGenerator().nextTag()));
+                    request.createResponse(200, "OK", dialogLayer.idGenerator().nextTag()));
         }
     }
 
-    private void noteFrom(ServerTransaction transaction, Request request) throws InvalidValueException {
+    private void peerNoteReceived(ServerTransaction transaction, Request request) throws InvalidValueException {
         String user = martenslip.sip.message.SipUri.parse(request.from().uri()).unescapedUser();
-        int peer = user != null && user.startsWith("exchange-") && Digits.isDigits(user.substring(9), 5)
+        int peerNumber = user != null && user.startsWith("exchange-") && Digits.isDigits(user.substring(9), 5)
                 ? Integer.parseInt(user.substring(9))
                 : -1;
-        if (!site.peers().containsKey(peer)) {
+        if (!configuration.peers().containsKey(peerNumber)) {
             transaction.respond(request.createResponse(
-                    403, "Not a peer", calls.idGenerator().nextTag()));
-        } else if (request.body().length > MOST_NOTE) {
+                    403, "Not a peer", dialogLayer.idGenerator().nextTag()));
+        } else if (request.body().length > MAX_NOTE_BYTES) {
             transaction.respond(request.createResponse(
                     413,
-                    "Note over " + MOST_NOTE + " bytes",
-                    calls.idGenerator().nextTag()));
+                    "Note over " + MAX_NOTE_BYTES + " bytes",
+                    dialogLayer.idGenerator().nextTag()));
         } else {
             byte[] note = request.body();
             transaction.respond(
-                    request.createResponse(200, "OK", calls.idGenerator().nextTag()));
-            reports.noted(peer, note);
+                    request.createResponse(200, "OK", dialogLayer.idGenerator().nextTag()));
+            reports.peerNoteReceived(peerNumber, note);
         }
     }
 }
--- a/src/main/java/martenslip/exchange/PendingEvents.java
+++ b/src/main/java/martenslip/exchange/PendingEvents.java
@@ -5,28 +5,30 @@
 import martenslip.control.Moment;
 
 /**
- * What has happened and the module has not heard yet. The module is told one at a time and never while it is amid
- * another, as an order that fails at once would else come back to it out of turn. Bounded by what is open.
+ * Events that the controller has not received yet. They are delivered one at a time and never while the controller
+ * handles another one: the failure of an order that fails at once would otherwise reach it out of order. Bounded by the
+ * number of open contacts.
  */
 final class PendingEvents {
-    private final ArrayDeque<Consumer<Moment>> waiting = new ArrayDeque<>();
-    private boolean telling;
+    private final ArrayDeque<Consumer<Moment>> events = new ArrayDeque<>();
+    private boolean delivering;
 
-    void add(Consumer<Moment> one) {
-        waiting.add(one);
+    void add(Consumer<Moment> event) {
+        events.add(event);
     }
 
-    void tellAll(Moment now) {
-        if (telling) {
+    /** Delivers all events in the order of their arrival; does nothing if called during a delivery. */
+    void deliverAll(Moment now) {
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         try {
-            while (!waiting.isEmpty()) {
-                waiting.poll().accept(now);
+            while (!events.isEmpty()) {
+                events.poll().accept(now);
             }
         } finally {
-            telling = false;
+            delivering = false;
         }
     }
 }
--- a/src/main/java/martenslip/exchange/Ring.java
+++ b/src/main/java/martenslip/exchange/Ring.java
@@ -7,44 +7,50 @@
 import martenslip.sip.message.Response;
 import martenslip.sip.transport.Hop;
 
-/** A ring of a contact toward one switch. {@code told} says that the decider knows its outcome. */
+/**
+ * A ring of a contact toward one switch: {@code target} is the id of the switch, {@code farExchange} the number of its
+ * exchange or -1.
+ */
 final class Ring {
     final int number;
     final long target;
-    final int far;
-    final Moment at;
-    final Moment until;
+    final int farExchange;
+    final Moment startedAt;
+    final Moment expiresAt;
     UacCall call;
-    TimerWheel.Timer limit;
-    TimerWheel.Timer silence;
-    boolean stood;
-    boolean told;
-    /** The decider knows that the switch has it. */
-    boolean heard;
-    /** As it left, and its 2xx: for the contact's will. */
+    TimerWheel.Timer timeLimitTimer;
+    TimerWheel.Timer silenceTimer;
+    boolean established;
+    /** The outcome was reported to the decider. Also set on a restored ring that ended before the takeover. */
+    boolean endReported;
+    /** The first response was reported to the decider. */
+    boolean firstResponseReported;
+    /** The INVITE as sent; recorded for a handover, as are the hop and the 2xx response. */
     Request invite;
 
     Hop hop;
-    Response okay;
+    Response successResponse;
 
-    Ring(int number, long target, int far, Moment at, Moment until) {
+    Ring(int number, long target, int farExchange, Moment startedAt, Moment expiresAt) {
         this.number = number;
         this.target = target;
-        this.far = far;
-        this.at = at;
-        this.until = until;
+        this.farExchange = farExchange;
+        this.startedAt = startedAt;
+        this.expiresAt = expiresAt;
     }
 
     void stopTimers() {
-        if (limit != null) {
-            limit.cancel();
-            silence.cancel();
+        if (timeLimitTimer != null) {
+            timeLimitTimer.cancel();
+            silenceTimer.cancel();
         }
     }
 
-    HandoverRecord.InFlightRing out() {
+    /** The state of the ring for a handover, or null if it was not sent. */
+    HandoverRecord.InFlightRing toInFlightRing() {
         return invite == null
                 ? null
-                : new HandoverRecord.InFlightRing(number, target, far, at, until, invite, hop, okay);
+                : new HandoverRecord.InFlightRing(
+                        number, target, farExchange, startedAt, expiresAt, invite, hop, successResponse);
     }
 }
--- a/src/main/java/martenslip/exchange/RingInviteBuilder.java
+++ b/src/main/java/martenslip/exchange/RingInviteBuilder.java
@@ -11,54 +11,61 @@
 import martenslip.sip.message.Response;
 import martenslip.sip.message.SipUri;
 
-/** Writes the INVITE of a ring, and what its responses bring for the caller (docs/sip-mapping.md). */
+/** Builds the INVITE of a ring, and the responses to the caller from those to the ring; see docs/sip-mapping.md. */
 final class RingInviteBuilder {
-    private final ExchangeConfiguration site;
-    private final DialogLayer calls;
+    private final ExchangeConfiguration configuration;
+    private final DialogLayer dialogLayer;
 
-    RingInviteBuilder(ExchangeConfiguration site, DialogLayer calls) {
-        this.site = site;
-        this.calls = calls;
+    RingInviteBuilder(ExchangeConfiguration configuration, DialogLayer dialogLayer) {
+        this.configuration = configuration;
+        this.dialogLayer = dialogLayer;
     }
 
-    Request build(AcceptedContact taken, ListedSwitch to, ExchangeConfiguration.Group group, Span limit) {
-        Request caller = taken.caller.invite();
-        String trunk = group == null ? "" : ";tgrp=" + group.name() + ";trunk-context=" + site.trunkContext();
-        HostPort at = to.uri().hostPort();
-        SipUri uri = SipUri.of(taken.number + trunk, at.host(), at.port());
-        if (to.hop().isReliable()) {
+    /** The INVITE to a switch; {@code group} is null without a trunk group. */
+    Request build(
+            AcceptedContact acceptedContact,
+            ListedSwitch listedSwitch,
+            ExchangeConfiguration.Group group,
+            Span timeLimit) {
+        Request callerInvite = acceptedContact.caller.invite();
+        String trunkParameters =
+                group == null ? "" : ";tgrp=" + group.name() + ";trunk-context=" + configuration.trunkContext();
+        HostPort hostPort = listedSwitch.uri().hostPort();
+        SipUri uri = SipUri.of(acceptedContact.calledNumber + trunkParameters, hostPort.host(), hostPort.port());
+        if (listedSwitch.hop().isReliable()) {
             uri = uri.with("transport", "tcp");
         }
-        Headers in = caller.headers();
+        Headers callerHeaders = callerInvite.headers();
         Headers headers = new Headers();
-        headers.add("Max-Forwards", forwards(in.first("Max-Forwards")));
+        headers.add("Max-Forwards", decrementedMaxForwards(callerHeaders.first("Max-Forwards")));
         headers.add(
                 "From",
-                "<sip:exchange-" + site.number() + "@" + at.host() + ">;tag="
-                        + calls.idGenerator().nextTag());
-        headers.add("To", "<sip:" + taken.number + "@" + at.host() + ">");
-        headers.add("Call-ID", calls.idGenerator().nextCallId("x" + site.number()))
+                "<sip:exchange-" + configuration.number() + "@" + hostPort.host() + ">;tag="
+                        + dialogLayer.idGenerator().nextTag());
+        headers.add("To", "<sip:" + acceptedContact.calledNumber + "@" + hostPort.host() + ">");
+        headers.add("Call-ID", dialogLayer.idGenerator().nextCallId("x" + configuration.number()))
                 .add("CSeq", "1 INVITE");
-        String contact = calls.contactHeader(to.hop().protocol(), taken.number + trunk);
-        headers.add("Contact", contact);
-        headers.add("Expires", Math.max(1, (limit.ns() + 999_999_999) / 1_000_000_000));
-        headers.add(ExtensionHeaders.PATIENCE, limit.ns() / 1_000_000);
+        String contactHeader = dialogLayer.contactHeader(
+                listedSwitch.hop().protocol(), acceptedContact.calledNumber + trunkParameters);
+        headers.add("Contact", contactHeader);
+        headers.add("Expires", Math.max(1, (timeLimit.ns() + 999_999_999) / 1_000_000_000));
+        headers.add(ExtensionHeaders.PATIENCE, timeLimit.ns() / 1_000_000);
         for (String name : new String[] {"Session-ID", "Resource-Priority", ExtensionHeaders.RETRY_KIND}) {
-            headers.copyFrom(in, name);
+            headers.copyFrom(callerHeaders, name);
         }
         Request invite = new Request("INVITE", uri.toString(), headers);
-        invite.body(in.first("Content-Type"), caller.body());
+        invite.body(callerHeaders.first("Content-Type"), callerInvite.body());
         return invite;
     }
 
-    private static int forwards(String stated) {
-        return stated == null ? 70 : Math.max(0, Integer.parseInt(stated) - 1);
+    private static int decrementedMaxForwards(String maxForwards) {
+        return maxForwards == null ? 70 : Math.max(0, Integer.parseInt(maxForwards) - 1);
     }
 
-    /** The same status for the caller's leg, with the body. */
-    Response passedOn(AcceptedContact taken, Response response) {
-        Response passed = taken.caller.response(response.status(), response.reason());
-        passed.body(response.headers().first("Content-Type"), response.body());
-        return passed;
+    /** A response with the same status, reason phrase and body for the caller leg. */
+    Response toCallerResponse(AcceptedContact acceptedContact, Response response) {
+        Response callerResponse = acceptedContact.caller.response(response.status(), response.reason());
+        callerResponse.body(response.headers().first("Content-Type"), response.body());
+        return callerResponse;
     }
 }
--- a/src/main/java/martenslip/exchange/StallInjector.java
+++ b/src/main/java/martenslip/exchange/StallInjector.java
@@ -6,38 +6,40 @@
 import martenslip.control.Span;
 
 /**
- * A stall that a test or a play plants in a thread: between two pieces of work, or amid a send, after its decision
- * and before its last step. Any thread may plant; the thread it is meant for stalls, once.
+ * Injects a stall into a thread for a test or a scenario: between two tasks, or during a send, after the decision to
+ * send and before the fence is checked. Any thread may request the stall; the target thread stalls once.
  */
 final class StallInjector {
-    private record StallDuringSend(Span span, byte[] start) {}
+    private record StallDuringSend(Span duration, byte[] messagePrefix) {}
 
-    private volatile StallDuringSend amid;
+    private volatile StallDuringSend pendingStall;
 
-    /** Amid the next send of a message that begins so; an empty text is any. */
-    void plant(Span span, String start) {
-        amid = new StallDuringSend(span, start.getBytes(StandardCharsets.US_ASCII));
+    /** Stalls the next send of a message that starts with this prefix; an empty prefix matches any message. */
+    void stallNextSend(Span duration, String messagePrefix) {
+        pendingStall = new StallDuringSend(duration, messagePrefix.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Called amid each send. */
-    void sending(byte[] bytes) {
-        StallDuringSend now = amid;
-        if (now != null
-                && bytes.length >= now.start.length
-                && Arrays.equals(bytes, 0, now.start.length, now.start, 0, now.start.length)) {
-            amid = null;
-            stall(now.span);
+    /** Called by the lane during each send. */
+    void beforeSend(byte[] bytes) {
+        StallDuringSend stall = pendingStall;
+        if (stall != null
+                && bytes.length >= stall.messagePrefix.length
+                && Arrays.equals(
+                        bytes, 0, stall.messagePrefix.length, stall.messagePrefix, 0, stall.messagePrefix.length)) {
+            pendingStall = null;
+            stall(stall.duration);
         }
     }
 
-    static void stall(Span span) {
-        long end = System.nanoTime() + span.ns();
+    /** Blocks the calling thread for the whole duration, also if it is interrupted. */
+    static void stall(Span duration) {
+        long deadlineNanos = System.nanoTime() + duration.ns();
         boolean interrupted = false;
-        while (System.nanoTime() < end) {
+        while (System.nanoTime() < deadlineNanos) {
             try {
-                TimeUnit.NANOSECONDS.sleep(end - System.nanoTime());
+                TimeUnit.NANOSECONDS.sleep(deadlineNanos - System.nanoTime());
             } catch (InterruptedException e) {
-                // A thread that hangs does not listen.
+                // A stalled thread ignores interrupts.
                 interrupted = true;
             }
         }
--- a/src/main/java/martenslip/exchange/SwitchListStore.java
+++ b/src/main/java/martenslip/exchange/SwitchListStore.java
@@ -9,32 +9,32 @@
 import java.util.function.Consumer;
 
 /**
- * The last whole switch list on disk, for a restart. A thread of its own writes, so a slow disk holds nothing up;
- * only the newest list waits for it. A crash leaves the old file or the new one, never a part.
+ * Keeps the last full switch list on disk for a restart. A thread of its own writes, so a slow disk delays nothing;
+ * only the newest list waits to be written. A crash leaves the old file or the new one, never a part.
  */
 final class SwitchListStore implements AutoCloseable {
-    /** The 4,096 lines that the schema allows take a quarter of this. */
-    static final int MOST_BYTES = 4 << 20;
+    /** The 4,096 entries that the schema allows take a quarter of this. */
+    static final int MAX_FILE_BYTES = 4 << 20;
 
     private final Path file;
-    private final Consumer<String> trouble;
-    private final Thread thread;
-    private byte[] next;
+    private final Consumer<String> warningHandler;
+    private final Thread writerThread;
+    private byte[] pendingList;
     private boolean closing;
 
-    SwitchListStore(Path file, Consumer<String> trouble) {
+    SwitchListStore(Path file, Consumer<String> warningHandler) {
         this.file = file;
-        this.trouble = trouble;
-        thread = new Thread(null, this::work, "kept-list", 256 * 1024);
-        thread.setDaemon(true);
-        thread.start();
+        this.warningHandler = warningHandler;
+        writerThread = new Thread(null, this::writePendingLists, "kept-list", 256 * 1024);
+        writerThread.setDaemon(true);
+        writerThread.start();
     }
 
-    /** What was kept, or null where there is nothing yet. */
+    /** The stored list, or null if there is no file yet. Throws if the file is too large or cannot be read. */
     byte[] read() throws IOException {
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new IOException("over " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new IOException("file is larger than " + MAX_FILE_BYTES + " bytes");
             }
             return Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
@@ -42,43 +42,44 @@
         }
     }
 
-    synchronized void keep(byte[] list) {
-        next = list;
+    /** Queues a list for writing in place of one that is still waiting. */
+    synchronized void save(byte[] switchList) {
+        pendingList = switchList;
         notifyAll();
     }
 
-    private void work() {
+    private void writePendingLists() {
         try {
-            for (byte[] list = take(); list != null; list = take()) {
-                write(list);
+            for (byte[] switchList = takePendingList(); switchList != null; switchList = takePendingList()) {
+                write(switchList);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private synchronized byte[] take() throws InterruptedException {
-        while (next == null && !closing) {
+    private synchronized byte[] takePendingList() throws InterruptedException {
+        while (pendingList == null && !closing) {
             wait();
         }
-        byte[] taken = next;
-        next = null;
-        return taken;
+        byte[] switchList = pendingList;
+        pendingList = null;
+        return switchList;
     }
 
-    private void write(byte[] list) {
+    private void write(byte[] switchList) {
         try {
             Files.createDirectories(file.toAbsolutePath().getParent());
-            Path fresh = file.resolveSibling(file.getFileName() + ".new");
-            Files.write(fresh, list);
+            Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
+            Files.write(temporaryFile, switchList);
             try {
-                Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+                Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE);
             } catch (AtomicMoveNotSupportedException e) {
-                Files.move(fresh, file, StandardCopyOption.REPLACE_EXISTING);
+                Files.move(temporaryFile, file, StandardCopyOption.REPLACE_EXISTING);
             }
         } catch (IOException | RuntimeException e) {
-            // Whatever it was: the thread goes on, or no later list would be kept and nobody told.
-            trouble.accept("switch list not kept in " + file + ": " + e);
+            // The thread goes on after any failure: otherwise no later list would be saved, and without a report.
+            warningHandler.accept("switch list not saved to " + file + ": " + e);
         }
     }
 
@@ -88,6 +89,6 @@
             closing = true;
             notifyAll();
         }
-        thread.join(2_000);
+        writerThread.join(2_000);
     }
 }
--- a/src/main/java/martenslip/exchange/SwitchRegistry.java
+++ b/src/main/java/martenslip/exchange/SwitchRegistry.java
@@ -10,85 +10,99 @@
 import martenslip.signaling.ListedSwitch;
 
 /**
- * What is known of switches and of the circuits of the own groups: state, no judgement. Between two notices of a
- * group its free count goes on with the rings of this exchange.
+ * The known switches and the circuits of the trunk groups of this exchange. Holds state and decides nothing. Between
+ * two notifications of a group its free count is adjusted by the rings of this exchange.
  */
 final class SwitchRegistry {
+    /** Circuits of one trunk group. */
     static final class GroupCircuits {
-        final ExchangeConfiguration.Group group;
-        /** Under none where more is under way than there was: rings that come back then must not seem to free any. */
+        final ExchangeConfiguration.Group configuration;
+        /**
+         * Negative if the rings in flight take more circuits than were free: the end of such a ring must not appear to
+         * free circuits.
+         */
         int free;
 
         int total;
+        /** True once the group has been reported. */
         boolean known;
 
-        int spare() {
+        /** Free circuits, at least 0. */
+        int availableCircuits() {
             return Math.max(0, free);
         }
 
-        GroupCircuits(ExchangeConfiguration.Group group) {
-            this.group = group;
+        GroupCircuits(ExchangeConfiguration.Group configuration) {
+            this.configuration = configuration;
         }
     }
 
-    private final Map<Long, ListedSwitch> neighbours = new LinkedHashMap<>();
-    private final Map<Integer, GroupCircuits> byFar = new HashMap<>();
-    private final Map<String, GroupCircuits> byName = new HashMap<>();
+    private final Map<Long, ListedSwitch> switchesById = new LinkedHashMap<>();
+    private final Map<Integer, GroupCircuits> groupsByFarExchange = new HashMap<>();
+    private final Map<String, GroupCircuits> groupsByName = new HashMap<>();
 
-    SwitchRegistry(ExchangeConfiguration site) {
-        for (ExchangeConfiguration.Group group : site.groups().values()) {
+    SwitchRegistry(ExchangeConfiguration configuration) {
+        for (ExchangeConfiguration.Group group : configuration.groups().values()) {
             GroupCircuits circuits = new GroupCircuits(group);
-            byFar.put(group.farExchange(), circuits);
-            byName.put(group.name(), circuits);
+            groupsByFarExchange.put(group.farExchange(), circuits);
+            groupsByName.put(group.name(), circuits);
         }
     }
 
-    ListedSwitch neighbour(long id) {
-        return neighbours.get(id);
+    /** The switch with this id, or null. */
+    ListedSwitch switchById(long switchId) {
+        return switchesById.get(switchId);
     }
 
-    GroupCircuits toward(int far) {
-        return byFar.get(far);
+    /** The trunk group toward this exchange, or null. */
+    GroupCircuits groupToward(int farExchange) {
+        return groupsByFarExchange.get(farExchange);
     }
 
-    List<ListedSwitch> all() {
-        return List.copyOf(neighbours.values());
+    List<ListedSwitch> switches() {
+        return List.copyOf(switchesById.values());
     }
 
-    /** Switches that bear the number and are not gone: two while one machine replaces another. */
-    List<ListedSwitch> bearing(int number) {
-        return neighbours.values().stream()
-                .filter(one -> one.entry().number() == number && one.entry().state() != SwitchEntry.State.GONE)
+    /** Switches with this exchange number that are not gone: two while one machine replaces another. */
+    List<ListedSwitch> switchesNotGone(int exchangeNumber) {
+        return switchesById.values().stream()
+                .filter(listedSwitch -> listedSwitch.entry().number() == exchangeNumber
+                        && listedSwitch.entry().state() != SwitchEntry.State.GONE)
                 .toList();
     }
 
-    void listed(List<ListedSwitch> lines, boolean whole) {
-        if (whole) {
-            neighbours.clear();
+    /** Replaces all switches if the list is full, else only those of the entries. */
+    void updateSwitches(List<ListedSwitch> entries, boolean full) {
+        if (full) {
+            switchesById.clear();
         }
-        lines.forEach(one -> neighbours.put(one.entry().id(), one));
+        entries.forEach(listedSwitch -> switchesById.put(listedSwitch.entry().id(), listedSwitch));
     }
 
-    /** The group that was told of, or null where it is none of this exchange. */
-    GroupCircuits told(EventPackageCodec.GroupState state) {
-        GroupCircuits circuits = byName.get(state.name());
+    /**
+     * Takes over the reported state of a group and returns the group, or null if it does not belong to this exchange.
+     */
+    GroupCircuits updateGroup(EventPackageCodec.GroupState groupState) {
+        GroupCircuits circuits = groupsByName.get(groupState.name());
         if (circuits != null) {
-            circuits.free = state.free();
-            circuits.total = state.total();
+            circuits.free = groupState.free();
+            circuits.total = groupState.total();
             circuits.known = true;
         }
         return circuits;
     }
 
-    void seized(int far, int width) {
-        GroupCircuits circuits = byFar.get(far);
+    /** Counts circuits as taken by a ring toward an exchange. */
+    void seizeCircuits(int farExchange, int width) {
+        GroupCircuits circuits = groupsByFarExchange.get(farExchange);
         if (circuits != null) {
             circuits.free -= width;
         }
     }
 
-    void freed(int far, int width) {
-        GroupCircuits circuits = byFar.get(far);
+    /** Counts circuits as free after the end of a ring, at most the total of the group. */
+    void releaseCircuits(int farExchange, int width) {
+        GroupCircuits circuits = groupsByFarExchange.get(farExchange);
         if (circuits != null) {
             circuits.free = Math.min(circuits.total, circuits.free + width);
         }
--- a/src/main/java/martenslip/exchange/SwitchStateCache.java
+++ b/src/main/java/martenslip/exchange/SwitchStateCache.java
@@ -7,29 +7,30 @@
 import martenslip.signaling.ListedSwitch;
 
 /**
- * The switches and groups as last told, for whichever thread takes the subscriptions over: it begins with these while
- * its own first notices are on their way. The first lane's thread writes; any thread reads.
+ * The last reported state of switches and groups, for the thread that takes over the subscriptions: it starts with this
+ * state until its own first notifications arrive. The thread of the first lane writes; any thread reads.
  */
 final class SwitchStateCache {
-    private final Map<Long, ListedSwitch> lines = new LinkedHashMap<>();
-    private final Map<String, EventPackageCodec.GroupState> groups = new LinkedHashMap<>();
+    private final Map<Long, ListedSwitch> switchesById = new LinkedHashMap<>();
+    private final Map<String, EventPackageCodec.GroupState> groupsByName = new LinkedHashMap<>();
 
-    synchronized void lines(List<ListedSwitch> told, boolean whole) {
-        if (whole) {
-            lines.clear();
+    /** Replaces all switches if the list is full, else only those of the entries. */
+    synchronized void updateSwitches(List<ListedSwitch> entries, boolean full) {
+        if (full) {
+            switchesById.clear();
         }
-        told.forEach(one -> lines.put(one.entry().id(), one));
+        entries.forEach(listedSwitch -> switchesById.put(listedSwitch.entry().id(), listedSwitch));
     }
 
-    synchronized List<ListedSwitch> lines() {
-        return List.copyOf(lines.values());
+    synchronized List<ListedSwitch> switches() {
+        return List.copyOf(switchesById.values());
     }
 
-    synchronized void groups(List<EventPackageCodec.GroupState> told) {
-        told.forEach(one -> groups.put(one.name(), one));
+    synchronized void updateGroups(List<EventPackageCodec.GroupState> groupStates) {
+        groupStates.forEach(groupState -> groupsByName.put(groupState.name(), groupState));
     }
 
     synchronized List<EventPackageCodec.GroupState> groups() {
-        return List.copyOf(groups.values());
+        return List.copyOf(groupsByName.values());
     }
 }
