--- a/src/main/java/martenslip/exchange/ThreadSupervisor.java
+++ b/src/main/java/martenslip/exchange/ThreadSupervisor.java
@@ -14,181 +14,199 @@
 import martenslip.watchdog.Watchdog;
 
 /**
- * The threads of an exchange: its lanes, the decider (on the only lane's thread where there is one, else on its own),
- * and the look-out that replaces one that stalled. What a replaced thread still does reaches nobody: its sends,
- * reports and orders each pass its fence last.
+ * Owns the threads of an exchange: the lanes, the decider (on the lane thread if there is only one lane, else on its
+ * own) and the watchdog that replaces a stalled one. A replaced thread that wakes up has no effect: its messages,
+ * reports and commands all pass its fence as the last step.
  */
 final class ThreadSupervisor implements AutoCloseable {
-    private static final int ROOM = 4 * InboundDispatcher.MOST;
+    private static final int INBOX_CAPACITY = 4 * InboundDispatcher.MAX_QUEUED_ARRIVALS;
 
-    /** For a lane; an order bears the count of the decider that gave it, anything else -1. */
-    private record LaneTask(Consumer<Lane> what, int decider) {}
+    /** A task for a lane. A command carries the number of the decider that gave it, any other task -1. */
+    private record LaneTask(Consumer<Lane> action, int deciderNumber) {}
 
-    private record DeciderTask(Consumer<Decider> what) {}
+    /** A task for the decider. */
+    private record DeciderTask(Consumer<Decider> action) {}
 
-    /** Who decides, on which thread. */
-    private record DeciderInstance(EventLoop loop, Decider decider, int count) {}
+    /** A decider with its thread. Each replacement has the next number. */
+    private record DeciderInstance(EventLoop loop, Decider decider, int number) {}
 
-    private final Lane.SharedServices common;
-    private final ExchangeConfiguration site;
-    private final ControllerFactory maker;
-    private final Consumer<Throwable> faults;
-    private final SplittableRandom seeds;
-    private final int count;
-    private final boolean inline;
+    private final Lane.SharedServices sharedServices;
+    private final ExchangeConfiguration configuration;
+    private final ControllerFactory controllerFactory;
+    private final Consumer<Throwable> faultHandler;
+    private final SplittableRandom seedGenerator;
+    private final int laneCount;
+    private final boolean singleLane;
     private final String name;
-    private final HandoverStore[] estates;
+    private final HandoverStore[] handoverStores;
     private final AtomicReferenceArray<Lane> lanes;
-    private final AtomicLong replaced = new AtomicLong();
-    private final Thread watch;
-    private volatile DeciderInstance seat;
-    private volatile boolean closing;
-    private volatile boolean over;
-
-    ThreadSupervisor(Lane.SharedServices common, ControllerFactory maker, Consumer<Throwable> faults, long seed) {
-        this.common = common;
-        this.maker = maker;
-        this.faults = faults;
-        site = common.site();
-        seeds = new SplittableRandom(seed);
-        count = site.limits().lanes();
-        inline = count == 1;
-        name = "exchange-" + site.number();
-        estates = new HandoverStore[count];
-        lanes = new AtomicReferenceArray<>(count);
-        for (int i = 0; i < count; i++) {
-            estates[i] = new HandoverStore(i, count);
-            lanes.set(i, lane(i, new EventLoop(inline ? name : name + "-lane-" + i, ROOM)));
+    private final AtomicLong replacedThreadCount = new AtomicLong();
+    private final Thread watchdogThread;
+    private volatile DeciderInstance deciderInstance;
+    private volatile boolean refusingNewContacts;
+    private volatile boolean closed;
+
+    ThreadSupervisor(
+            Lane.SharedServices sharedServices,
+            ControllerFactory controllerFactory,
+            Consumer<Throwable> faultHandler,
+            long seed) {
+        this.sharedServices = sharedServices;
+        this.controllerFactory = controllerFactory;
+        this.faultHandler = faultHandler;
+        configuration = sharedServices.configuration();
+        seedGenerator = new SplittableRandom(seed);
+        laneCount = configuration.limits().lanes();
+        singleLane = laneCount == 1;
+        name = "exchange-" + configuration.number();
+        handoverStores = new HandoverStore[laneCount];
+        lanes = new AtomicReferenceArray<>(laneCount);
+        for (int i = 0; i < laneCount; i++) {
+            handoverStores[i] = new HandoverStore(i, laneCount);
+            lanes.set(i, createLane(i, new EventLoop(singleLane ? name : name + "-lane-" + i, INBOX_CAPACITY)));
         }
-        watch = new Thread(null, this::watch, name + "-lookout", 256 * 1024);
-        watch.setDaemon(true);
+        watchdogThread = new Thread(null, this::watchLoops, name + "-lookout", 256 * 1024);
+        watchdogThread.setDaemon(true);
     }
 
-    EventLoop loop(int lane) {
-        return lanes.get(lane).loop;
+    EventLoop laneLoop(int laneNumber) {
+        return lanes.get(laneNumber).loop;
     }
 
-    HandoverStore estate(int lane) {
-        return estates[lane];
+    HandoverStore handoverStore(int laneNumber) {
+        return handoverStores[laneNumber];
     }
 
-    long replaced() {
-        return replaced.get();
+    long replacedThreadCount() {
+        return replacedThreadCount.get();
     }
 
-    private Lane lane(int number, EventLoop loop) {
-        Lane[] self = new Lane[1];
-        LaneReportDispatcher reports = new LaneReportDispatcher((report, refusable) -> {
+    private Lane createLane(int laneNumber, EventLoop loop) {
+        Lane[] laneHolder = new Lane[1];
+        LaneReportDispatcher reports = new LaneReportDispatcher((report, mayBeRefused) -> {
             if (loop.isFenced()) {
                 return false;
             }
-            if (inline) {
-                report.accept(self[0].decider);
+            if (singleLane) {
+                report.accept(laneHolder[0].decider);
                 return true;
             }
-            EventLoop to = seat.loop();
-            boolean passed =
-                    (!refusable || to.queueSize() < InboundDispatcher.MOST) && to.offer(new DeciderTask(report));
-            if (!passed) {
-                common.transport().dropCounter().increment(refusable ? "offer without room" : "report without room");
+            EventLoop deciderLoop = deciderInstance.loop();
+            boolean accepted = (!mayBeRefused || deciderLoop.queueSize() < InboundDispatcher.MAX_QUEUED_ARRIVALS)
+                    && deciderLoop.offer(new DeciderTask(report));
+            if (!accepted) {
+                sharedServices
+                        .transport()
+                        .dropCounter()
+                        .increment(mayBeRefused ? "offer without room" : "report without room");
             }
-            return passed;
+            return accepted;
         });
-        self[0] = new Lane(number, loop, common, estates[number], reports, seeds.nextLong());
-        return self[0];
+        laneHolder[0] = new Lane(
+                laneNumber, loop, sharedServices, handoverStores[laneNumber], reports, seedGenerator.nextLong());
+        return laneHolder[0];
     }
 
-    /** {@code only} is the lane on whose thread it decides, or null. */
-    private DeciderInstance seat(EventLoop loop, int number, Lane only) {
-        LaneCommandDispatcher hands = new LaneCommandDispatcher(count, new LaneCommandDispatcher.Channel() {
+    /** {@code owningLane} is the lane whose thread the decider shares, or null. */
+    private DeciderInstance createDeciderInstance(EventLoop loop, int deciderNumber, Lane owningLane) {
+        LaneCommandDispatcher laneCommands = new LaneCommandDispatcher(laneCount, new LaneCommandDispatcher.Channel() {
             @Override
-            public void toContacts(int lane, Consumer<Contacts> order) {
-                pass(lane, one -> order.accept(one.contacts));
+            public void toContacts(int laneNumber, Consumer<Contacts> command) {
+                pass(laneNumber, lane -> command.accept(lane.contacts));
             }
 
             @Override
-            public void toSurroundings(Consumer<NetworkMonitor> order) {
-                pass(0, one -> order.accept(one.surroundings));
+            public void toNetworkMonitor(Consumer<NetworkMonitor> command) {
+                pass(0, lane -> command.accept(lane.networkMonitor));
             }
 
-            private void pass(int lane, Consumer<Lane> order) {
+            private void pass(int laneNumber, Consumer<Lane> command) {
                 if (loop.isFenced()) {
                     return;
                 }
-                if (only != null) {
-                    order.accept(only);
-                } else if (!lanes.get(lane).loop.offer(new LaneTask(order, number))) {
-                    common.transport().dropCounter().increment("order without room");
+                if (owningLane != null) {
+                    command.accept(owningLane);
+                } else if (!lanes.get(laneNumber).loop.offer(new LaneTask(command, deciderNumber))) {
+                    sharedServices.transport().dropCounter().increment("order without room");
                 }
             }
         });
-        // A successor must not draw as its predecessor did.
-        Decider decider = new Decider(site, maker, site.seed() + number, loop.timerWheel(), hands, common.log());
-        if (only != null) {
-            only.decider = decider;
+        // A successor must not draw the same random numbers as its predecessor.
+        Decider decider = new Decider(
+                configuration,
+                controllerFactory,
+                configuration.seed() + deciderNumber,
+                loop.timerWheel(),
+                laneCommands,
+                sharedServices.eventLog());
+        if (owningLane != null) {
+            owningLane.decider = decider;
         }
-        return new DeciderInstance(loop, decider, number);
+        return new DeciderInstance(loop, decider, deciderNumber);
     }
 
-    /** Once, with the sockets open. */
+    /** Starts all threads; called once, with the sockets open. */
     void start() {
-        seat = inline
-                ? seat(lanes.get(0).loop, 0, lanes.get(0))
-                : seat(new EventLoop(name + "-decider", ROOM), 0, null);
-        Decider decider = seat.decider();
-        if (!inline) {
-            seat.loop().start(new DeciderHandler(decider), decider::begin);
+        deciderInstance = singleLane
+                ? createDeciderInstance(lanes.get(0).loop, 0, lanes.get(0))
+                : createDeciderInstance(new EventLoop(name + "-decider", INBOX_CAPACITY), 0, null);
+        Decider decider = deciderInstance.decider();
+        if (!singleLane) {
+            deciderInstance.loop().start(new DeciderHandler(decider), decider::start);
         }
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < laneCount; i++) {
             Lane lane = lanes.get(i);
-            boolean first = i == 0;
+            boolean isFirstLane = i == 0;
             lane.loop.start(new LaneHandler(lane), () -> {
-                if (first) {
-                    lane.surroundings.start(true);
+                if (isFirstLane) {
+                    lane.networkMonitor.start(true);
                 }
-                if (inline) {
-                    decider.begin();
+                if (singleLane) {
+                    decider.start();
                 }
             });
         }
-        watch.start();
+        watchdogThread.start();
     }
 
-    void tell(int lane, Consumer<Lane> what) {
-        put(lanes.get(lane).loop, new LaneTask(what, -1));
+    /** Queues a task for a lane; waits while its inbox is full. */
+    void runOnLane(int laneNumber, Consumer<Lane> action) {
+        putTask(lanes.get(laneNumber).loop, new LaneTask(action, -1));
     }
 
-    void tellDecider(Consumer<Decider> what) {
-        put(seat.loop(), new DeciderTask(what));
+    /** Queues a task for the decider; waits while its inbox is full. */
+    void runOnDecider(Consumer<Decider> action) {
+        putTask(deciderInstance.loop(), new DeciderTask(action));
     }
 
-    private void put(EventLoop loop, Object what) {
+    private void putTask(EventLoop loop, Object task) {
         try {
-            loop.put(what, () -> common.transport().dropCounter().increment("waited for the inbox"));
+            loop.put(task, () -> sharedServices.transport().dropCounter().increment("waited for the inbox"));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** From now on nothing new is taken. */
-    void closing() {
-        closing = true;
-        for (int i = 0; i < count; i++) {
-            tell(i, lane -> lane.contacts.close());
+    /** Makes all lanes, and their successors, refuse new contacts. */
+    void refuseNewContacts() {
+        refusingNewContacts = true;
+        for (int i = 0; i < laneCount; i++) {
+            runOnLane(i, lane -> lane.contacts.refuseNewContacts());
         }
     }
 
-    void plant(int lane, Span span, String amid) {
-        if (amid != null && lane >= 0 && lane < count) {
-            lanes.get(lane).planted.plant(span, amid);
-        } else if (lane >= 0 && lane < count) {
-            tell(lane, any -> StallInjector.stall(span));
+    /** See {@link Exchange#injectStall}. */
+    void injectStall(int laneNumber, Span duration, String messagePrefix) {
+        if (messagePrefix != null && laneNumber >= 0 && laneNumber < laneCount) {
+            lanes.get(laneNumber).stallInjector.stallNextSend(duration, messagePrefix);
+        } else if (laneNumber >= 0 && laneNumber < laneCount) {
+            runOnLane(laneNumber, ignored -> StallInjector.stall(duration));
         } else {
-            tellDecider(any -> StallInjector.stall(span));
+            runOnDecider(ignored -> StallInjector.stall(duration));
         }
     }
 
-    /** Carries out a lane's work; in a process with one lane the decider's too. */
+    /** Handles the tasks of a lane; with a single lane those of the decider too. */
     private final class LaneHandler implements EventLoop.Handler {
         private final Lane lane;
 
@@ -197,29 +215,31 @@
         }
 
         @Override
-        public void handle(Object next) {
-            if (next instanceof TransportEvent arrival) {
-                lane.calls().transactionLayer().handleEvent(arrival);
-            } else if (next instanceof LaneTask order && (order.decider() < 0 || order.decider() == seat.count())) {
-                order.what().accept(lane);
-            } else if (next instanceof DeciderTask report && inline) {
-                report.what().accept(lane.decider);
+        public void handle(Object task) {
+            if (task instanceof TransportEvent transportEvent) {
+                lane.dialogLayer().transactionLayer().handleEvent(transportEvent);
+            } else if (task instanceof LaneTask laneTask
+                    && (laneTask.deciderNumber() < 0 || laneTask.deciderNumber() == deciderInstance.number())) {
+                laneTask.action().accept(lane);
+            } else if (task instanceof DeciderTask deciderTask && singleLane) {
+                deciderTask.action().accept(lane.decider);
             }
         }
 
         @Override
         public void afterTurn() {
-            if (inline && !lane.loop.isFenced()) {
-                lane.decider.tellAll();
+            if (singleLane && !lane.loop.isFenced()) {
+                lane.decider.deliverPendingEvents();
             }
         }
 
         @Override
         public void onFailure(Throwable fault) {
-            faults.accept(fault);
+            faultHandler.accept(fault);
         }
     }
 
+    /** Handles the tasks of a decider with a thread of its own. */
     private final class DeciderHandler implements EventLoop.Handler {
         private final Decider decider;
 
@@ -228,43 +248,43 @@
         }
 
         @Override
-        public void handle(Object next) {
-            if (next instanceof DeciderTask report) {
-                report.what().accept(decider);
+        public void handle(Object task) {
+            if (task instanceof DeciderTask deciderTask) {
+                deciderTask.action().accept(decider);
             }
         }
 
         @Override
         public void afterTurn() {
-            decider.tellAll();
+            decider.deliverPendingEvents();
         }
 
         @Override
         public void onFailure(Throwable fault) {
-            faults.accept(fault);
+            faultHandler.accept(fault);
         }
     }
 
-    private void watch() {
-        int places = inline ? 1 : count + 1;
-        Watchdog lookout = new Watchdog(places, new Moment(System.nanoTime()));
-        while (!over) {
+    private void watchLoops() {
+        int loopCount = singleLane ? 1 : laneCount + 1;
+        Watchdog watchdog = new Watchdog(loopCount, new Moment(System.nanoTime()));
+        while (!closed) {
             try {
                 TimeUnit.NANOSECONDS.sleep(Watchdog.CHECK_INTERVAL.ns());
             } catch (InterruptedException e) {
                 return;
             }
-            for (int i = 0; i < count; i++) {
-                lookout.loopTurned(i, lanes.get(i).loop.lastTurnAt());
+            for (int i = 0; i < laneCount; i++) {
+                watchdog.loopTurned(i, lanes.get(i).loop.lastTurnAt());
             }
-            if (!inline) {
-                lookout.loopTurned(count, seat.loop().lastTurnAt());
+            if (!singleLane) {
+                watchdog.loopTurned(laneCount, deciderInstance.loop().lastTurnAt());
             }
-            int stalled = lookout.findStalled(new Moment(System.nanoTime()));
-            if (stalled >= 0 && !over) {
-                replaced.incrementAndGet();
-                if (stalled < count) {
-                    replaceLane(stalled);
+            int stalledLoop = watchdog.findStalled(new Moment(System.nanoTime()));
+            if (stalledLoop >= 0 && !closed) {
+                replacedThreadCount.incrementAndGet();
+                if (stalledLoop < laneCount) {
+                    replaceLane(stalledLoop);
                 } else {
                     replaceDecider();
                 }
@@ -272,78 +292,89 @@
         }
     }
 
-    private void replaceLane(int number) {
-        Lane old = lanes.get(number);
-        Object inHand = old.loop.fence();
-        estates[number].past(old.figures);
-        EventLoop loop = old.loop.successor(old.loop.name() + "+");
-        Lane next = lane(number, loop);
-        if (inline) {
-            seat = seat(loop, seat.count() + 1, next);
+    private void replaceLane(int laneNumber) {
+        Lane stalledLane = lanes.get(laneNumber);
+        Object unfinishedTask = stalledLane.loop.fence();
+        handoverStores[laneNumber].addReplacedThreadStatistics(stalledLane.statistics);
+        EventLoop successorLoop = stalledLane.loop.successor(stalledLane.loop.name() + "+");
+        Lane newLane = createLane(laneNumber, successorLoop);
+        if (singleLane) {
+            deciderInstance = createDeciderInstance(successorLoop, deciderInstance.number() + 1, newLane);
         }
-        lanes.set(number, next);
-        LaneHandler duty = new LaneHandler(next);
-        loop.start(duty, () -> {
-            if (number == 0) {
-                next.surroundings.start(false);
+        lanes.set(laneNumber, newLane);
+        LaneHandler handler = new LaneHandler(newLane);
+        successorLoop.start(handler, () -> {
+            if (laneNumber == 0) {
+                newLane.networkMonitor.start(false);
             }
-            if (inline) {
-                next.decider.begin();
+            if (singleLane) {
+                newLane.decider.start();
             }
-            if (closing) {
-                next.contacts.close();
+            if (refusingNewContacts) {
+                newLane.contacts.refuseNewContacts();
             }
-            new LaneTakeover(next.contacts, next.calls(), estates[number], common.log()).takeOver();
-            if (number == 0 && !inline) {
-                next.surroundings.watchList(true);
+            new LaneTakeover(
+                            newLane.contacts,
+                            newLane.dialogLayer(),
+                            handoverStores[laneNumber],
+                            sharedServices.eventLog())
+                    .takeOver();
+            if (laneNumber == 0 && !singleLane) {
+                newLane.networkMonitor.watchSwitchList(true);
             }
-            if (inHand != null) {
-                again(duty, inHand);
+            if (unfinishedTask != null) {
+                repeatTask(handler, unfinishedTask);
             }
         });
     }
 
-    /** What the stalled thread was amid of; transactions and numbers of rings see to it that nothing is done twice. */
-    private static void again(EventLoop.Handler duty, Object inHand) {
-        if (inHand instanceof TransportEvent || inHand instanceof LaneTask order && order.decider() >= 0) {
-            duty.handle(inHand);
+    /**
+     * Repeats the task that the stalled thread did not finish; the transaction layer and the ring numbers prevent
+     * anything from being done twice.
+     */
+    private static void repeatTask(EventLoop.Handler handler, Object unfinishedTask) {
+        if (unfinishedTask instanceof TransportEvent
+                || unfinishedTask instanceof LaneTask command && command.deciderNumber() >= 0) {
+            handler.handle(unfinishedTask);
         }
     }
 
     private void replaceDecider() {
-        DeciderInstance old = seat;
-        Object inHand = old.loop().fence();
-        EventLoop loop = old.loop().successor(old.loop().name() + "+");
-        seat = seat(loop, old.count() + 1, null);
-        DeciderHandler duty = new DeciderHandler(seat.decider());
-        Decider decider = seat.decider();
-        loop.start(duty, () -> {
-            decider.listed(
-                    martenslip.control.Controller.ListKind.FULL, common.known().lines());
-            decider.circuits(common.known().groups());
-            decider.begin();
+        DeciderInstance stalledInstance = deciderInstance;
+        Object unfinishedTask = stalledInstance.loop().fence();
+        EventLoop successorLoop =
+                stalledInstance.loop().successor(stalledInstance.loop().name() + "+");
+        deciderInstance = createDeciderInstance(successorLoop, stalledInstance.number() + 1, null);
+        DeciderHandler handler = new DeciderHandler(deciderInstance.decider());
+        Decider decider = deciderInstance.decider();
+        successorLoop.start(handler, () -> {
+            decider.switchListReceived(
+                    martenslip.control.Controller.ListKind.FULL,
+                    sharedServices.switchStateCache().switches());
+            decider.groupStatesReceived(sharedServices.switchStateCache().groups());
+            decider.start();
         });
-        for (int i = 0; i < count; i++) {
-            boolean first = i == 0;
-            tell(i, lane -> {
-                lane.contacts.tellHeld();
-                if (first) {
-                    lane.surroundings.anew();
+        for (int i = 0; i < laneCount; i++) {
+            boolean isFirstLane = i == 0;
+            runOnLane(i, lane -> {
+                lane.contacts.reportOpenContacts();
+                if (isFirstLane) {
+                    lane.networkMonitor.resubscribeCircuits();
                 }
             });
         }
-        // The report that it was amid of is the lanes' to repeat, by what they hold.
+        // An unfinished report is not repeated: the lanes report all their open contacts instead.
     }
 
     @Override
     public void close() {
-        over = true;
-        watch.interrupt();
-        for (int i = 0; i < count; i++) {
+        closed = true;
+        watchdogThread.interrupt();
+        for (int i = 0; i < laneCount; i++) {
             lanes.get(i).loop.close();
         }
-        if (seat != null) {
-            seat.loop().close();
+        if (deciderInstance != null) {
+            deciderInstance.loop().close();
         }
     }
 }
--- a/src/main/java/martenslip/exchange/WarmUp.java
+++ b/src/main/java/martenslip/exchange/WarmUp.java
@@ -35,147 +35,163 @@
 import martenslip.sip.transport.TransportEvent;
 
 /**
- * Runs the code of a contact on driven time, without sockets, before the first caller comes. A process that has just
- * started would else need hundreds of milliseconds for its first contacts, which after a crash are many at once and
- * may have little patience left. All it builds is thrown away.
+ * Runs the code of contacts on simulated time, without sockets, before the first caller arrives. A process that has
+ * just started would otherwise need hundreds of milliseconds for its first contacts, which after a crash are many at
+ * once and may have little patience left. Everything it builds is discarded.
  */
 final class WarmUp {
-    private static final int CONTACTS = 400;
-    private static final Span STEP = Span.ofMillis(5);
-
-    private final ExchangeConfiguration site;
-    private final ControllerFactory maker;
-    private final TimerWheel wheel = new TimerWheel(new Moment(0));
-    private final Deque<byte[]> sent = new ArrayDeque<>();
-    private final Hop far = Hop.udp(new InetSocketAddress("127.0.0.1", 9));
-    private DialogLayer calls;
+    private static final int CONTACT_COUNT = 400;
+    private static final Span TIME_STEP = Span.ofMillis(5);
+
+    private final ExchangeConfiguration configuration;
+    private final ControllerFactory controllerFactory;
+    private final TimerWheel timerWheel = new TimerWheel(new Moment(0));
+    private final Deque<byte[]> sentMessages = new ArrayDeque<>();
+    private final Hop farHop = Hop.udp(new InetSocketAddress("127.0.0.1", 9));
+    private DialogLayer dialogLayer;
     private Contacts contacts;
     private Decider decider;
     private Moment now = new Moment(0);
 
-    WarmUp(ExchangeConfiguration site, ControllerFactory maker) {
-        this.site = site;
-        this.maker = maker;
+    WarmUp(ExchangeConfiguration configuration, ControllerFactory controllerFactory) {
+        this.configuration = configuration;
+        this.controllerFactory = controllerFactory;
     }
 
+    /** Runs all contacts; does nothing if no neighbouring exchange has a prefix. */
     void run() {
-        List<Integer> reached = site.groups().keySet().stream()
-                .filter(one -> site.numbering().firstPrefixOf(one) != null)
+        List<Integer> reachableExchanges = configuration.groups().keySet().stream()
+                .filter(exchangeNumber -> configuration.numbering().firstPrefixOf(exchangeNumber) != null)
                 .toList();
-        if (reached.isEmpty()) {
+        if (reachableExchanges.isEmpty()) {
             return;
         }
-        build();
-        for (int i = 0; i < CONTACTS; i++) {
-            contact(i, site.numbering().firstPrefixOf(reached.get(i % reached.size())));
+        createExchangeParts();
+        for (int i = 0; i < CONTACT_COUNT; i++) {
+            runContact(
+                    i, configuration.numbering().firstPrefixOf(reachableExchanges.get(i % reachableExchanges.size())));
         }
     }
 
-    private void build() {
-        MessageSender outlet = new MessageSender() {
+    private void createExchangeParts() {
+        MessageSender messageSender = new MessageSender() {
             @Override
-            public boolean send(byte[] bytes, Hop to) {
-                sent.add(bytes);
+            public boolean send(byte[] bytes, Hop hop) {
+                sentMessages.add(bytes);
                 return true;
             }
 
             @Override
-            public String sentBy(Hop.Protocol kind) {
+            public String sentBy(Hop.Protocol protocol) {
                 return "127.0.0.1:8";
             }
         };
-        calls = new DialogLayer(
-                wheel, TransactionTimers.RFC_3261, outlet, new IdGenerator(1), user(), new DropCounter(), 1 << 16);
-        EventLog log = new EventLog(site.number());
-        LaneCommandDispatcher hands = new LaneCommandDispatcher(1, new LaneCommandDispatcher.Channel() {
+        dialogLayer = new DialogLayer(
+                timerWheel,
+                TransactionTimers.RFC_3261,
+                messageSender,
+                new IdGenerator(1),
+                userAgentCore(),
+                new DropCounter(),
+                1 << 16);
+        EventLog log = new EventLog(configuration.number());
+        LaneCommandDispatcher laneCommands = new LaneCommandDispatcher(1, new LaneCommandDispatcher.Channel() {
             @Override
-            public void toContacts(int lane, Consumer<Contacts> order) {
-                order.accept(contacts);
+            public void toContacts(int laneNumber, Consumer<Contacts> command) {
+                command.accept(contacts);
             }
 
             @Override
-            public void toSurroundings(Consumer<NetworkMonitor> order) {
-                // The world around is not there.
+            public void toNetworkMonitor(Consumer<NetworkMonitor> command) {
+                // There is no network in the warm-up.
             }
         });
-        decider = new Decider(site, maker, 1, wheel, hands, log);
-        LaneReportDispatcher reports = new LaneReportDispatcher((report, refusable) -> {
+        decider = new Decider(configuration, controllerFactory, 1, timerWheel, laneCommands, log);
+        LaneReportDispatcher reports = new LaneReportDispatcher((report, mayBeRefused) -> {
             report.accept(decider);
             return true;
         });
         contacts = new Contacts(
-                site, calls, 0, new HandoverStore(0, 1), reports, () -> false, log, new ExchangeStatistics());
-        List<ListedSwitch> lines = new ArrayList<>();
-        for (ExchangeConfiguration.Group group : site.groups().values()) {
-            SwitchEntry line =
+                configuration,
+                dialogLayer,
+                0,
+                new HandoverStore(0, 1),
+                reports,
+                () -> false,
+                log,
+                new ExchangeStatistics());
+        List<ListedSwitch> listedSwitches = new ArrayList<>();
+        for (ExchangeConfiguration.Group group : configuration.groups().values()) {
+            SwitchEntry entry =
                     new SwitchEntry(group.farExchange() + 1, group.farExchange(), SwitchEntry.State.READY, null, 0);
-            lines.add(new ListedSwitch(line, SipUri.of(null, "127.0.0.1", 9), far));
+            listedSwitches.add(new ListedSwitch(entry, SipUri.of(null, "127.0.0.1", 9), farHop));
         }
-        decider.listed(ListKind.FULL, lines);
-        decider.circuits(site.groups().values().stream()
+        decider.switchListReceived(ListKind.FULL, listedSwitches);
+        decider.groupStatesReceived(configuration.groups().values().stream()
                 .map(group -> new EventPackageCodec.GroupState(group.name(), group.circuits(), group.circuits()))
                 .toList());
-        decider.begin();
-        decider.tellAll();
+        decider.start();
+        decider.deliverPendingEvents();
     }
 
-    private void contact(int number, String prefix) {
+    private void runContact(int contactNumber, String prefix) {
         Headers headers = new Headers();
-        headers.add("Via", "SIP/2.0/UDP 127.0.0.1:9;branch=z9hG4bKw" + number).add("Max-Forwards", "70");
-        headers.add("From", "<sip:w@127.0.0.1>;tag=w" + number).add("To", "<sip:" + prefix + "0@127.0.0.1>");
-        headers.add("Call-ID", "warm-" + number).add("CSeq", "1 INVITE").add("Contact", "<sip:w@127.0.0.1:9>");
+        headers.add("Via", "SIP/2.0/UDP 127.0.0.1:9;branch=z9hG4bKw" + contactNumber)
+                .add("Max-Forwards", "70");
+        headers.add("From", "<sip:w@127.0.0.1>;tag=w" + contactNumber).add("To", "<sip:" + prefix + "0@127.0.0.1>");
+        headers.add("Call-ID", "warm-" + contactNumber).add("CSeq", "1 INVITE").add("Contact", "<sip:w@127.0.0.1:9>");
         headers.add("Expires", "5");
-        arrive(new Request("INVITE", "sip:" + prefix + "0@127.0.0.1", headers));
-        for (int turns = 0; turns < 8; turns++) {
-            answerAll();
+        receive(new Request("INVITE", "sip:" + prefix + "0@127.0.0.1", headers));
+        for (int round = 0; round < 8; round++) {
+            answerSentMessages();
         }
     }
 
-    private void arrive(Message message) {
+    private void receive(Message message) {
         byte[] bytes = message.bytes();
-        Message read = MessageParser.parse(bytes, bytes.length).message();
-        now = now.plus(STEP);
-        wheel.advanceTo(now);
-        calls.transactionLayer().handleEvent(new TransportEvent.MessageReceived(read, far));
-        decider.tellAll();
+        Message parsed = MessageParser.parse(bytes, bytes.length).message();
+        now = now.plus(TIME_STEP);
+        timerWheel.advanceTo(now);
+        dialogLayer.transactionLayer().handleEvent(new TransportEvent.MessageReceived(parsed, farHop));
+        decider.deliverPendingEvents();
     }
 
-    /** Plays switch and caller: 200 to each request, ACK and then BYE to each 200 of an INVITE. */
-    private void answerAll() {
-        for (int left = sent.size(); left > 0; left--) {
-            byte[] bytes = sent.poll();
+    /** Acts as the switch and the caller: sends 200 to each request, and ACK and then BYE for each 200 to an INVITE. */
+    private void answerSentMessages() {
+        for (int remaining = sentMessages.size(); remaining > 0; remaining--) {
+            byte[] bytes = sentMessages.poll();
             Message message = MessageParser.parse(bytes, bytes.length).message();
             try {
                 if (message instanceof Request request && !request.hasMethod("ACK")) {
                     Response ok = request.createResponse(200, "OK", "far");
                     ok.headers().add("Contact", "<sip:far@127.0.0.1:9>");
-                    arrive(ok);
+                    receive(ok);
                 } else if (message instanceof Response response
                         && response.isSuccess()
                         && response.cseq().method().equals("INVITE")) {
-                    arrive(within(response, "ACK", 1));
-                    arrive(within(response, "BYE", 2));
+                    receive(inDialogRequest(response, "ACK", 1));
+                    receive(inDialogRequest(response, "BYE", 2));
                 }
             } catch (InvalidValueException e) {
-                throw new IllegalStateException("own message", e);
+                throw new IllegalStateException("message built by the warm-up cannot be parsed", e);
             }
         }
     }
 
-    private static Request within(Response response, String method, int number) {
+    private static Request inDialogRequest(Response response, String method, int sequenceNumber) {
         Headers headers = new Headers();
         headers.add("Via", "SIP/2.0/UDP 127.0.0.1:9;branch=z9hG4bK" + method + response.callId());
         headers.add("Max-Forwards", "70").add("From", response.headers().first("From"));
         headers.add("To", response.headers().first("To")).add("Call-ID", response.callId());
-        headers.add("CSeq", number + " " + method);
+        headers.add("CSeq", sequenceNumber + " " + method);
         return new Request(method, "sip:x@127.0.0.1:8", headers);
     }
 
-    private UserAgentCore user() {
+    private UserAgentCore userAgentCore() {
         return new UserAgentCore() {
             @Override
             public void inviteReceived(UasCall call) {
-                contacts.incoming(call);
+                contacts.inviteReceived(call);
             }
 
             @Override
@@ -185,7 +201,7 @@
 
             @Override
             public void connectionLost(Hop hop, boolean everUp) {
-                // There are no connections here.
+                // There are no connections in the warm-up.
             }
 
             @Override
--- a/src/main/java/martenslip/signaling/ListedSwitch.java
+++ b/src/main/java/martenslip/signaling/ListedSwitch.java
@@ -4,5 +4,5 @@
 import martenslip.sip.message.SipUri;
 import martenslip.sip.transport.Hop;
 
-/** A switch of the list with the place where it is reached. */
+/** An entry of the switch list with the address of the switch. */
 public record ListedSwitch(SwitchEntry entry, SipUri uri, Hop hop) {}
--- a/src/main/java/martenslip/signaling/ReleaseCause.java
+++ b/src/main/java/martenslip/signaling/ReleaseCause.java
@@ -7,8 +7,8 @@
 import martenslip.sip.message.Parameters;
 
 /**
- * A release cause of ITU-T Q.850 as a Reason value (RFC 3326), with the place that released (RFC 8606).
- * {@code location} is empty where it is not told.
+ * A release cause of ITU-T Q.850 as a Reason value (RFC 3326), with the location that released the call (RFC 8606).
+ * {@code location} is empty if it is not given.
  */
 public record ReleaseCause(int cause, String location) {
     public static final int NORMAL_CLEARING = 16;
@@ -18,22 +18,22 @@
     public static final int TEMPORARY_FAILURE = 41;
     public static final int CONGESTION = 42;
     public static final int TIMER_EXPIRY = 102;
-    /** The local network: the switch that was sent to speaks of itself. */
+    /** Local network: the switch that received the request released the call itself. */
     public static final String LOCAL_NETWORK = "LN";
-    /** The transit network: the tandem speaks of what lies beyond. */
+    /** Transit network: a tandem reports a release beyond itself. */
     public static final String TRANSIT_NETWORK = "TN";
-    /** The network of the called side, as a tandem passes it on. */
+    /** Remote local network: a tandem passes on a release by the called side. */
     public static final String REMOTE_LOCAL_NETWORK = "RLN";
 
-    /** The Q.850 reason of the message, or null. */
+    /** The Q.850 cause in the Reason headers of the message, or null if there is none or it cannot be parsed. */
     public static ReleaseCause of(Message message) {
         for (String value : message.headers().all("Reason")) {
             int semicolon = value.indexOf(';');
             if (semicolon > 0 && value.substring(0, semicolon).trim().equalsIgnoreCase("Q.850")) {
                 try {
-                    Parameters params = Parameters.parse(value.substring(semicolon));
-                    String cause = params.get("cause");
-                    String location = params.get("location");
+                    Parameters parameters = Parameters.parse(value.substring(semicolon));
+                    String cause = parameters.get("cause");
+                    String location = parameters.get("location");
                     if (Digits.isDigits(cause, 3)) {
                         return new ReleaseCause(
                                 Integer.parseInt(cause), location == null ? "" : location.toUpperCase(Locale.ROOT));
@@ -46,8 +46,9 @@
         return null;
     }
 
-    public boolean hasLocation(String place) {
-        return location.equals(place);
+    /** True if the call was released at this location. */
+    public boolean hasLocation(String otherLocation) {
+        return location.equals(otherLocation);
     }
 
     @Override
--- a/src/main/java/martenslip/signaling/SipLoadReport.java
+++ b/src/main/java/martenslip/signaling/SipLoadReport.java
@@ -8,9 +8,15 @@
 import martenslip.sip.message.Via;
 
 /**
- * What a switch says of itself in a response: overload control parameters in the topmost Via (RFC 7339 by loss,
- * RFC 7415 by rate), and in {@link #HEADER} what those don't hold. -1 stands for what was not said. {@code spare}
- * and {@code total} are the circuits of the group that the request came over.
+ * The load that a switch reports in a response: the overload control parameters of the topmost Via (RFC 7339 by loss,
+ * RFC 7415 by rate), and in {@link #HEADER} what these cannot express. -1 means not reported.
+ *
+ * @param allowedRate requests a second that the switch accepts
+ * @param lossFraction share of the requests that must not be sent, 0 to 1
+ * @param queueDepth requests that wait for the processor of the switch
+ * @param meanWaitMs their mean wait in milliseconds
+ * @param freeCircuits free circuits of the trunk group of the request
+ * @param totalCircuits all circuits of that group
  */
 public record SipLoadReport(
         double allowedRate,
@@ -22,75 +28,83 @@
     public static final String HEADER = "Martenslip-Load";
     public static final SipLoadReport NONE = new SipLoadReport(-1, -1, -1, -1, -1, -1);
 
+    /** Reads the report of a response; {@link #NONE} if it cannot be parsed. */
     public static SipLoadReport of(Response response) {
         try {
-            Parameters via = response.via().params();
+            Parameters viaParameters = response.via().params();
             String value = response.headers().first(HEADER);
-            Parameters own = value == null ? Parameters.NONE : Parameters.parse(";" + value);
-            String algorithm = via.getUnquoted("oc-algo");
-            double oc = number(via.get("oc"));
-            boolean stands = algorithm != null && oc >= 0 && number(via.get("oc-validity")) != 0;
+            Parameters loadParameters = value == null ? Parameters.NONE : Parameters.parse(";" + value);
+            String algorithm = viaParameters.getUnquoted("oc-algo");
+            double oc = parseNumber(viaParameters.get("oc"));
+            boolean controlActive = algorithm != null && oc >= 0 && parseNumber(viaParameters.get("oc-validity")) != 0;
             return new SipLoadReport(
-                    stands && algorithm.equals("rate") ? oc : -1,
-                    stands && algorithm.equals("loss") ? Math.min(1, oc / 100) : -1,
-                    number(own.get("depth")),
-                    number(own.get("wait")),
-                    (int) number(own.get("spare")),
-                    (int) number(own.get("total")));
+                    controlActive && algorithm.equals("rate") ? oc : -1,
+                    controlActive && algorithm.equals("loss") ? Math.min(1, oc / 100) : -1,
+                    parseNumber(loadParameters.get("depth")),
+                    parseNumber(loadParameters.get("wait")),
+                    (int) parseNumber(loadParameters.get("spare")),
+                    (int) parseNumber(loadParameters.get("total")));
         } catch (InvalidValueException e) {
             return NONE;
         }
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         return Digits.parseDecimal(text);
     }
 
-    /** Puts it into a response; {@code validMs} is how long the overload parameters stand. */
-    public void writeTo(Response response, long validMs, String sequence) throws InvalidValueException {
+    /** Writes the report into a response; {@code validityMs} is how long the overload control parameters are valid. */
+    public void writeTo(Response response, long validityMs, String sequence) throws InvalidValueException {
         Via via = response.via();
         if (via.params().has("oc") && (allowedRate >= 0 || lossFraction >= 0)) {
-            boolean rate = allowedRate >= 0;
-            long oc = Math.round(rate ? allowedRate : lossFraction * 100);
+            boolean byRate = allowedRate >= 0;
+            long oc = Math.round(byRate ? allowedRate : lossFraction * 100);
             response.headers()
                     .set(
                             "Via",
                             via.with("oc", Long.toString(oc))
-                                    .with("oc-algo", rate ? "\"rate\"" : "\"loss\"")
-                                    .with("oc-validity", Long.toString(validMs))
+                                    .with("oc-algo", byRate ? "\"rate\"" : "\"loss\"")
+                                    .with("oc-validity", Long.toString(validityMs))
                                     .with("oc-seq", sequence));
         }
-        StringBuilder own = new StringBuilder();
-        add(own, "depth", queueDepth);
-        add(own, "wait", meanWaitMs);
-        add(own, "spare", totalCircuits < 0 ? -1 : freeCircuits);
-        add(own, "total", totalCircuits);
-        if (!own.isEmpty()) {
-            response.headers().set(HEADER, own);
+        StringBuilder loadParameters = new StringBuilder();
+        appendParameter(loadParameters, "depth", queueDepth);
+        appendParameter(loadParameters, "wait", meanWaitMs);
+        appendParameter(loadParameters, "spare", totalCircuits < 0 ? -1 : freeCircuits);
+        appendParameter(loadParameters, "total", totalCircuits);
+        if (!loadParameters.isEmpty()) {
+            response.headers().set(HEADER, loadParameters);
         }
     }
 
-    /** With so many circuits fewer free, at least none. */
+    /** The report with this many circuits fewer free, but at least 0. */
     public SipLoadReport withFewerFreeCircuits(int circuits) {
         return new SipLoadReport(
                 allowedRate, lossFraction, queueDepth, meanWaitMs, Math.max(0, freeCircuits - circuits), totalCircuits);
     }
 
-    private static void add(StringBuilder text, String name, double value) {
+    private static void appendParameter(StringBuilder text, String name, double value) {
         if (value >= 0) {
-            boolean whole = value == Math.rint(value);
+            boolean isInteger = value == Math.rint(value);
             text.append(text.isEmpty() ? "" : ";")
                     .append(name)
                     .append('=')
-                    .append(whole ? Long.toString((long) value) : String.format(java.util.Locale.ROOT, "%.2f", value));
+                    .append(
+                            isInteger
+                                    ? Long.toString((long) value)
+                                    : String.format(java.util.Locale.ROOT, "%.2f", value));
         }
     }
 
-    /** Values in the module's order: first the group's, then those of {@code fields}; what was not said is -1. */
-    public float[] toReportValues(int spareKnown, int totalKnown, List<String> fields) {
+    /**
+     * The values in the order that the controller expects: free and total circuits, where {@code knownFreeCircuits} and
+     * {@code knownTotalCircuits} replace values that are not reported, then those named by {@code fields}; -1 means not
+     * reported.
+     */
+    public float[] toReportValues(int knownFreeCircuits, int knownTotalCircuits, List<String> fields) {
         float[] values = new float[2 + fields.size()];
-        values[0] = totalCircuits < 0 ? spareKnown : freeCircuits;
-        values[1] = totalCircuits < 0 ? totalKnown : totalCircuits;
+        values[0] = totalCircuits < 0 ? knownFreeCircuits : freeCircuits;
+        values[1] = totalCircuits < 0 ? knownTotalCircuits : totalCircuits;
         for (int i = 0; i < fields.size(); i++) {
             values[2 + i] = (float)
                     switch (fields.get(i)) {
--- a/src/test/java/martenslip/eventloop/TimerWheelTest.java
+++ b/src/test/java/martenslip/eventloop/TimerWheelTest.java
@@ -11,94 +11,100 @@
 import martenslip.control.Span;
 import org.testng.annotations.Test;
 
+/** Timers expire once, in time and in order, also after cancellations, exceptions and long pauses. */
 public class TimerWheelTest {
-    private static Moment at(double ms) {
+    private static Moment atMillis(double ms) {
         return new Moment(Span.ofMillis(ms).ns());
     }
 
-    /** Against a plain list of due moments, with turns of all lengths, some longer than the wheel. */
+    /**
+     * Compares the wheel with a plain list of due times over turns of many lengths, some longer than a revolution of
+     * the wheel.
+     */
     @Test
-    public void ringsEachOnceInTimeAndNeverEarly() {
-        SplittableRandom chance = new SplittableRandom(3);
-        TimerWheel wheel = new TimerWheel(at(0));
-        List<Moment> due = new ArrayList<>();
-        int[] rung = {0};
-        double now = 0;
+    public void eachTimerExpiresOnceInTimeAndNeverEarly() {
+        SplittableRandom random = new SplittableRandom(3);
+        TimerWheel wheel = new TimerWheel(atMillis(0));
+        List<Moment> pendingDueTimes = new ArrayList<>();
+        int[] expiredCount = {0};
+        double nowMs = 0;
         for (int turn = 0; turn < 2000; turn++) {
-            double ms = chance.nextDouble() * (turn % 50 == 0 ? 20_000 : 40);
-            Moment when = at(now + ms);
-            due.add(when);
-            wheel.scheduleAt(when, () -> {
-                rung[0]++;
-                assertFalse(wheel.now().before(when), "early");
-                assertTrue(due.remove(when), "twice");
+            double delayMs = random.nextDouble() * (turn % 50 == 0 ? 20_000 : 40);
+            Moment dueAt = atMillis(nowMs + delayMs);
+            pendingDueTimes.add(dueAt);
+            wheel.scheduleAt(dueAt, () -> {
+                expiredCount[0]++;
+                assertFalse(wheel.now().before(dueAt), "expired early");
+                assertTrue(pendingDueTimes.remove(dueAt), "expired twice");
             });
-            now += chance.nextDouble() * (turn % 300 == 299 ? 9_000 : 12);
-            wheel.advanceTo(at(now));
-            Moment late = at(now - TimerWheel.TICK.ns() / 1e6);
-            assertTrue(due.stream().noneMatch(one -> one.before(late)), "left behind at " + now);
+            nowMs += random.nextDouble() * (turn % 300 == 299 ? 9_000 : 12);
+            wheel.advanceTo(atMillis(nowMs));
+            Moment latestAllowed = atMillis(nowMs - TimerWheel.TICK.ns() / 1e6);
+            assertTrue(
+                    pendingDueTimes.stream().noneMatch(dueTime -> dueTime.before(latestAllowed)),
+                    "not expired at " + nowMs);
         }
-        wheel.advanceTo(at(now + 30_000));
-        assertEquals(rung[0], 2000);
+        wheel.advanceTo(atMillis(nowMs + 30_000));
+        assertEquals(expiredCount[0], 2000);
     }
 
     @Test
-    public void whatIsTakenBackDoesNotRing() {
-        TimerWheel wheel = new TimerWheel(at(0));
-        List<String> rung = new ArrayList<>();
-        TimerWheel.Timer[] others = new TimerWheel.Timer[2];
-        wheel.scheduleAt(at(5), () -> {
-            rung.add("first");
-            others[0].cancel();
+    public void cancelledTimersDoNotExpire() {
+        TimerWheel wheel = new TimerWheel(atMillis(0));
+        List<String> expired = new ArrayList<>();
+        TimerWheel.Timer[] timers = new TimerWheel.Timer[2];
+        wheel.scheduleAt(atMillis(5), () -> {
+            expired.add("first");
+            timers[0].cancel();
         });
-        others[0] = wheel.scheduleAt(at(5), () -> rung.add("taken back by the first"));
-        others[1] = wheel.scheduleAt(at(5), () -> rung.add("second"));
-        TimerWheel.Timer other = wheel.scheduleAt(at(6), () -> rung.add("taken back"));
-        other.cancel();
-        other.cancel();
-        wheel.advanceTo(at(20));
-        assertEquals(rung, List.of("first", "second"));
-        assertFalse(others[1].isScheduled());
+        timers[0] = wheel.scheduleAt(atMillis(5), () -> expired.add("cancelled by the first"));
+        timers[1] = wheel.scheduleAt(atMillis(5), () -> expired.add("second"));
+        TimerWheel.Timer cancelledTimer = wheel.scheduleAt(atMillis(6), () -> expired.add("cancelled"));
+        cancelledTimer.cancel();
+        cancelledTimer.cancel();
+        wheel.advanceTo(atMillis(20));
+        assertEquals(expired, List.of("first", "second"));
+        assertFalse(timers[1].isScheduled());
     }
 
     @Test
-    public void oneThatSetsAnotherForNowIsNotStarved() {
-        TimerWheel wheel = new TimerWheel(at(0));
-        int[] rung = {0};
-        Runnable[] again = new Runnable[1];
-        again[0] = () -> {
-            rung[0]++;
-            wheel.scheduleAfter(Span.ZERO, again[0]);
+    public void selfReschedulingTimerIsNeitherStarvedNorEndless() {
+        TimerWheel wheel = new TimerWheel(atMillis(0));
+        int[] expiredCount = {0};
+        Runnable[] reschedule = new Runnable[1];
+        reschedule[0] = () -> {
+            expiredCount[0]++;
+            wheel.scheduleAfter(Span.ZERO, reschedule[0]);
         };
-        wheel.scheduleAfter(Span.ZERO, again[0]);
+        wheel.scheduleAfter(Span.ZERO, reschedule[0]);
         for (int turn = 1; turn <= 10; turn++) {
-            wheel.advanceTo(at(turn * 2));
+            wheel.advanceTo(atMillis(turn * 2));
         }
-        assertTrue(rung[0] >= 10 && rung[0] <= 25, "rung " + rung[0]);
+        assertTrue(expiredCount[0] >= 10 && expiredCount[0] <= 25, "expired " + expiredCount[0]);
     }
 
     @Test
-    public void aFaultInOneLosesNoOther() {
-        TimerWheel wheel = new TimerWheel(at(0));
-        List<String> rung = new ArrayList<>();
-        wheel.scheduleAt(at(5), () -> {
-            throw new IllegalStateException("planted");
+    public void exceptionInOneTimerLosesNoOther() {
+        TimerWheel wheel = new TimerWheel(atMillis(0));
+        List<String> expired = new ArrayList<>();
+        wheel.scheduleAt(atMillis(5), () -> {
+            throw new IllegalStateException("injected");
         });
-        wheel.scheduleAt(at(5), () -> rung.add("same tick"));
-        wheel.scheduleAt(at(7), () -> rung.add("later tick"));
+        wheel.scheduleAt(atMillis(5), () -> expired.add("same tick"));
+        wheel.scheduleAt(atMillis(7), () -> expired.add("later tick"));
         try {
-            wheel.advanceTo(at(10));
+            wheel.advanceTo(atMillis(10));
         } catch (IllegalStateException e) {
-            rung.add("told");
+            expired.add("thrown");
         }
-        wheel.advanceTo(at(10));
-        assertEquals(rung, List.of("told", "same tick", "later tick"));
+        wheel.advanceTo(atMillis(10));
+        assertEquals(expired, List.of("thrown", "same tick", "later tick"));
     }
 
     @Test
-    public void quietIsNeverLongerThanTheNextTimer() {
-        TimerWheel wheel = new TimerWheel(at(0));
-        wheel.scheduleAt(at(30), () -> {});
+    public void timeUntilNextTimerNeverExceedsTheNextTimer() {
+        TimerWheel wheel = new TimerWheel(atMillis(0));
+        wheel.scheduleAt(atMillis(30), () -> {});
         assertTrue(wheel.timeUntilNextTimer().compareTo(Span.ofMillis(31)) <= 0);
         assertTrue(wheel.timeUntilNextTimer().longerThan(Span.ofMillis(10)));
     }
--- a/src/test/java/martenslip/exchange/EventLogTest.java
+++ b/src/test/java/martenslip/exchange/EventLogTest.java
@@ -15,51 +15,52 @@
 import org.slf4j.LoggerFactory;
 import org.testng.annotations.Test;
 
+/** The rate limit of the event log holds when several threads write at once. */
 public class EventLogTest {
     private static final int THREADS = 8;
-    private static final int KINDS = 4000;
+    private static final int EVENT_COUNT = 4000;
 
-    /** The lanes and the decider of an exchange have one log in common. */
+    /** The lanes and the decider of an exchange share one log. */
     @Test
-    public void threadsWriteAtOnceAndTheLimitHoldsForAllOfThem() throws InterruptedException {
+    public void rateLimitHoldsAcrossThreadsThatWriteConcurrently() throws InterruptedException {
         Logger logger = (Logger) LoggerFactory.getLogger("martenslip.exchange");
         Queue<String> lines = new ConcurrentLinkedQueue<>();
-        AppenderBase<ILoggingEvent> all = new AppenderBase<>() {
+        AppenderBase<ILoggingEvent> appender = new AppenderBase<>() {
             @Override
             protected void append(ILoggingEvent event) {
                 lines.add(event.getMessage());
             }
         };
-        all.start();
-        logger.addAppender(all);
+        appender.start();
+        logger.addAppender(appender);
         logger.setAdditive(false);
         logger.setLevel(Level.INFO);
-        Queue<Throwable> faults = new ConcurrentLinkedQueue<>();
+        Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
         try {
-            write(new EventLog(0), faults);
+            writeFromAllThreads(new EventLog(0), failures);
         } finally {
-            logger.detachAppender(all);
+            logger.detachAppender(appender);
             logger.setAdditive(true);
             logger.setLevel(null);
         }
-        assertEquals(List.copyOf(faults), List.of());
+        assertEquals(List.copyOf(failures), List.of());
         assertEquals(lines.stream().filter("often"::equals).count(), 20);
-        assertEquals(lines.stream().distinct().count(), KINDS + 1);
+        assertEquals(lines.stream().distinct().count(), EVENT_COUNT + 1);
     }
 
-    private static void write(EventLog log, Queue<Throwable> faults) throws InterruptedException {
+    private static void writeFromAllThreads(EventLog log, Queue<Throwable> failures) throws InterruptedException {
         CyclicBarrier start = new CyclicBarrier(THREADS);
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < THREADS; i++) {
             Thread thread = new Thread(() -> {
                 try {
                     start.await();
-                    for (int kind = 0; kind < KINDS; kind++) {
-                        log.info(new Moment(0), "kind " + kind);
+                    for (int event = 0; event < EVENT_COUNT; event++) {
+                        log.info(new Moment(0), "kind " + event);
                         log.warn(new Moment(0), "often");
                     }
                 } catch (Exception e) {
-                    faults.add(e);
+                    failures.add(e);
                 }
             });
             threads.add(thread);
--- a/src/test/java/martenslip/exchange/MalformedMessageTest.java
+++ b/src/test/java/martenslip/exchange/MalformedMessageTest.java
@@ -22,9 +22,12 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Messages and notices that are cut short, out of range or no numbers: nothing throws, and each INVITE is answered. */
+/**
+ * Sends messages and notifications that are truncated or have invalid values: nothing may throw, and each INVITE must
+ * get one final answer.
+ */
 public class MalformedMessageTest {
-    private static final String[] ODD = {
+    private static final String[] INVALID_VALUES = {
         "",
         " ",
         "x",
@@ -72,108 +75,114 @@
             Content-Length: 4
 
             body""".replace("\n", "\r\n");
-    private final Logger log = (Logger) LoggerFactory.getLogger("martenslip.exchange");
+    private final Logger logger = (Logger) LoggerFactory.getLogger("martenslip.exchange");
 
     @BeforeClass
-    public void hush() {
-        log.setLevel(Level.OFF);
+    public void silenceLog() {
+        logger.setLevel(Level.OFF);
     }
 
     @AfterClass
-    public void speak() {
-        log.setLevel(null);
+    public void restoreLog() {
+        logger.setLevel(null);
     }
 
-    private static SimulatedExchange world() {
+    private static SimulatedExchange newExchange() {
         return new SimulatedExchange(
                 new SimulatedExchange.Scenario(false, 4, 0, 0, false, false, false),
                 Span.ofMillis(100),
-                (message, to) -> false);
+                (message, receiverPort) -> false);
     }
 
-    /** Cut short at each byte. */
-    private static List<String> cut(String good) {
-        List<String> all = new ArrayList<>();
-        for (int length = 0; length < good.length(); length++) {
-            all.add(good.substring(0, length));
+    /** The text truncated at each character. */
+    private static List<String> truncations(String valid) {
+        List<String> variants = new ArrayList<>();
+        for (int length = 0; length < valid.length(); length++) {
+            variants.add(valid.substring(0, length));
         }
-        return all;
+        return variants;
     }
 
-    private static List<String> spoilt(String good) {
-        List<String> all = cut(good);
-        String[] lines = good.split("\r\n", -1);
-        for (int line = 0; line < lines.length && !lines[line].isEmpty(); line++) {
-            int colon = line == 0 ? lines[0].indexOf(' ') : lines[line].indexOf(':');
-            for (String odd : ODD) {
+    /** The message truncated at each character, and with each header value replaced by each invalid value. */
+    private static List<String> malformedVariants(String valid) {
+        List<String> variants = truncations(valid);
+        String[] lines = valid.split("\r\n", -1);
+        for (int lineIndex = 0; lineIndex < lines.length && !lines[lineIndex].isEmpty(); lineIndex++) {
+            int colon = lineIndex == 0 ? lines[0].indexOf(' ') : lines[lineIndex].indexOf(':');
+            for (String value : INVALID_VALUES) {
                 String[] copy = lines.clone();
-                copy[line] = lines[line].substring(0, colon + 1) + " " + odd + (line == 0 ? " SIP/2.0" : "");
-                all.add(String.join("\r\n", copy));
+                copy[lineIndex] =
+                        lines[lineIndex].substring(0, colon + 1) + " " + value + (lineIndex == 0 ? " SIP/2.0" : "");
+                variants.add(String.join("\r\n", copy));
             }
         }
-        return all;
+        return variants;
     }
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static long finals(SimulatedExchange world) {
-        return world.sentTo(-1).stream()
-                .filter(one -> one instanceof Response response && response.status() >= 200)
-                .map(one -> ((Response) one).status())
+    /** Number of different final status codes that the exchange has sent. */
+    private static long finalStatusCount(SimulatedExchange exchange) {
+        return exchange.sentTo(-1).stream()
+                .filter(message -> message instanceof Response response && response.status() >= 200)
+                .map(message -> ((Response) message).status())
                 .distinct()
                 .count();
     }
 
     @Test
-    public void eachInviteThatCanBeAnsweredGetsOneFinalAnswer() {
-        Set<String> wrong = new TreeSet<>();
-        for (String text : spoilt(INVITE)) {
-            SimulatedExchange world = world();
+    public void eachAnswerableInviteGetsOneFinalAnswer() {
+        Set<String> failures = new TreeSet<>();
+        for (String text : malformedVariants(INVITE)) {
+            SimulatedExchange exchange = newExchange();
             try {
-                boolean request = world.arrive(bytes(text), 1000);
-                world.passes(1200);
-                // Without a Via that can be read there is nobody to answer; that is counted.
-                if (request && text.contains("\r\nVia: SIP/2.0/") && finals(world) != 1) {
-                    wrong.add(finals(world) + " answers to " + text.substring(0, Math.min(700, text.length())));
+                boolean isRequest = exchange.receive(bytes(text), 1000);
+                exchange.advanceMillis(1200);
+                // Without a valid Via nobody can be answered; the exchange counts such requests.
+                if (isRequest && text.contains("\r\nVia: SIP/2.0/") && finalStatusCount(exchange) != 1) {
+                    failures.add(finalStatusCount(exchange) + " answers to "
+                            + text.substring(0, Math.min(700, text.length())));
                 }
             } catch (RuntimeException e) {
-                wrong.add(e + " at " + e.getStackTrace()[0] + " by " + text.substring(0, Math.min(700, text.length())));
+                failures.add(
+                        e + " at " + e.getStackTrace()[0] + " by " + text.substring(0, Math.min(700, text.length())));
             }
         }
-        assertEquals(wrong, Set.of());
+        assertEquals(failures, Set.of());
     }
 
-    /** The switch's answers: whatever they hold, the caller has one final answer when its patience is over. */
+    /** Whatever the responses of a switch contain, the caller has one final answer when its patience is over. */
     @Test
-    public void noAnswerOfASwitchCostsTheContactItsOwn() throws InvalidValueException {
-        Set<String> wrong = new TreeSet<>();
+    public void malformedSwitchResponsesDoNotPreventTheFinalAnswer() throws InvalidValueException {
+        Set<String> failures = new TreeSet<>();
         for (int status : new int[] {180, 200, 503}) {
-            SimulatedExchange first = world();
-            first.arrive(bytes(INVITE), 1000);
-            Response good = ((Request) first.sentTo(3001).get(0)).createResponse(status, "x", "tag");
-            good.headers().add("Contact", "<sip:b@127.0.0.1:3001>").add("Retry-After", "1");
-            good.headers().add("Martenslip-Load", "depth=3;wait=2;spare=3;total=4");
-            good.headers().add("Reason", "Q.850;cause=34;location=LN");
-            for (String text : spoilt(new String(good.bytes(), StandardCharsets.UTF_8))) {
-                SimulatedExchange world = world();
+            SimulatedExchange templateExchange = newExchange();
+            templateExchange.receive(bytes(INVITE), 1000);
+            Response validResponse =
+                    ((Request) templateExchange.sentTo(3001).get(0)).createResponse(status, "x", "tag");
+            validResponse.headers().add("Contact", "<sip:b@127.0.0.1:3001>").add("Retry-After", "1");
+            validResponse.headers().add("Martenslip-Load", "depth=3;wait=2;spare=3;total=4");
+            validResponse.headers().add("Reason", "Q.850;cause=34;location=LN");
+            for (String text : malformedVariants(new String(validResponse.bytes(), StandardCharsets.UTF_8))) {
+                SimulatedExchange exchange = newExchange();
                 try {
-                    world.arrive(bytes(INVITE), 1000);
-                    world.arrive(bytes(text), 3001);
-                    world.passes(1200);
-                    if (finals(world) != 1) {
-                        wrong.add(finals(world) + " answers after " + text);
+                    exchange.receive(bytes(INVITE), 1000);
+                    exchange.receive(bytes(text), 3001);
+                    exchange.advanceMillis(1200);
+                    if (finalStatusCount(exchange) != 1) {
+                        failures.add(finalStatusCount(exchange) + " answers after " + text);
                     }
                 } catch (RuntimeException e) {
-                    wrong.add(e + " at " + e.getStackTrace()[0] + " by " + text);
+                    failures.add(e + " at " + e.getStackTrace()[0] + " by " + text);
                 }
             }
         }
-        assertEquals(wrong, Set.of());
+        assertEquals(failures, Set.of());
     }
 
-    private static final String LIST = """
+    private static final String SWITCH_LIST = """
             <switches xmlns="urn:martenslip:switches:1" version="3" extent="full">
             <switch uri="sip:127.0.0.1:3001" number="1" region="r" state="ready" started="2026-12-01T10:00:00Z"/>
             </switches>""";
@@ -182,34 +191,35 @@
             <group name="g1" total="4" free="2"/></circuits>""";
 
     @Test
-    public void noticesAreReadOrRefusedWithAReason() {
-        EventPackageCodec text = new EventPackageCodec(List.of("r"), new Moment(0), Instant.EPOCH);
-        Set<String> wrong = new TreeSet<>();
-        int refused = 0;
-        for (String good : new String[] {LIST, CIRCUITS}) {
-            for (String bad : attributes(good)) {
+    public void notificationsAreParsedOrRefusedWithAReason() {
+        EventPackageCodec codec = new EventPackageCodec(List.of("r"), new Moment(0), Instant.EPOCH);
+        Set<String> failures = new TreeSet<>();
+        int refusedCount = 0;
+        for (String valid : new String[] {SWITCH_LIST, CIRCUITS}) {
+            for (String malformed : malformedAttributes(valid)) {
                 try {
-                    if (good == LIST) {
-                        text.parseSwitchList(bytes(bad));
+                    if (valid == SWITCH_LIST) {
+                        codec.parseSwitchList(bytes(malformed));
                     } else {
-                        text.parseCircuitList(bytes(bad));
+                        codec.parseCircuitList(bytes(malformed));
                     }
                 } catch (InvalidFileException | InvalidValueException e) {
-                    refused += e.getMessage().isBlank() ? 0 : 1;
+                    refusedCount += e.getMessage().isBlank() ? 0 : 1;
                 } catch (RuntimeException e) {
-                    wrong.add(e + " at " + e.getStackTrace()[0] + " by " + bad);
+                    failures.add(e + " at " + e.getStackTrace()[0] + " by " + malformed);
                 }
             }
         }
-        assertEquals(wrong, Set.of());
-        assertEquals(refused > 400, true, "" + refused);
+        assertEquals(failures, Set.of());
+        assertEquals(refusedCount > 400, true, "" + refusedCount);
     }
 
-    private static List<String> attributes(String good) {
-        List<String> all = cut(good);
-        for (int from = good.indexOf("=\""); from > 0; from = good.indexOf("=\"", from + 1)) {
-            int to = good.indexOf('"', from + 2);
-            for (String odd : new String[] {
+    /** The XML body truncated at each character, and with each attribute replaced by each invalid value. */
+    private static List<String> malformedAttributes(String valid) {
+        List<String> variants = truncations(valid);
+        for (int valueStart = valid.indexOf("=\""); valueStart > 0; valueStart = valid.indexOf("=\"", valueStart + 1)) {
+            int valueEnd = valid.indexOf('"', valueStart + 2);
+            for (String value : new String[] {
                 "",
                 "-1",
                 "1.5",
@@ -228,9 +238,9 @@
                 "2026-12-01T10:00:00",
                 "2026-12-01T24:00:00Z"
             }) {
-                all.add(good.substring(0, from + 2) + odd + good.substring(to));
+                variants.add(valid.substring(0, valueStart + 2) + value + valid.substring(valueEnd));
             }
         }
-        return all;
+        return variants;
     }
 }
--- a/src/test/java/martenslip/exchange/RingOutcomeTest.java
+++ b/src/test/java/martenslip/exchange/RingOutcomeTest.java
@@ -11,6 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Responses to a ring are mapped to outcomes, and load reports are written and parsed without loss. */
 public class RingOutcomeTest {
     private static Response response(int status, String reason) {
         Headers headers = new Headers();
@@ -43,22 +44,23 @@
     }
 
     @Test(dataProvider = "responses")
-    public void aResponseIsAnOutcome(int status, String reason, RingEndCause cause, RejectionReason blame) {
-        assertEquals(RingOutcome.of(response(status, reason)), new RingOutcome(cause, blame));
+    public void responseMapsToOutcome(int status, String reason, RingEndCause cause, RejectionReason rejectionReason) {
+        assertEquals(RingOutcome.of(response(status, reason)), new RingOutcome(cause, rejectionReason));
     }
 
     @Test
-    public void aLoadReportComesBackAsItWasPut() throws InvalidValueException {
-        SipLoadReport rate = new SipLoadReport(17, -1, 4, 12.5, 9, 40);
+    public void loadReportSurvivesWritingAndParsing() throws InvalidValueException {
+        SipLoadReport rateReport = new SipLoadReport(17, -1, 4, 12.5, 9, 40);
         Response response = response(200, "");
-        rate.writeTo(response, 500, "1.0");
-        assertEquals(SipLoadReport.of(response), rate);
-        SipLoadReport loss = new SipLoadReport(-1, 0.25, -1, -1, -1, -1);
-        Response other = response(503, "");
-        loss.writeTo(other, 500, "2.0");
-        assertEquals(SipLoadReport.of(other), loss);
-        Response ended = response(200, "");
-        rate.writeTo(ended, 0, "3.0");
-        assertEquals(SipLoadReport.of(ended).allowedRate(), -1.0, "overload control that has ended (RFC 7339 4.4)");
+        rateReport.writeTo(response, 500, "1.0");
+        assertEquals(SipLoadReport.of(response), rateReport);
+        SipLoadReport lossReport = new SipLoadReport(-1, 0.25, -1, -1, -1, -1);
+        Response lossResponse = response(503, "");
+        lossReport.writeTo(lossResponse, 500, "2.0");
+        assertEquals(SipLoadReport.of(lossResponse), lossReport);
+        Response endedResponse = response(200, "");
+        rateReport.writeTo(endedResponse, 0, "3.0");
+        assertEquals(
+                SipLoadReport.of(endedResponse).allowedRate(), -1.0, "overload control that has ended (RFC 7339 4.4)");
     }
 }
--- a/src/test/java/martenslip/exchange/SimulatedExchange.java
+++ b/src/test/java/martenslip/exchange/SimulatedExchange.java
@@ -50,37 +50,51 @@
 import martenslip.sip.transport.TransportEvent;
 
 /**
- * One exchange's real SIP, contacts, decider and module on driven time, between a caller and two switches that are
- * real ends too. It says which events may come next; the rules are judged by what leaves and reaches the exchange.
+ * The real SIP layers, contacts, decider and routing policy of one exchange on simulated time, between a caller and two
+ * switches that use the real SIP layers too. It lists the events that may come next, and checks the rules on the
+ * messages that the exchange sends and receives.
  */
 final class SimulatedExchange implements InterleavingExplorer.Simulation {
-    private static final int CALLER = 1000;
-    private static final int EXCHANGE = 2000;
-    private static final ExchangeConfiguration SITE = site(300);
-    private static final Span SLACK = Span.ofMillis(20);
-    private static final Span SILENCE = Span.ofMillis(300);
-    /** No message is longer under way. */
-    private static final Span LIFE = Span.ofMillis(4000);
-
-    private static final int LONGEST = 80_000;
-
+    private static final int CALLER_PORT = 1000;
+    private static final int EXCHANGE_PORT = 2000;
+    /** The switch of exchange n listens on this port plus n. */
+    private static final int SWITCH_PORT_BASE = 3000;
+
+    private static final ExchangeConfiguration CONFIGURATION = configuration(300);
+    private static final Span ANSWER_TOLERANCE = Span.ofMillis(20);
+    private static final Span SILENCE_TIMEOUT = Span.ofMillis(300);
+    /** The longest time that a message may be in flight. */
+    private static final Span MAX_MESSAGE_TRANSIT_TIME = Span.ofMillis(4000);
+
+    private static final int MAX_TIME_STEPS = 80_000;
+
+    /**
+     * What may happen: TCP or UDP, the free circuits of the direct group, at most how many losses and refusals, whether
+     * the caller may leave before an answer, a switch may hang up, and the connections to the switches may break.
+     */
     record Scenario(
-            boolean tcp, int circuits, int losses, int refusals, boolean callerLeaves, boolean byes, boolean breaks) {}
+            boolean tcp,
+            int freeCircuits,
+            int maxLosses,
+            int maxRefusals,
+            boolean callerLeaves,
+            boolean hangUps,
+            boolean connectionBreaks) {}
 
-    private record InFlightMessage(int from, int to, Message message, byte[] bytes, Moment since) {}
+    private record InFlightMessage(int senderPort, int receiverPort, Message message, byte[] bytes, Moment sentAt) {}
 
     private final class SimulatedEndpoint implements UserAgentCore {
         final int port;
-        final DialogLayer calls;
+        final DialogLayer dialogLayer;
         final List<UasCall> ringing = new ArrayList<>();
-        final List<UasCall> standing = new ArrayList<>();
+        final List<UasCall> established = new ArrayList<>();
 
         SimulatedEndpoint(int port) {
             this.port = port;
-            calls = new DialogLayer(
-                    wheel,
+            dialogLayer = new DialogLayer(
+                    timerWheel,
                     TransactionTimers.DELAYED_TRYING,
-                    outlet(port),
+                    messageSender(port),
                     new IdGenerator(port),
                     this,
                     new DropCounter(),
@@ -89,8 +103,8 @@
 
         @Override
         public void inviteReceived(UasCall call) {
-            if (port == EXCHANGE) {
-                contacts.incoming(call);
+            if (port == EXCHANGE_PORT) {
+                contacts.inviteReceived(call);
                 return;
             }
             ringing.add(call);
@@ -102,8 +116,8 @@
                 }
 
                 @Override
-                public void ended(CallEndReason why, Request bye) {
-                    standing.remove(call);
+                public void ended(CallEndReason endReason, Request bye) {
+                    established.remove(call);
                 }
             });
         }
@@ -115,7 +129,7 @@
 
         @Override
         public void connectionLost(Hop hop, boolean everUp) {
-            // The calls are told by themselves.
+            // The calls are notified by the dialog layer.
         }
 
         @Override
@@ -124,101 +138,113 @@
         }
     }
 
-    /** A ring as the wire shows it. */
+    /** A ring as seen in the messages. */
     private static final class ObservedRing {
         final String contact;
-        final Moment first;
-        boolean heard;
-        boolean over;
-        Moment last;
+        final Moment firstSentAt;
+        boolean responseReceived;
+        boolean ended;
+        Moment lastSentAt;
 
-        ObservedRing(String contact, Moment at) {
+        ObservedRing(String contact, Moment sentAt) {
             this.contact = contact;
-            first = at;
-            last = at;
+            firstSentAt = sentAt;
+            lastSentAt = sentAt;
         }
     }
 
     private final RuleChecker rules;
-    private final Scenario plan;
-    private final BiPredicate<Message, Integer> doubles;
-    private final TimerWheel wheel = new TimerWheel(new Moment(0));
-    private final Map<Integer, SimulatedEndpoint> ends = new LinkedHashMap<>();
-    private final List<InFlightMessage> flying = new ArrayList<>();
-    private final Map<String, ObservedRing> rings = new LinkedHashMap<>();
-    private final Map<String, String> contactOf = new HashMap<>();
-    private final Map<String, String> answers = new HashMap<>();
-    private final Set<String> offered = new HashSet<>();
+    private final Scenario scenario;
+    private final BiPredicate<Message, Integer> duplicated;
+    private final TimerWheel timerWheel = new TimerWheel(new Moment(0));
+    private final Map<Integer, SimulatedEndpoint> endpoints = new LinkedHashMap<>();
+    private final List<InFlightMessage> inFlightMessages = new ArrayList<>();
+    private final Map<String, ObservedRing> ringsByCallId = new LinkedHashMap<>();
+    private final Map<String, String> contactsBySessionId = new HashMap<>();
+    private final Map<String, String> answersByContact = new HashMap<>();
+    private final Set<String> offeredCallIds = new HashSet<>();
     private final Contacts contacts;
     private final Decider decider;
-    private final HandoverStore estate = new HandoverStore(0, 1);
-    private UacCall call;
-    private boolean callStands;
-    private boolean callOver;
-    private int losses;
-    private int refusals;
-    private boolean left;
+    private final HandoverStore handoverStore = new HandoverStore(0, 1);
+    private UacCall callerCall;
+    private boolean callEstablished;
+    private boolean callEnded;
+    private int lossCount;
+    private int refusalCount;
+    private boolean callerLeft;
     private boolean hungUp;
-    private boolean broke;
-    private long now;
+    private boolean connectionBroken;
+    private long nowMs;
 
-    SimulatedExchange(Scenario plan, Span release, BiPredicate<Message, Integer> doubles) {
-        this(SITE, plan, release, doubles);
+    SimulatedExchange(Scenario scenario, Span releaseTime, BiPredicate<Message, Integer> duplicated) {
+        this(CONFIGURATION, scenario, releaseTime, duplicated);
     }
 
-    SimulatedExchange(ExchangeConfiguration site, Scenario plan, Span release, BiPredicate<Message, Integer> doubles) {
-        this.plan = plan;
-        this.doubles = doubles;
-        rules = new RuleChecker(Span.ofMillis(500), release, Span.ofMillis(1000));
+    SimulatedExchange(
+            ExchangeConfiguration configuration,
+            Scenario scenario,
+            Span releaseTime,
+            BiPredicate<Message, Integer> duplicated) {
+        this.scenario = scenario;
+        this.duplicated = duplicated;
+        rules = new RuleChecker(Span.ofMillis(500), releaseTime, Span.ofMillis(1000));
         EventLog log = new EventLog(0);
-        LaneCommandDispatcher hands = new LaneCommandDispatcher(1, new LaneCommandDispatcher.Channel() {
+        LaneCommandDispatcher laneCommands = new LaneCommandDispatcher(1, new LaneCommandDispatcher.Channel() {
             @Override
-            public void toContacts(int lane, Consumer<Contacts> order) {
-                order.accept(contacts);
+            public void toContacts(int laneNumber, Consumer<Contacts> command) {
+                command.accept(contacts);
             }
 
             @Override
-            public void toSurroundings(Consumer<NetworkMonitor> order) {
-                // Nothing is asked of the list's service here.
+            public void toNetworkMonitor(Consumer<NetworkMonitor> command) {
+                // The simulation has no switch list service and no peers.
             }
         });
-        decider = new Decider(site, RoutingPolicy::new, 1, wheel, hands, log);
-        LaneReportDispatcher reports = new LaneReportDispatcher((report, refusable) -> {
+        decider = new Decider(configuration, RoutingPolicy::new, 1, timerWheel, laneCommands, log);
+        LaneReportDispatcher reports = new LaneReportDispatcher((report, mayBeRefused) -> {
             report.accept(decider);
             return true;
         });
-        for (int port : new int[] {CALLER, EXCHANGE, 3001, 3002}) {
-            ends.put(port, new SimulatedEndpoint(port));
+        for (int port : new int[] {CALLER_PORT, EXCHANGE_PORT, 3001, 3002}) {
+            endpoints.put(port, new SimulatedEndpoint(port));
         }
         contacts = new Contacts(
-                site, ends.get(EXCHANGE).calls, 0, estate, reports, () -> false, log, new ExchangeStatistics());
-        world();
+                configuration,
+                endpoints.get(EXCHANGE_PORT).dialogLayer,
+                0,
+                handoverStore,
+                reports,
+                () -> false,
+                log,
+                new ExchangeStatistics());
+        loadSwitchesAndCircuits();
     }
 
-    private void world() {
-        List<ListedSwitch> lines = new ArrayList<>();
-        for (int number = 0; number < 3; number++) {
-            InetSocketAddress at = new InetSocketAddress("127.0.0.1", 3000 + number);
+    private void loadSwitchesAndCircuits() {
+        List<ListedSwitch> listedSwitches = new ArrayList<>();
+        for (int exchangeNumber = 0; exchangeNumber < 3; exchangeNumber++) {
+            InetSocketAddress address = new InetSocketAddress("127.0.0.1", SWITCH_PORT_BASE + exchangeNumber);
             try {
-                lines.add(new ListedSwitch(
-                        new SwitchEntry(EventPackageCodec.switchId(at), number, SwitchEntry.State.READY, null, 0),
-                        SipUri.of(null, "127.0.0.1", 3000 + number),
-                        hop(3000 + number)));
+                listedSwitches.add(new ListedSwitch(
+                        new SwitchEntry(
+                                EventPackageCodec.switchId(address), exchangeNumber, SwitchEntry.State.READY, null, 0),
+                        SipUri.of(null, "127.0.0.1", SWITCH_PORT_BASE + exchangeNumber),
+                        hop(SWITCH_PORT_BASE + exchangeNumber)));
             } catch (InvalidValueException e) {
                 throw new IllegalStateException(e);
             }
         }
-        decider.listed(ListKind.FULL, lines);
-        decider.circuits(List.of(
-                new EventPackageCodec.GroupState("g1", 4, plan.circuits),
+        decider.switchListReceived(ListKind.FULL, listedSwitches);
+        decider.groupStatesReceived(List.of(
+                new EventPackageCodec.GroupState("g1", 4, scenario.freeCircuits),
                 new EventPackageCodec.GroupState("g2", 4, 4)));
-        decider.begin();
-        decider.tellAll();
+        decider.start();
+        decider.deliverPendingEvents();
     }
 
-    /** {@code silence} is after how many milliseconds a ring without a word is given up. */
-    static ExchangeConfiguration site(int silence) {
-        String text = """
+    /** A configuration that gives up a ring without a response after this time. */
+    static ExchangeConfiguration configuration(int silenceMs) {
+        String xml = """
                 <exchange xmlns="urn:martenslip:exchange:1" number="0" region="r" seed="1">
                 <listen host="127.0.0.1" udp="2000" tcp="2000"/><circuits uri="sip:c@127.0.0.1:9"/>
                 <switch-list uri="sip:l@127.0.0.1:9" kept="k.xml"/><regions><region name="r"/></regions>
@@ -230,132 +256,137 @@
                 <limits most-rings="3" most-open="20" come-back-ms="2000" silence-ms="%d"/>
                 <rules release-ms="100" cold-share="0.3" warm-within-ms="1000" fall-multiple="3"/>
                 <reports fields="allowed depth"/><peers/></exchange>
-                """.formatted(silence);
+                """.formatted(silenceMs);
         try {
-            return ExchangeFile.read("test", text.getBytes(StandardCharsets.UTF_8), Path.of("."));
+            return ExchangeFile.read("test", xml.getBytes(StandardCharsets.UTF_8), Path.of("."));
         } catch (InvalidFileException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private Hop hop(int port) {
-        return new Hop(plan.tcp ? Hop.Protocol.TCP : Hop.Protocol.UDP, new InetSocketAddress("127.0.0.1", port), 0);
+        return new Hop(scenario.tcp ? Hop.Protocol.TCP : Hop.Protocol.UDP, new InetSocketAddress("127.0.0.1", port), 0);
     }
 
-    private Moment at() {
-        return wheel.now();
+    private Moment now() {
+        return timerWheel.now();
     }
 
-    private MessageSender outlet(int port) {
+    private MessageSender messageSender(int port) {
         return new MessageSender() {
             @Override
-            public boolean send(byte[] bytes, Hop to) {
+            public boolean send(byte[] bytes, Hop hop) {
                 Message message = MessageParser.parse(bytes, bytes.length).message();
-                int times =
-                        port == EXCHANGE && doubles.test(message, to.address().getPort()) ? 2 : 1;
+                int times = port == EXCHANGE_PORT
+                                && duplicated.test(message, hop.address().getPort())
+                        ? 2
+                        : 1;
                 for (int i = 0; i < times; i++) {
-                    Message one = i == 0 ? message : other(message);
-                    if (port == EXCHANGE) {
-                        leaves(one, to.address().getPort());
+                    Message copy = i == 0 ? message : alteredCopy(message);
+                    if (port == EXCHANGE_PORT) {
+                        messageSent(copy, hop.address().getPort());
                     }
-                    flying.add(new InFlightMessage(port, to.address().getPort(), one, one.bytes(), at()));
+                    inFlightMessages.add(new InFlightMessage(port, hop.address().getPort(), copy, copy.bytes(), now()));
                 }
                 return true;
             }
 
             @Override
-            public String sentBy(Hop.Protocol kind) {
+            public String sentBy(Hop.Protocol protocol) {
                 return "127.0.0.1:" + port;
             }
         };
     }
 
-    /** The planted fault: the same in another transaction, or another final answer. */
-    private static Message other(Message message) {
+    /** The injected fault: the same request in another transaction, or a second final answer. */
+    private static Message alteredCopy(Message message) {
         byte[] bytes = message.bytes();
         Message copy = MessageParser.parse(bytes, bytes.length).message();
         if (copy instanceof Request) {
             copy.headers().set("Call-ID", copy.callId() + "x");
             return copy;
         }
-        return new Response(599, "Planted", copy.headers());
+        return new Response(599, "Injected", copy.headers());
     }
 
-    // What the wire shows.
+    // Checks on the messages that the exchange sends and receives.
 
-    private void leaves(Message message, int to) {
+    private void messageSent(Message message, int receiverPort) {
         try {
             if (message instanceof Response response
-                    && to == CALLER
+                    && receiverPort == CALLER_PORT
                     && response.status() >= 200
                     && response.cseq().method().equals("INVITE")) {
-                String is = response.status() + " " + response.to().tag();
-                String before = answers.putIfAbsent(response.callId(), is);
-                if (before == null || !before.equals(is)) {
-                    rules.contactAnswered(at(), response.callId());
+                String answer = response.status() + " " + response.to().tag();
+                String earlierAnswer = answersByContact.putIfAbsent(response.callId(), answer);
+                if (earlierAnswer == null || !earlierAnswer.equals(answer)) {
+                    rules.contactAnswered(now(), response.callId());
                 }
-            } else if (message instanceof Request request && request.hasMethod("INVITE") && to >= 3000) {
-                ring(request, to);
+            } else if (message instanceof Request request
+                    && request.hasMethod("INVITE")
+                    && receiverPort >= SWITCH_PORT_BASE) {
+                inviteSent(request, receiverPort);
             } else if (message instanceof Request request && request.hasMethod("CANCEL")) {
-                over(request.callId(), true);
+                ringEnded(request.callId(), true);
             }
         } catch (InvalidValueException e) {
-            // A 400 bears what was wrong; it is an answer to no contact.
+            // A 400 may repeat the invalid value; it answers no contact.
             return;
         }
     }
 
-    private void ring(Request request, int to) {
-        String contact = contactOf.get(request.headers().first("Session-ID"));
-        ObservedRing known = rings.get(request.callId());
-        if (known != null) {
-            known.last = at();
-            boolean beside = rings.values().stream().anyMatch(one -> one != known && !one.over);
-            if (known.over || answers.containsKey(contact) || beside) {
-                rules.ringSent(at(), "0", contact, to);
+    private void inviteSent(Request invite, int receiverPort) {
+        String contact = contactsBySessionId.get(invite.headers().first("Session-ID"));
+        ObservedRing earlierRing = ringsByCallId.get(invite.callId());
+        if (earlierRing != null) {
+            earlierRing.lastSentAt = now();
+            boolean otherInFlight =
+                    ringsByCallId.values().stream().anyMatch(ring -> ring != earlierRing && !ring.ended);
+            if (earlierRing.ended || answersByContact.containsKey(contact) || otherInFlight) {
+                rules.ringSent(now(), "0", contact, receiverPort);
             }
             return;
         }
-        for (ObservedRing one : rings.values()) {
-            if (!one.over && !one.heard && !at().before(one.first.plus(SILENCE))) {
-                // Given up without a word: nothing of it may go out after this.
-                one.over = true;
-                rules.ringEnded(one.last, contact, true);
+        for (ObservedRing ring : ringsByCallId.values()) {
+            if (!ring.ended && !ring.responseReceived && !now().before(ring.firstSentAt.plus(SILENCE_TIMEOUT))) {
+                // Given up without a response: nothing of this ring may be sent any more.
+                ring.ended = true;
+                rules.ringEnded(ring.lastSentAt, contact, true);
             }
         }
-        rings.put(request.callId(), new ObservedRing(contact, at()));
-        rules.ringSent(at(), "0", contact, to);
+        ringsByCallId.put(invite.callId(), new ObservedRing(contact, now()));
+        rules.ringSent(now(), "0", contact, receiverPort);
     }
 
-    private void over(String callId, boolean held) {
-        ObservedRing ring = rings.get(callId);
-        if (ring != null && !ring.over) {
-            ring.over = true;
-            rules.ringEnded(at(), ring.contact, held);
+    private void ringEnded(String callId, boolean mayHoldCircuits) {
+        ObservedRing ring = ringsByCallId.get(callId);
+        if (ring != null && !ring.ended) {
+            ring.ended = true;
+            rules.ringEnded(now(), ring.contact, mayHoldCircuits);
         }
     }
 
-    private void reaches(Message message) {
+    private void messageReceived(Message message) {
         try {
             if (message instanceof Request request
                     && request.hasMethod("INVITE")
                     && request.to().tag().isEmpty()
-                    && offered.add(request.callId())) {
-                contactOf.put(request.headers().first("Session-ID"), request.callId());
+                    && offeredCallIds.add(request.callId())) {
+                contactsBySessionId.put(request.headers().first("Session-ID"), request.callId());
                 rules.contactTaken(
-                        request.callId(), at().plus(Span.ofMillis(1000)).plus(SLACK));
+                        request.callId(), now().plus(Span.ofMillis(1000)).plus(ANSWER_TOLERANCE));
             } else if (message instanceof Response response
-                    && rings.containsKey(response.callId())
+                    && ringsByCallId.containsKey(response.callId())
                     && response.cseq().method().equals("INVITE")) {
-                rings.get(response.callId()).heard = true;
-                ReleaseCause release = ReleaseCause.of(response);
-                boolean beyond = release != null && release.hasLocation(ReleaseCause.TRANSIT_NETWORK);
+                ringsByCallId.get(response.callId()).responseReceived = true;
+                ReleaseCause releaseCause = ReleaseCause.of(response);
+                boolean fromTransit = releaseCause != null && releaseCause.hasLocation(ReleaseCause.TRANSIT_NETWORK);
                 if (response.status() >= 300) {
-                    over(
+                    ringEnded(
                             response.callId(),
                             response.status() == 408
                                     || response.status() == 487
-                                    || response.status() == 504 && !beyond);
+                                    || response.status() == 504 && !fromTransit);
                 }
             }
         } catch (InvalidValueException e) {
@@ -363,83 +394,86 @@
         }
     }
 
-    // What may come next.
+    // Events that may come next.
 
     @Override
     public List<Event> enabledEvents() {
-        List<Event> all = new ArrayList<>();
-        if (call == null) {
-            all.add(new Event("call", this::call));
-            return all;
+        List<Event> events = new ArrayList<>();
+        if (callerCall == null) {
+            events.add(new Event("call", this::startCall));
+            return events;
         }
-        Set<String> pairs = new HashSet<>();
-        for (InFlightMessage one : List.copyOf(flying)) {
-            String name = one.from + ">" + one.to + " " + word(one.message);
-            boolean next = plan.tcp ? pairs.add(one.from + ">" + one.to) : pairs.add(name);
-            if (next) {
-                all.add(new Event(name, () -> deliver(one)));
-                if (!plan.tcp && losses < plan.losses) {
-                    all.add(new Event(name + " lost", () -> {
-                        losses++;
-                        flying.remove(one);
+        Set<String> usedPaths = new HashSet<>();
+        for (InFlightMessage message : List.copyOf(inFlightMessages)) {
+            String eventName = message.senderPort + ">" + message.receiverPort + " " + label(message.message);
+            boolean deliverable = scenario.tcp
+                    ? usedPaths.add(message.senderPort + ">" + message.receiverPort)
+                    : usedPaths.add(eventName);
+            if (deliverable) {
+                events.add(new Event(eventName, () -> deliver(message)));
+                if (!scenario.tcp && lossCount < scenario.maxLosses) {
+                    events.add(new Event(eventName + " lost", () -> {
+                        lossCount++;
+                        inFlightMessages.remove(message);
                     }));
                 }
             }
         }
-        switches(all);
-        if (plan.callerLeaves && !left && !callStands && !callOver) {
-            all.add(new Event("caller leaves", () -> {
-                left = true;
-                call.cancel(null);
+        addSwitchEvents(events);
+        if (scenario.callerLeaves && !callerLeft && !callEstablished && !callEnded) {
+            events.add(new Event("caller leaves", () -> {
+                callerLeft = true;
+                callerCall.cancel(null);
             }));
         }
-        if (callStands && !callOver) {
-            all.add(new Event("caller hangs up", () -> {
-                callOver = true;
-                call.bye(null);
+        if (callEstablished && !callEnded) {
+            events.add(new Event("caller hangs up", () -> {
+                callEnded = true;
+                callerCall.bye(null);
             }));
         }
-        if (plan.breaks && !broke && !rings.isEmpty()) {
-            all.add(new Event("connection breaks", this::breaks));
+        if (scenario.connectionBreaks && !connectionBroken && !ringsByCallId.isEmpty()) {
+            events.add(new Event("connection breaks", this::breakConnection));
         }
-        if (busy() && !old()) {
-            all.add(new Event("time", this::time));
+        if (hasOpenWork() && !hasOverdueMessage()) {
+            events.add(new Event("time", this::advanceToNextChange));
         }
-        return all;
+        return events;
     }
 
-    private void switches(List<Event> all) {
+    private void addSwitchEvents(List<Event> events) {
         for (int port : new int[] {3001, 3002}) {
-            SimulatedEndpoint end = ends.get(port);
-            for (UasCall one : List.copyOf(end.ringing)) {
-                all.add(new Event(port + " answers", () -> {
-                    end.ringing.remove(one);
-                    end.standing.add(one);
-                    one.accept(one.response(200, "OK"));
+            SimulatedEndpoint endpoint = endpoints.get(port);
+            for (UasCall switchCall : List.copyOf(endpoint.ringing)) {
+                events.add(new Event(port + " answers", () -> {
+                    endpoint.ringing.remove(switchCall);
+                    endpoint.established.add(switchCall);
+                    switchCall.accept(switchCall.response(200, "OK"));
                 }));
-                for (int status : refusals < plan.refusals ? new int[] {503, 408} : new int[] {}) {
-                    all.add(new Event(port + " " + status, () -> {
-                        refusals++;
-                        end.ringing.remove(one);
-                        one.refuse(one.response(status, "No"));
+                for (int status : refusalCount < scenario.maxRefusals ? new int[] {503, 408} : new int[] {}) {
+                    events.add(new Event(port + " " + status, () -> {
+                        refusalCount++;
+                        endpoint.ringing.remove(switchCall);
+                        switchCall.refuse(switchCall.response(status, "No"));
                     }));
                 }
             }
-            for (UasCall one : plan.byes && !hungUp ? List.copyOf(end.standing) : List.<UasCall>of()) {
-                all.add(new Event(port + " hangs up", () -> {
+            for (UasCall switchCall :
+                    scenario.hangUps && !hungUp ? List.copyOf(endpoint.established) : List.<UasCall>of()) {
+                events.add(new Event(port + " hangs up", () -> {
                     hungUp = true;
-                    end.standing.remove(one);
-                    one.bye(null);
+                    endpoint.established.remove(switchCall);
+                    switchCall.bye(null);
                 }));
             }
         }
     }
 
-    static String word(Message message) {
+    static String label(Message message) {
         return message instanceof Request request ? request.method() : "" + ((Response) message).status();
     }
 
-    private void call() {
+    private void startCall() {
         Headers headers = new Headers();
         headers.add("Max-Forwards", "70").add("From", "<sip:a@127.0.0.1>;tag=f").add("To", "<sip:+1555@127.0.0.1>");
         headers.add("Call-ID", "contact")
@@ -447,131 +481,153 @@
                 .add("Session-ID", "session")
                 .add("Expires", "1");
         Request invite =
-                new Request("INVITE", "sip:+1555@127.0.0.1:2000" + (plan.tcp ? ";transport=tcp" : ""), headers);
-        call = ends.get(CALLER).calls.startCall(invite, hop(EXCHANGE), new UacCall.Listener() {
-            @Override
-            public void progress(Response response) {
-                // Not judged.
-            }
+                new Request("INVITE", "sip:+1555@127.0.0.1:2000" + (scenario.tcp ? ";transport=tcp" : ""), headers);
+        callerCall = endpoints
+                .get(CALLER_PORT)
+                .dialogLayer
+                .startCall(invite, hop(EXCHANGE_PORT), new UacCall.Listener() {
+                    @Override
+                    public void progress(Response response) {
+                        // Provisional responses are not checked.
+                    }
 
-            @Override
-            public void established(Response response) {
-                callStands = true;
-            }
+                    @Override
+                    public void established(Response response) {
+                        callEstablished = true;
+                    }
 
-            @Override
-            public void refused(Response response) {
-                callOver = true;
-            }
+                    @Override
+                    public void refused(Response response) {
+                        callEnded = true;
+                    }
 
-            @Override
-            public void failed(RequestFailure why) {
-                callOver = true;
-            }
+                    @Override
+                    public void failed(RequestFailure failure) {
+                        callEnded = true;
+                    }
 
-            @Override
-            public void ended(CallEndReason why, Request bye) {
-                callOver = true;
-            }
-        });
+                    @Override
+                    public void ended(CallEndReason endReason, Request bye) {
+                        callEnded = true;
+                    }
+                });
     }
 
-    private void deliver(InFlightMessage one) {
-        flying.remove(one);
-        if (one.to == EXCHANGE) {
-            reaches(one.message);
+    private void deliver(InFlightMessage inFlight) {
+        inFlightMessages.remove(inFlight);
+        if (inFlight.receiverPort == EXCHANGE_PORT) {
+            messageReceived(inFlight.message);
         }
-        Message read = MessageParser.parse(one.bytes, one.bytes.length).message();
-        ends.get(one.to).calls.transactionLayer().handleEvent(new TransportEvent.MessageReceived(read, hop(one.from)));
-        decider.tellAll();
+        Message message =
+                MessageParser.parse(inFlight.bytes, inFlight.bytes.length).message();
+        endpoints
+                .get(inFlight.receiverPort)
+                .dialogLayer
+                .transactionLayer()
+                .handleEvent(new TransportEvent.MessageReceived(message, hop(inFlight.senderPort)));
+        decider.deliverPendingEvents();
     }
 
-    /** Between the exchange and its switches; what was under way is lost, and both ends are told. */
-    private void breaks() {
-        broke = true;
-        flying.removeIf(one -> one.from >= 3000 || one.to >= 3000);
-        rings.keySet().forEach(callId -> over(callId, true));
+    /**
+     * Breaks the connections between the exchange and its switches: messages in flight are lost, and both ends are
+     * notified.
+     */
+    private void breakConnection() {
+        connectionBroken = true;
+        inFlightMessages.removeIf(
+                message -> message.senderPort >= SWITCH_PORT_BASE || message.receiverPort >= SWITCH_PORT_BASE);
+        ringsByCallId.keySet().forEach(callId -> ringEnded(callId, true));
         for (int port : new int[] {3001, 3002}) {
-            ends.get(EXCHANGE)
-                    .calls
+            endpoints
+                    .get(EXCHANGE_PORT)
+                    .dialogLayer
                     .transactionLayer()
-                    .handleEvent(new TransportEvent.ConnectionLost(hop(port), true, "planted"));
-            ends.get(port)
-                    .calls
+                    .handleEvent(new TransportEvent.ConnectionLost(hop(port), true, "injected"));
+            endpoints
+                    .get(port)
+                    .dialogLayer
                     .transactionLayer()
-                    .handleEvent(new TransportEvent.ConnectionLost(hop(EXCHANGE), true, "planted"));
+                    .handleEvent(new TransportEvent.ConnectionLost(hop(EXCHANGE_PORT), true, "injected"));
         }
-        decider.tellAll();
+        decider.deliverPendingEvents();
     }
 
-    /** Bytes that come from one of the ends, as the socket's reader hands them up. True where they are a request. */
-    boolean arrive(byte[] bytes, int from) {
-        ParseResult read = MessageParser.parse(bytes, bytes.length);
-        if (read.message() == null || read.status() != 0 && !(read.message() instanceof Request)) {
+    /** Passes bytes from an endpoint to the exchange as the socket reader does. Returns true if they are a request. */
+    boolean receive(byte[] bytes, int senderPort) {
+        ParseResult result = MessageParser.parse(bytes, bytes.length);
+        if (result.message() == null || result.status() != 0 && !(result.message() instanceof Request)) {
             return false;
         }
-        if (read.status() == 0) {
-            reaches(read.message());
+        if (result.status() == 0) {
+            messageReceived(result.message());
         }
-        ends.get(EXCHANGE)
-                .calls
+        endpoints
+                .get(EXCHANGE_PORT)
+                .dialogLayer
                 .transactionLayer()
                 .handleEvent(
-                        read.status() == 0
-                                ? new TransportEvent.MessageReceived(read.message(), hop(from))
+                        result.status() == 0
+                                ? new TransportEvent.MessageReceived(result.message(), hop(senderPort))
                                 : new TransportEvent.InvalidRequest(
-                                        (Request) read.message(), read.status(), read.fault(), hop(from)));
-        decider.tellAll();
-        return read.message() instanceof Request;
+                                        (Request) result.message(), result.status(), result.fault(), hop(senderPort)));
+        decider.deliverPendingEvents();
+        return result.message() instanceof Request;
     }
 
-    void passes(int ms) {
-        for (int i = 0; i < ms; i += 5) {
-            now += 5;
-            wheel.advanceTo(new Moment(Span.ofMillis(now).ns()));
-            decider.tellAll();
+    void advanceMillis(int durationMs) {
+        for (int i = 0; i < durationMs; i += 5) {
+            nowMs += 5;
+            timerWheel.advanceTo(new Moment(Span.ofMillis(nowMs).ns()));
+            decider.deliverPendingEvents();
         }
     }
 
-    /** What the exchange has sent to an end, or with -1 anywhere, and nobody has taken yet. */
+    /** Messages in flight from the exchange to this port, or to any port with -1. */
     List<Message> sentTo(int port) {
-        return flying.stream()
-                .filter(one -> one.from == EXCHANGE && (port < 0 || one.to == port))
+        return inFlightMessages.stream()
+                .filter(message -> message.senderPort == EXCHANGE_PORT && (port < 0 || message.receiverPort == port))
                 .map(InFlightMessage::message)
                 .toList();
     }
 
-    private boolean busy() {
-        return ends.values().stream()
-                        .anyMatch(end -> end.calls.openDialogCount()
-                                        + end.calls.transactionLayer().openCount()
+    private boolean hasOpenWork() {
+        return endpoints.values().stream()
+                        .anyMatch(endpoint -> endpoint.dialogLayer.openDialogCount()
+                                        + endpoint.dialogLayer
+                                                .transactionLayer()
+                                                .openCount()
                                 > 0)
-                || decider.size() > 0
-                || contacts.open() > 0;
+                || decider.trackedContactCount() > 0
+                || contacts.openCount() > 0;
     }
 
-    private boolean old() {
-        return flying.stream().anyMatch(one -> at().since(one.since).longerThan(LIFE));
+    /** True if a message is in flight for longer than allowed: it must be delivered or lost before time goes on. */
+    private boolean hasOverdueMessage() {
+        return inFlightMessages.stream()
+                .anyMatch(message -> now().since(message.sentAt).longerThan(MAX_MESSAGE_TRANSIT_TIME));
     }
 
-    private int digest() {
-        int sum = flying.size() * 31 + decider.size() * 7 + contacts.open();
-        for (SimulatedEndpoint end : ends.values()) {
-            sum = sum * 13
-                    + end.calls.openDialogCount() * 3
-                    + end.calls.transactionLayer().openCount();
+    /** A number that changes with the counts of open work. */
+    private int stateDigest() {
+        int digest = inFlightMessages.size() * 31 + decider.trackedContactCount() * 7 + contacts.openCount();
+        for (SimulatedEndpoint endpoint : endpoints.values()) {
+            digest = digest * 13
+                    + endpoint.dialogLayer.openDialogCount() * 3
+                    + endpoint.dialogLayer.transactionLayer().openCount();
         }
-        return sum;
+        return digest;
     }
 
-    /** Until anything has come of it. */
-    private void time() {
-        int before = digest();
-        for (int i = 0; i < LONGEST && digest() == before && busy() && !old(); i++) {
-            now += Math.max(1, wheel.timeUntilNextTimer().ns() / 1_000_000);
-            wheel.advanceTo(new Moment(Span.ofMillis(now).ns()));
-            decider.tellAll();
-            rules.checkDeadlines(at());
+    /** Advances the time until the state changes. */
+    private void advanceToNextChange() {
+        int digestBefore = stateDigest();
+        for (int i = 0;
+                i < MAX_TIME_STEPS && stateDigest() == digestBefore && hasOpenWork() && !hasOverdueMessage();
+                i++) {
+            nowMs += Math.max(1, timerWheel.timeUntilNextTimer().ns() / 1_000_000);
+            timerWheel.advanceTo(new Moment(Span.ofMillis(nowMs).ns()));
+            decider.deliverPendingEvents();
+            rules.checkDeadlines(now());
         }
     }
 
@@ -582,20 +638,21 @@
 
     @Override
     public void checkQuiescent() {
-        if (busy() || !estate.wills().isEmpty()) {
-            StringBuilder left = new StringBuilder("at the end: roll " + decider.size() + ", contacts "
-                    + contacts.open() + ", wills " + estate.wills().size());
-            ends.forEach((port, end) -> left.append(", ")
+        if (hasOpenWork() || !handoverStore.records().isEmpty()) {
+            StringBuilder leftover = new StringBuilder("at the end: tracked contacts " + decider.trackedContactCount()
+                    + ", open contacts " + contacts.openCount() + ", handover records "
+                    + handoverStore.records().size());
+            endpoints.forEach((port, endpoint) -> leftover.append(", ")
                     .append(port)
                     .append(" dialogs ")
-                    .append(end.calls.openDialogCount())
+                    .append(endpoint.dialogLayer.openDialogCount())
                     .append(" transactions ")
-                    .append(end.calls.transactionLayer().openCount()));
-            rules.addViolation("quiet", left.toString());
+                    .append(endpoint.dialogLayer.transactionLayer().openCount()));
+            rules.addViolation("quiescence", leftover.toString());
         }
-        if (decider.switchboard().toward(1).free != plan.circuits
-                || decider.switchboard().toward(2).free != 4) {
-            rules.addViolation("quiet", "circuits are still held");
+        if (decider.switchRegistry().groupToward(1).free != scenario.freeCircuits
+                || decider.switchRegistry().groupToward(2).free != 4) {
+            rules.addViolation("quiescence", "circuits are still held");
         }
     }
 }
--- a/src/test/java/martenslip/exchange/SwitchListStoreTest.java
+++ b/src/test/java/martenslip/exchange/SwitchListStoreTest.java
@@ -13,75 +13,79 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** The stored switch list survives a restart, and failures to write are reported without ending the writer thread. */
 public class SwitchListStoreTest {
-    private final List<String> trouble = new CopyOnWriteArrayList<>();
-    private Path folder;
+    private final List<String> warnings = new CopyOnWriteArrayList<>();
+    private Path directory;
 
     @BeforeMethod
-    public void begin() throws IOException {
-        trouble.clear();
-        folder = Files.createTempDirectory("kept");
+    public void createDirectory() throws IOException {
+        warnings.clear();
+        directory = Files.createTempDirectory("kept");
     }
 
-    private SwitchListStore at(Path file) {
-        return new SwitchListStore(file, trouble::add);
+    private SwitchListStore openStore(Path file) {
+        return new SwitchListStore(file, warnings::add);
     }
 
     @Test
-    public void theNewestListIsThereAfterTheEnd() throws IOException, InterruptedException {
-        Path file = folder.resolve("a/b.xml");
-        Files.createDirectories(folder.resolve("a"));
-        Files.writeString(folder.resolve("a/b.xml.new"), "half of a");
-        try (SwitchListStore kept = at(file)) {
-            assertNull(kept.read());
-            kept.keep(new byte[] {1});
-            kept.keep(new byte[] {2});
+    public void newestListIsOnDiskAfterClose() throws IOException, InterruptedException {
+        Path file = directory.resolve("a/b.xml");
+        Files.createDirectories(directory.resolve("a"));
+        Files.writeString(directory.resolve("a/b.xml.new"), "half of a");
+        try (SwitchListStore store = openStore(file)) {
+            assertNull(store.read());
+            store.save(new byte[] {1});
+            store.save(new byte[] {2});
         }
         assertEquals(Files.readAllBytes(file), new byte[] {2});
-        assertEquals(trouble, List.of());
+        assertEquals(warnings, List.of());
     }
 
     @Test
-    public void aPlaceThatCannotBeWrittenIsToldAndTheNextListIsTriedAgain() throws IOException, InterruptedException {
-        Path inTheWay = Files.writeString(folder.resolve("a"), "a file");
-        Path file = folder.resolve("a/b.xml");
-        try (SwitchListStore kept = at(file)) {
-            kept.keep(new byte[] {1});
-            waitFor(1);
-            Files.delete(inTheWay);
-            kept.keep(new byte[] {2});
+    public void failedWriteIsReportedAndTheNextListIsWritten() throws IOException, InterruptedException {
+        Path blockingFile = Files.writeString(directory.resolve("a"), "a file");
+        Path file = directory.resolve("a/b.xml");
+        try (SwitchListStore store = openStore(file)) {
+            store.save(new byte[] {1});
+            waitForWarnings(1);
+            Files.delete(blockingFile);
+            store.save(new byte[] {2});
         }
         assertEquals(Files.readAllBytes(file), new byte[] {2});
-        assertTrue(trouble.get(0).startsWith("switch list not kept in"), trouble.get(0));
+        assertTrue(warnings.get(0).startsWith("switch list not saved to " + file + ": "), warnings.get(0));
     }
 
-    /** A path without a folder above it threw another kind of fault, which ended the thread without a word. */
+    /**
+     * A path without a parent directory causes a NullPointerException, which used to end the writer thread without a
+     * report.
+     */
     @Test
-    public void aFaultOfAnotherKindIsToldToo() throws InterruptedException {
-        try (SwitchListStore kept = at(Path.of("/"))) {
-            kept.keep(new byte[] {1});
-            waitFor(1);
-            kept.keep(new byte[] {2});
-            waitFor(2);
+    public void runtimeExceptionInAWriteIsReportedToo() throws InterruptedException {
+        try (SwitchListStore store = openStore(Path.of("/"))) {
+            store.save(new byte[] {1});
+            waitForWarnings(1);
+            store.save(new byte[] {2});
+            waitForWarnings(2);
         }
     }
 
     @Test
-    public void whatIsNoListOfThisProgramIsNotRead() throws IOException, InterruptedException {
-        Path large = folder.resolve("large");
-        Files.write(large, new byte[SwitchListStore.MOST_BYTES + 1]);
-        try (SwitchListStore kept = at(large)) {
-            assertThrows(IOException.class, kept::read);
+    public void oversizedFileAndDirectoryAreNotRead() throws IOException, InterruptedException {
+        Path oversizedFile = directory.resolve("large");
+        Files.write(oversizedFile, new byte[SwitchListStore.MAX_FILE_BYTES + 1]);
+        try (SwitchListStore store = openStore(oversizedFile)) {
+            assertThrows(IOException.class, store::read);
         }
-        try (SwitchListStore kept = at(folder)) {
-            assertThrows(IOException.class, kept::read);
+        try (SwitchListStore store = openStore(directory)) {
+            assertThrows(IOException.class, store::read);
         }
     }
 
-    private void waitFor(int many) throws InterruptedException {
-        for (int i = 0; i < 2000 && trouble.size() < many; i++) {
+    private void waitForWarnings(int count) throws InterruptedException {
+        for (int i = 0; i < 2000 && warnings.size() < count; i++) {
             Thread.sleep(5);
         }
-        assertEquals(trouble.size(), many);
+        assertEquals(warnings.size(), count);
     }
 }
