--- a/src/main/java/martenslip/platform/caller/CallerConnections.java
+++ b/src/main/java/martenslip/platform/caller/CallerConnections.java
@@ -31,230 +31,255 @@
 import martenslip.sip.transport.TransportLimits;
 
 /**
- * The callers' lines: accepts, cuts, reads, refuses what is unfit by itself, hands the rest up. What one line brings
- * is read by its own thread, and waits there where the deciding thread has no room.
+ * The callers' connections: accepts them, parses their messages, rejects invalid messages itself and passes valid ones
+ * to the {@link Listener}. Each connection has its own reading thread, which waits while the decision thread has no
+ * room.
  */
 public final class CallerConnections implements AutoCloseable {
-    /** Greatest message of the platform, and room for a set-up of the usual size. */
-    private static final int MOST_BYTES = 16 * 1024;
+    /** Largest message on the platform. */
+    private static final int MAX_MESSAGE_BYTES = 16 * 1024;
 
-    private static final int FIRST_BYTES = 1024;
-    private static final int STACK = 128 * 1024;
-    private static final int BACKLOG = 512;
-    /** Wrong messages that are answered on one line; it is ended at the next. */
-    private static final int MOST_WRONG = 3;
-    /** Set-ups of one line that may be open at a time; at more its reader refuses. */
-    private static final int MOST_OPEN = 256;
+    /** Holds a set-up of the usual size. */
+    private static final int INITIAL_BUFFER_BYTES = 1024;
 
-    /** A line is quiet that has brought nothing for so long: more than a reader may be late. */
-    private static final long QUIET_NS = 400_000_000L;
+    private static final int STACK_BYTES = 128 * 1024;
+    private static final int LISTEN_BACKLOG = 512;
+    /** Invalid messages answered on one connection; at the next it is closed. */
+    private static final int MAX_INVALID_MESSAGES = 3;
+    /** Open set-ups allowed on one connection; its reading thread refuses further ones. */
+    private static final int MAX_OPEN_SET_UPS = 256;
 
-    private static final int MOST_LOOKS = 16;
-    private static final int WAIT_MS = 10;
-    private static final int MOST_WAITS = 100;
-    /** How often the accepting thread looks whether it is to end. */
-    private static final int LOOK_MS = 250;
+    /** A connection is idle if nothing was received for this long; longer than a reading thread may lag behind. */
+    private static final long MIN_IDLE_NS = 400_000_000L;
 
-    private static final int LAST_LOOK_MS = 5;
+    /** Connections checked for unread input before giving up on closing one. */
+    private static final int MAX_EVICTION_CANDIDATES = 16;
 
-    /** Takes what is fit; called by reading threads and may make them wait. */
+    private static final int POLL_INTERVAL_MS = 10;
+    /** Polls, {@link #POLL_INTERVAL_MS} apart, for room for a new connection. */
+    private static final int MAX_ROOM_POLLS = 100;
+    /** How often the accepting thread checks whether it has to stop. */
+    private static final int ACCEPT_TIMEOUT_MS = 250;
+
+    /** During a graceful close: no connection is waiting to be accepted after this long. */
+    private static final int FINAL_ACCEPT_TIMEOUT_MS = 5;
+
+    /** Receives valid messages; called by reading threads, which it may block. */
     public interface Listener {
-        /** False where there is no room for it: its reader must not wait with what its caller says next. */
-        boolean setUpReceived(SetUpRequest asked) throws InterruptedException;
+        /**
+         * A caller requests a set-up. Returns false if there is no room for it: the reading thread must not wait, so
+         * that it can read the caller's next message.
+         */
+        boolean setUpReceived(SetUpRequest request) throws InterruptedException;
 
-        void requestReceived(long line, Request request) throws InterruptedException;
+        /** A CANCEL, BYE or ACK was received. */
+        void requestReceived(long connectionId, Request request) throws InterruptedException;
 
+        /** The caller answered a BYE. */
         void releaseAcknowledged(String tag) throws InterruptedException;
 
-        void connectionEnded(long line) throws InterruptedException;
+        /** The connection has ended, for whatever reason. */
+        void connectionEnded(long connectionId) throws InterruptedException;
 
-        /** Whether a test passes now. */
+        /** Whether OPTIONS is answered with 200; otherwise with 503. */
         boolean isReady();
     }
 
     private static final class CallerConnection {
         final Connection connection;
-        final AtomicInteger open = new AtomicInteger();
-        /** Of the set-ups that are open: whether their caller has gone. One id names one of them. */
-        final Map<String, CallerCancellation> waiting = new ConcurrentHashMap<>();
+        final AtomicInteger openSetUps = new AtomicInteger();
+        /** Cancellation marks of the open set-ups by Call-ID; a Call-ID names at most one of them. */
+        final Map<String, CallerCancellation> cancellations = new ConcurrentHashMap<>();
 
-        volatile long heardAt;
-        volatile boolean good;
-        int wrong;
+        volatile long lastReceivedNs;
+        volatile boolean hasSentValidMessage;
+        int invalidMessages;
 
         CallerConnection(Connection connection) {
             this.connection = connection;
-            heardAt = System.nanoTime();
+            lastReceivedNs = System.nanoTime();
         }
     }
 
-    private final TransportLimits bounds;
-    private final ConnectionThreadPool writers;
-    private final Listener heard;
+    private final TransportLimits limits;
+    private final ConnectionThreadPool threadPool;
+    private final Listener listener;
     private final DropCounter drops;
-    private final SetUpParser fit;
-    private final Map<Long, CallerConnection> lines = new ConcurrentHashMap<>();
-    private final ServerSocket listener;
-    private final CountDownLatch accepted = new CountDownLatch(1);
-    private volatile int most;
-    private volatile boolean leaving;
+    private final SetUpParser setUpParser;
+    private final Map<Long, CallerConnection> callers = new ConcurrentHashMap<>();
+    private final ServerSocket serverSocket;
+    private final CountDownLatch acceptStopped = new CountDownLatch(1);
+    private volatile int connectionLimit;
+    private volatile boolean closingGracefully;
     private volatile boolean closing;
-    private long numbers;
+    private long lastConnectionId;
 
+    /** Creates the connections without listening yet; see {@link #open}. */
     public CallerConnections(
-            ContactSettings terms,
-            TransportLimits bounds,
-            ConnectionThreadPool writers,
+            ContactSettings settings,
+            TransportLimits limits,
+            ConnectionThreadPool threadPool,
             DropCounter drops,
-            Listener heard)
+            Listener listener)
             throws IOException {
-        this(terms, bounds, writers, drops, heard, new ServerSocket());
+        this(settings, limits, threadPool, drops, listener, new ServerSocket());
     }
 
-    /** {@code listener} is not bound yet. */
+    /** {@code serverSocket} is not bound yet. */
     CallerConnections(
-            ContactSettings terms,
-            TransportLimits bounds,
-            ConnectionThreadPool writers,
+            ContactSettings settings,
+            TransportLimits limits,
+            ConnectionThreadPool threadPool,
             DropCounter drops,
-            Listener heard,
-            ServerSocket listener) {
+            Listener listener,
+            ServerSocket serverSocket) {
+        this.serverSocket = serverSocket;
+        this.limits = limits;
+        this.threadPool = threadPool;
         this.listener = listener;
-        this.bounds = bounds;
-        this.writers = writers;
-        this.heard = heard;
         this.drops = drops;
-        fit = new SetUpParser(terms);
-        most = bounds.maxConnections();
+        setUpParser = new SetUpParser(settings);
+        connectionLimit = limits.maxConnections();
     }
 
     /**
-     * How many connections callers may hold from now on; where they hold more, quiet ones are ended. Those that are owed
-     * something stay.
+     * Sets how many connections callers may hold from now on. If they hold more, idle ones are closed; connections with
+     * an open set-up stay.
      */
-    public void setConnectionLimit(int connections) {
-        most = Math.max(1, Math.min(bounds.maxConnections(), connections));
-        int over = lines.size() - most;
-        for (int i = 0; i < over && makeRoom(); i++) {
+    public void setConnectionLimit(int limit) {
+        connectionLimit = Math.max(1, Math.min(limits.maxConnections(), limit));
+        int excess = callers.size() - connectionLimit;
+        for (int i = 0; i < excess && evictIdleConnection(); i++) {
             drops.increment("connection ended for a switch");
         }
     }
 
-    /** Begins to listen; the port that was taken is returned. */
-    public int open(InetSocketAddress at) throws IOException {
-        listener.setReuseAddress(true);
-        listener.bind(at, BACKLOG);
-        Thread accepting = new Thread(null, this::accept, "accept", STACK);
-        accepting.setDaemon(true);
-        accepting.start();
-        return listener.getLocalPort();
+    /** Starts listening and returns the local port. */
+    public int open(InetSocketAddress address) throws IOException {
+        serverSocket.setReuseAddress(true);
+        serverSocket.bind(address, LISTEN_BACKLOG);
+        Thread acceptThread = new Thread(null, this::acceptUntilClosed, "accept", STACK_BYTES);
+        acceptThread.setDaemon(true);
+        acceptThread.start();
+        return serverSocket.getLocalPort();
     }
 
+    /** Number of open connections. */
     public int connectionCount() {
-        return lines.size();
+        return callers.size();
     }
 
-    /** True where some line holds what its reader has not come to. */
+    /** Whether any connection has input that its reading thread has not handled yet. */
     public boolean hasUnreadInput() {
-        return lines.values().stream().anyMatch(line -> line.connection.hasUnreadInput());
+        return callers.values().stream().anyMatch(caller -> caller.connection.hasUnreadInput());
     }
 
-    public boolean send(long line, byte[] message) {
-        CallerConnection to = lines.get(line);
-        return to != null && to.connection.send(message);
+    /** Queues a message; returns false if the connection has ended or ends now because its peer does not read. */
+    public boolean send(long connectionId, byte[] message) {
+        CallerConnection caller = callers.get(connectionId);
+        return caller != null && caller.connection.send(message);
     }
 
-    /** The line that was heard last of those that have brought something fit; {@code but} only where it is alone; or 0. */
-    public long mostRecentConnection(long but) {
-        CallerConnection last = null;
-        for (CallerConnection one : lines.values()) {
-            boolean only = last != null && last.connection.id() == but;
-            if (one.good && (last == null || only || one.connection.id() != but && last.heardAt - one.heardAt < 0)) {
-                last = one;
+    /**
+     * Returns the id of the connection with the most recent input among those that sent a valid message:
+     * {@code excludedId} only if there is no other, 0 if there is none.
+     */
+    public long mostRecentConnection(long excludedId) {
+        CallerConnection mostRecent = null;
+        for (CallerConnection caller : callers.values()) {
+            boolean onlyExcluded = mostRecent != null && mostRecent.connection.id() == excludedId;
+            if (caller.hasSentValidMessage
+                    && (mostRecent == null
+                            || onlyExcluded
+                            || caller.connection.id() != excludedId
+                                    && mostRecent.lastReceivedNs - caller.lastReceivedNs < 0)) {
+                mostRecent = caller;
             }
         }
-        return last == null ? 0 : last.connection.id();
+        return mostRecent == null ? 0 : mostRecent.connection.id();
     }
 
-    public void contactAnswered(long line, String tag) {
-        CallerConnection one = lines.get(line);
-        if (one != null) {
-            one.waiting.remove(tag);
-            one.open.decrementAndGet();
+    /** A set-up got its final response: it is no longer open on its connection. */
+    public void contactAnswered(long connectionId, String tag) {
+        CallerConnection caller = callers.get(connectionId);
+        if (caller != null) {
+            caller.cancellations.remove(tag);
+            caller.openSetUps.decrementAndGet();
         }
     }
 
-    public void disconnect(long line, String why) {
-        CallerConnection one = lines.get(line);
-        if (one != null) {
-            drops.increment(why);
-            one.connection.close(why);
+    /** Closes a connection and counts the reason as a drop. */
+    public void disconnect(long connectionId, String reason) {
+        CallerConnection caller = callers.get(connectionId);
+        if (caller != null) {
+            drops.increment(reason);
+            caller.connection.close(reason);
         }
     }
 
-    private void accept() {
+    private void acceptUntilClosed() {
         try {
-            while (!closing && next()) {
-                // Until there is nobody left to take.
+            while (!closing && acceptNext()) {
+                // acceptNext() accepts one connection.
             }
-            listener.close();
+            serverSocket.close();
         } catch (IOException e) {
             drops.increment("listener not closed");
         } finally {
-            accepted.countDown();
+            acceptStopped.countDown();
         }
     }
 
-    /** Takes one caller; false where nobody waits and none is to be taken any more. */
-    private boolean next() {
-        boolean last = leaving;
+    /** Accepts one connection; returns false if accepting has to stop and no connection is waiting. */
+    private boolean acceptNext() {
+        boolean finalAttempt = closingGracefully;
         Socket socket;
         try {
-            listener.setSoTimeout(last ? LAST_LOOK_MS : LOOK_MS);
-            socket = listener.accept();
+            serverSocket.setSoTimeout(finalAttempt ? FINAL_ACCEPT_TIMEOUT_MS : ACCEPT_TIMEOUT_MS);
+            socket = serverSocket.accept();
         } catch (SocketTimeoutException e) {
-            return !last;
+            return !finalAttempt;
         } catch (IOException e) {
-            if (listener.isClosed()) {
+            if (serverSocket.isClosed()) {
                 return false;
             }
-            // Where no descriptor is to be had it fails at once and the caller goes on waiting: no reason to spin.
+            // Without a free file descriptor accept fails at once while the caller keeps waiting: avoid a busy loop.
             drops.increment("accept fault", String.valueOf(e.getMessage()));
-            if (!makeRoom()) {
+            if (!evictIdleConnection()) {
                 pause();
             }
             return true;
         }
         try {
-            take(socket);
+            addConnection(socket);
         } catch (IOException e) {
             drops.increment("caller gone as it was taken");
-            quietly(socket);
+            closeQuietly(socket);
         }
         return true;
     }
 
-    private void take(Socket socket) throws IOException {
-        if (!room()) {
+    private void addConnection(Socket socket) throws IOException {
+        if (!waitForRoom()) {
             drops.increment("too many connections");
-            quietly(socket);
+            closeQuietly(socket);
             return;
         }
         socket.setTcpNoDelay(true);
         Connection connection = new Connection(
-                ++numbers,
+                ++lastConnectionId,
                 socket,
                 (InetSocketAddress) socket.getRemoteSocketAddress(),
                 true,
-                bounds,
-                events,
-                new ContentLengthFramer(MOST_BYTES, FIRST_BYTES, true),
-                writers);
-        lines.put(connection.id(), new CallerConnection(connection));
-        begin(connection);
+                limits,
+                connectionListener,
+                new ContentLengthFramer(MAX_MESSAGE_BYTES, INITIAL_BUFFER_BYTES, true),
+                threadPool);
+        callers.put(connection.id(), new CallerConnection(connection));
+        startConnection(connection);
     }
 
-    private void quietly(Socket socket) {
+    private void closeQuietly(Socket socket) {
         try {
             socket.close();
         } catch (IOException e) {
@@ -264,7 +289,7 @@
 
     private static boolean pause() {
         try {
-            Thread.sleep(WAIT_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -272,19 +297,19 @@
         }
     }
 
-    private void begin(Connection connection) {
+    private void startConnection(Connection connection) {
         try {
             connection.start("line");
         } catch (OutOfMemoryError | RejectedExecutionException e) {
-            // No thread to be had for one more line; those that are there go on.
+            // No thread is available for another connection; the existing ones go on.
             connection.close("no thread for a line");
         }
     }
 
-    /** Waits a little for a line that may be ended; others that want in wait with the system meanwhile. */
-    private boolean room() {
-        for (int i = 0; lines.size() >= most; i++) {
-            if (i == MOST_WAITS || !makeRoom() && !pause()) {
+    /** Waits a limited time for a connection to close; further callers wait in the listen backlog meanwhile. */
+    private boolean waitForRoom() {
+        for (int i = 0; callers.size() >= connectionLimit; i++) {
+            if (i == MAX_ROOM_POLLS || !evictIdleConnection() && !pause()) {
                 return false;
             }
         }
@@ -292,161 +317,163 @@
     }
 
     /**
-     * Ends the line that has been quiet longest of those that owe nothing, first of those that never said a thing. One
-     * that has just come, or of which something waits to be read, is never it: its caller would lose a set-up that
-     * this controller has taken, and on part of a core a reader may come to it late.
+     * Closes the connection that has been idle longest among those without open set-ups, those that never sent a valid
+     * message first. A connection that was just accepted or has unread input is never closed: its caller would lose a
+     * set-up that this controller has already accepted, and with only part of a core a reading thread may handle it
+     * late.
      */
-    private boolean makeRoom() {
-        Set<CallerConnection> busy = new HashSet<>();
-        for (int i = 0; i < MOST_LOOKS; i++) {
+    private boolean evictIdleConnection() {
+        Set<CallerConnection> skipped = new HashSet<>();
+        for (int i = 0; i < MAX_EVICTION_CANDIDATES; i++) {
             long now = System.nanoTime();
-            CallerConnection worst = null;
-            for (CallerConnection one : lines.values()) {
-                if (one.open.get() <= 0
-                        && now - one.heardAt > QUIET_NS
-                        && !busy.contains(one)
-                        && (worst == null
-                                || worst.good && !one.good
-                                || worst.good == one.good && one.heardAt - worst.heardAt < 0)) {
-                    worst = one;
+            CallerConnection candidate = null;
+            for (CallerConnection caller : callers.values()) {
+                if (caller.openSetUps.get() <= 0
+                        && now - caller.lastReceivedNs > MIN_IDLE_NS
+                        && !skipped.contains(caller)
+                        && (candidate == null
+                                || candidate.hasSentValidMessage && !caller.hasSentValidMessage
+                                || candidate.hasSentValidMessage == caller.hasSentValidMessage
+                                        && caller.lastReceivedNs - candidate.lastReceivedNs < 0)) {
+                    candidate = caller;
                 }
             }
-            if (worst == null) {
+            if (candidate == null) {
                 return false;
             }
-            if (!worst.connection.hasUnreadInput() && worst.open.get() <= 0) {
+            if (!candidate.connection.hasUnreadInput() && candidate.openSetUps.get() <= 0) {
                 drops.increment("quiet line ended for a new one");
-                worst.connection.close("room for others");
+                candidate.connection.close("room for others");
                 return true;
             }
-            busy.add(worst);
+            skipped.add(candidate);
         }
         return false;
     }
 
-    private final Connection.Listener events = new Connection.Listener() {
+    private final Connection.Listener connectionListener = new Connection.Listener() {
         @Override
         public void messageReceived(Connection connection, byte[] message) throws InterruptedException {
-            CallerConnection line = lines.get(connection.id());
-            if (line != null) {
-                line.heardAt = System.nanoTime();
-                take(line, message);
+            CallerConnection caller = callers.get(connection.id());
+            if (caller != null) {
+                caller.lastReceivedNs = System.nanoTime();
+                handleMessage(caller, message);
             }
         }
 
         @Override
-        public void ended(Connection connection, String why) {
-            CallerConnection line = lines.remove(connection.id());
-            if (line != null) {
-                line.waiting.values().forEach(CallerCancellation::cancel);
+        public void ended(Connection connection, String reason) {
+            CallerConnection caller = callers.remove(connection.id());
+            if (caller != null) {
+                caller.cancellations.values().forEach(CallerCancellation::cancel);
             }
-            drops.increment("line over", why);
+            drops.increment("line over", reason);
             try {
-                heard.connectionEnded(connection.id());
+                listener.connectionEnded(connection.id());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
     };
 
-    private void take(CallerConnection line, byte[] bytes) throws InterruptedException {
+    private void handleMessage(CallerConnection caller, byte[] bytes) throws InterruptedException {
         ParseResult parsed = MessageParser.parseMinimal(bytes, bytes.length);
         Message message = parsed.message();
         if (!parsed.isValid()) {
-            wrong(line, parsed.isAnswerable() ? (Request) message : null, parsed.fault());
+            rejectMessage(caller, parsed.isAnswerable() ? (Request) message : null, parsed.fault());
             return;
         }
-        long number = line.connection.id();
+        long connectionId = caller.connection.id();
         if (message instanceof Response response) {
             if (response.headers().first("CSeq").endsWith("BYE")) {
-                heard.releaseAcknowledged(response.callId());
+                listener.releaseAcknowledged(response.callId());
             }
             return;
         }
         Request request = (Request) message;
         switch (request.method()) {
-            case "INVITE" -> setUp(line, request);
+            case "INVITE" -> handleInvite(caller, request);
             case "CANCEL", "BYE" -> {
-                CallerCancellation caller = line.waiting.get(request.callId());
-                if (caller != null) {
-                    // Before it is queued: what was ordered for it and not yet sent must not go out meanwhile.
-                    caller.cancel();
+                CallerCancellation cancellation = caller.cancellations.get(request.callId());
+                if (cancellation != null) {
+                    // Marked before the request is queued: messages queued for the contact must not be sent meanwhile.
+                    cancellation.cancel();
                 }
-                heard.requestReceived(number, request);
+                listener.requestReceived(connectionId, request);
             }
-            case "ACK" -> heard.requestReceived(number, request);
+            case "ACK" -> listener.requestReceived(connectionId, request);
             case "OPTIONS" -> {
-                line.good = true;
-                boolean ready = heard.isReady();
-                line.connection.send(CallerMessages.response(request, ready ? 200 : 503, ready ? "OK" : "Not Ready"));
+                caller.hasSentValidMessage = true;
+                boolean ready = listener.isReady();
+                caller.connection.send(CallerMessages.response(request, ready ? 200 : 503, ready ? "OK" : "Not Ready"));
             }
-            default -> wrong(line, request, "no such method");
+            default -> rejectMessage(caller, request, "no such method");
         }
     }
 
-    private void setUp(CallerConnection line, Request invite) throws InterruptedException {
-        SetUpRequest asked;
-        CallerCancellation caller = new CallerCancellation();
+    private void handleInvite(CallerConnection caller, Request invite) throws InterruptedException {
+        SetUpRequest request;
+        CallerCancellation cancellation = new CallerCancellation();
         try {
-            asked = fit.setUp(line.connection.id(), invite, new Moment(System.nanoTime()), caller);
+            request = setUpParser.parse(caller.connection.id(), invite, new Moment(System.nanoTime()), cancellation);
         } catch (SetUpParser.InvalidSetUpException e) {
-            wrong(line, invite, e.getMessage());
+            rejectMessage(caller, invite, e.getMessage());
             return;
         }
-        if (line.open.incrementAndGet() > MOST_OPEN) {
-            line.open.decrementAndGet();
+        if (caller.openSetUps.incrementAndGet() > MAX_OPEN_SET_UPS) {
+            caller.openSetUps.decrementAndGet();
             drops.increment("too many set-ups open on a line");
-            line.connection.send(CallerMessages.response(invite, 503, "Too Many Open"));
+            caller.connection.send(CallerMessages.response(invite, 503, "Too Many Open"));
             return;
         }
-        line.good = true;
-        line.waiting.put(asked.tag(), caller);
-        if (lines.get(line.connection.id()) != line) {
-            // Its connection ended between two lines of this: nobody may have seen the mark.
-            caller.cancel();
+        caller.hasSentValidMessage = true;
+        caller.cancellations.put(request.tag(), cancellation);
+        if (callers.get(caller.connection.id()) != caller) {
+            // The connection ended meanwhile, perhaps before the entry above could be seen and cancelled.
+            cancellation.cancel();
         }
-        if (!heard.setUpReceived(asked)) {
-            contactAnswered(line.connection.id(), asked.tag());
+        if (!listener.setUpReceived(request)) {
+            contactAnswered(caller.connection.id(), request.tag());
             drops.increment("no room for a set-up");
-            line.connection.send(CallerMessages.response(invite, 503, "No Room"));
+            caller.connection.send(CallerMessages.response(invite, 503, "No Room"));
         }
     }
 
-    private void wrong(CallerConnection line, Request request, String why) {
-        drops.increment("wrong", why);
-        if (request == null || ++line.wrong > MOST_WRONG) {
-            line.connection.close(why);
+    private void rejectMessage(CallerConnection caller, Request request, String reason) {
+        drops.increment("wrong", reason);
+        if (request == null || ++caller.invalidMessages > MAX_INVALID_MESSAGES) {
+            caller.connection.close(reason);
             return;
         }
-        line.connection.send(CallerMessages.response(request, 400, why));
+        caller.connection.send(CallerMessages.response(request, 400, reason));
     }
 
     /**
-     * Takes what still waits to be accepted and nobody after; ends each connection once nothing is owed on it and
-     * nothing of it is unread. What is read meanwhile is handed up like before, so whoever decides must go on. Those
-     * that are still owed something after this time are left.
+     * Accepts the connections that are already waiting and no later ones, and closes each connection once it has no
+     * open set-up and no unread input. Messages read meanwhile still go to the listener, so the decision thread must
+     * keep running. Connections that still have open set-ups after the timeout are left open.
      */
-    public void closeGracefully(Span atMost) {
-        long until = System.nanoTime() + atMost.ns();
-        leaving = true;
+    public void closeGracefully(Span timeout) {
+        long deadlineNs = System.nanoTime() + timeout.ns();
+        closingGracefully = true;
         try {
-            accepted.await(atMost.ns(), TimeUnit.NANOSECONDS);
+            acceptStopped.await(timeout.ns(), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         do {
-            for (CallerConnection line : lines.values()) {
-                if (line.open.get() <= 0 && !line.connection.hasUnreadInput()) {
-                    line.connection.flushAndClose("closing", Span.ofMillis(WAIT_MS));
+            for (CallerConnection caller : callers.values()) {
+                if (caller.openSetUps.get() <= 0 && !caller.connection.hasUnreadInput()) {
+                    caller.connection.flushAndClose("closing", Span.ofMillis(POLL_INTERVAL_MS));
                 }
             }
-        } while (!lines.isEmpty() && System.nanoTime() < until && pause());
+        } while (!callers.isEmpty() && System.nanoTime() < deadlineNs && pause());
     }
 
     @Override
     public void close() throws IOException {
         closing = true;
-        listener.close();
-        lines.values().forEach(line -> line.connection.close("closing"));
+        serverSocket.close();
+        callers.values().forEach(caller -> caller.connection.close("closing"));
     }
 }
--- a/src/main/java/martenslip/platform/caller/SetUpParser.java
+++ b/src/main/java/martenslip/platform/caller/SetUpParser.java
@@ -11,95 +11,98 @@
 import martenslip.sip.message.Request;
 
 /**
- * Reads a set-up and finds out whether it is fit: figures are numbers and in their range, the skill exists, the id is
- * one. What is not is refused before anybody decides anything about it.
+ * Parses and validates an INVITE: numbers are in their range, the skill exists, the ids are well formed. Invalid
+ * set-ups are refused before any routing decision.
  */
 final class SetUpParser {
-    /** A set-up that can't be taken; the text is the reason phrase. */
+    /** An invalid set-up; the message is the SIP reason phrase of the refusal. */
     static final class InvalidSetUpException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        InvalidSetUpException(String why) {
-            super(why, null, false, false);
+        InvalidSetUpException(String reason) {
+            super(reason, null, false, false);
         }
     }
 
-    private static final int MOST_NUMBER = 65_535;
-    private static final int MOST_WIDTH = 1024;
-    private static final String NET = "@net";
+    private static final int MAX_EXCHANGE_NUMBER = 65_535;
+    private static final int MAX_WIDTH = 1024;
+    private static final String URI_SUFFIX = "@net";
 
-    private final ContactSettings terms;
+    private final ContactSettings settings;
 
-    SetUpParser(ContactSettings terms) {
-        this.terms = terms;
+    SetUpParser(ContactSettings settings) {
+        this.settings = settings;
     }
 
-    SetUpRequest setUp(long line, Request invite, Moment heardAt, CallerCancellation caller)
+    /**
+     * Parses an INVITE. If {@code Routing-Data} names the switch where the contact is already established
+     * ({@code at}), the other fields are not needed and get default values.
+     */
+    SetUpRequest parse(long connectionId, Request invite, Moment receivedAt, CallerCancellation cancellation)
             throws InvalidSetUpException {
         String tag = invite.callId();
-        if (!hex(tag)) {
+        if (!isHexId(tag)) {
             throw new InvalidSetUpException("Call-ID is no id");
         }
-        String key = key(invite.uri());
-        Map<String, String> figures = figures(invite.headers().first("Routing-Data"));
-        boolean transit = "1".equals(figures.get("transit"));
-        boolean again = "1".equals(figures.get("again"));
-        String at = figures.get("at");
-        int skill = terms.skills().indexOf(String.valueOf(invite.headers().first("Call-Kind")));
-        if (at != null) {
-            // Of one that stands nothing else is needed.
+        String calledNumber = parseCalledNumber(invite.uri());
+        Map<String, String> routingData = parseRoutingData(invite.headers().first("Routing-Data"));
+        boolean transit = "1".equals(routingData.get("transit"));
+        boolean redial = "1".equals(routingData.get("again"));
+        String establishedSwitch = routingData.get("at");
+        int skill = settings.skills().indexOf(String.valueOf(invite.headers().first("Call-Kind")));
+        if (establishedSwitch != null) {
             return new SetUpRequest(
-                    line,
+                    connectionId,
                     invite,
                     tag,
-                    key,
+                    calledNumber,
                     Math.max(0, skill),
-                    heardAt,
+                    receivedAt,
                     Span.ZERO,
                     0,
                     -1,
                     1,
                     transit,
-                    again,
-                    at,
+                    redial,
+                    establishedSwitch,
                     "",
-                    caller);
+                    cancellation);
         }
         if (skill < 0) {
             throw new InvalidSetUpException("no such Call-Kind");
         }
-        double within = number(
+        double patienceMs = parseNumber(
                 invite.headers().first("Answer-Within"),
                 "Answer-Within",
                 1,
-                2.0 * terms.maxPatience().ns() / 1e6);
-        int destination = (int) number(figures.get("dest"), "dest", 0, MOST_NUMBER);
-        int width = (int) number(figures.getOrDefault("width", "1"), "width", 1, MOST_WIDTH);
-        int hint = (int) number(figures.getOrDefault("via", "-1"), "via", -1, MOST_NUMBER);
-        String description = Utf8.text(invite.body());
+                2.0 * settings.maxPatience().ns() / 1e6);
+        int destination = (int) parseNumber(routingData.get("dest"), "dest", 0, MAX_EXCHANGE_NUMBER);
+        int width = (int) parseNumber(routingData.getOrDefault("width", "1"), "width", 1, MAX_WIDTH);
+        int hint = (int) parseNumber(routingData.getOrDefault("via", "-1"), "via", -1, MAX_EXCHANGE_NUMBER);
+        String description = Utf8.decode(invite.body());
         if (description == null) {
             throw new InvalidSetUpException("the description is no text");
         }
         return new SetUpRequest(
-                line,
+                connectionId,
                 invite,
                 tag,
-                key,
+                calledNumber,
                 skill,
-                heardAt,
-                Span.ofMillis(within),
+                receivedAt,
+                Span.ofMillis(patienceMs),
                 destination,
                 hint,
                 width,
                 transit,
-                again,
+                redial,
                 null,
                 description,
-                caller);
+                cancellation);
     }
 
-    /** 16 hex digits. */
-    static boolean hex(String text) {
+    /** Whether the text is an id: 16 hex digits. */
+    static boolean isHexId(String text) {
         if (text == null || text.length() != 16) {
             return false;
         }
@@ -112,40 +115,42 @@
         return true;
     }
 
-    private static String key(String uri) throws InvalidSetUpException {
-        String key = uri.startsWith("sip:") && uri.endsWith(NET) ? uri.substring(4, uri.length() - NET.length()) : "";
-        if (!hex(key)) {
+    private static String parseCalledNumber(String uri) throws InvalidSetUpException {
+        String calledNumber = uri.startsWith("sip:") && uri.endsWith(URI_SUFFIX)
+                ? uri.substring(4, uri.length() - URI_SUFFIX.length())
+                : "";
+        if (!isHexId(calledNumber)) {
             throw new InvalidSetUpException("the number called is none");
         }
-        return key;
+        return calledNumber;
     }
 
-    private static Map<String, String> figures(String text) throws InvalidSetUpException {
-        Map<String, String> figures = new HashMap<>();
-        for (String one : text == null ? List.<String>of() : List.of(text.split(";"))) {
-            int colon = one.indexOf(':');
+    private static Map<String, String> parseRoutingData(String text) throws InvalidSetUpException {
+        Map<String, String> values = new HashMap<>();
+        for (String entry : text == null ? List.<String>of() : List.of(text.split(";"))) {
+            int colon = entry.indexOf(':');
             if (colon > 0) {
-                String name = one.substring(0, colon).trim();
-                if (figures.put(name, one.substring(colon + 1).trim()) != null) {
+                String name = entry.substring(0, colon).trim();
+                if (values.put(name, entry.substring(colon + 1).trim()) != null) {
                     throw new InvalidSetUpException("Routing-Data has " + name + " twice");
                 }
-            } else if (!one.isBlank()) {
+            } else if (!entry.isBlank()) {
                 throw new InvalidSetUpException("Routing-Data can't be read");
             }
         }
-        return figures;
+        return values;
     }
 
-    private static double number(String text, String what, double least, double most) throws InvalidSetUpException {
+    private static double parseNumber(String text, String name, double min, double max) throws InvalidSetUpException {
         double value;
         try {
             value = text == null || text.length() > 24 ? Double.NaN : Double.parseDouble(text);
         } catch (NumberFormatException e) {
             value = Double.NaN;
         }
-        // NaN is in no range.
-        if (!(value >= least && value <= most)) {
-            throw new InvalidSetUpException(what + " is no number in its range");
+        // Written so that NaN, which is outside every range, is refused.
+        if (!(value >= min && value <= max)) {
+            throw new InvalidSetUpException(name + " is no number in its range");
         }
         return value;
     }
--- a/src/main/java/martenslip/platform/caller/Utf8.java
+++ b/src/main/java/martenslip/platform/caller/Utf8.java
@@ -4,21 +4,21 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Bytes that can go through JSON and come back the same. */
+/** Decodes bytes that JSON can carry unchanged. */
 final class Utf8 {
     private Utf8() {}
 
-    /** Null where the bytes are no text: JSON could not carry them unchanged. */
-    static String text(byte[] bytes) {
-        for (byte one : bytes) {
-            if (one < 0) {
-                return decoded(bytes);
+    /** Returns null if the bytes are not valid UTF-8: JSON could not carry them unchanged. */
+    static String decode(byte[] bytes) {
+        for (byte value : bytes) {
+            if (value < 0) {
+                return decodeUtf8(bytes);
             }
         }
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    private static String decoded(byte[] bytes) {
+    private static String decodeUtf8(byte[] bytes) {
         try {
             return StandardCharsets.UTF_8
                     .newDecoder()
--- a/src/main/java/martenslip/platform/journal/Journal.java
+++ b/src/main/java/martenslip/platform/journal/Journal.java
@@ -3,100 +3,106 @@
 import java.net.InetSocketAddress;
 
 /**
- * The journal service's events in the order of their numbers, each once, from whichever address tells them. Where the
- * service moves, the feed that talked last goes on until the new one talks, so a list is never without one for longer
- * than it must be; an event that was cut off, or came before, is none.
+ * Delivers the journal service's events in the order of their positions, each once, from whichever address sends them.
+ * When the service moves to another address, the previous connection stays active until the new one has received data,
+ * so that the switch list is without a source no longer than necessary. Incomplete events and events at or before the
+ * current position are ignored.
  *
- * <p>One lock guards what feeds there are, and which of them is heard. An event is handed on under it: two feeds that
- * tell the same one meet here, and one that is no longer heard tells nothing after.
+ * <p>One lock guards the connections and which of them are active. The listener is called under it: connections that
+ * receive the same event are serialized, and a connection that is no longer active delivers nothing.
  */
 public final class Journal implements AutoCloseable {
-    /** Takes events in the order of their numbers; called by a feed's thread. */
+    /** Called by the threads of the connections. */
     public interface Listener {
+        /** The next event in the order of positions. */
         void eventReceived(SwitchListEvent event) throws InterruptedException;
 
-        void connectionLost(String why);
+        /** A connection failed or could not be opened; it is retried unless another address has replaced it. */
+        void connectionLost(String reason);
     }
 
-    private final Listener heard;
-    private JournalConnection newest;
-    /** The one before, as long as the newest has not talked; or null. */
-    private JournalConnection before;
+    private final Listener listener;
+    private JournalConnection current;
+    /** The connection to the address before, until the current one has received data; or null. */
+    private JournalConnection previous;
 
-    private boolean newestTalked;
+    private boolean currentHasReceivedData;
     private boolean closing;
     private volatile long position;
 
-    public Journal(InetSocketAddress at, long position, Listener heard) {
+    /** Events after {@code position} are delivered once {@link #start} was called. */
+    public Journal(InetSocketAddress address, long position, Listener listener) {
         this.position = position;
-        this.heard = heard;
-        newest = new JournalConnection(at, tells);
+        this.listener = listener;
+        current = new JournalConnection(address, connectionListener);
     }
 
+    /** Opens the connection. */
     public synchronized void start() {
-        newest.start();
+        current.start();
     }
 
+    /** Position of the last event that was delivered. */
     public long position() {
         return position;
     }
 
-    /** From now on the feed is read elsewhere; positions go on. Any thread. */
-    public synchronized void moveTo(InetSocketAddress to) {
-        if (closing || to.equals(newest.at)) {
+    /** Reads from another address from now on; positions continue. Called by any thread. */
+    public synchronized void moveTo(InetSocketAddress address) {
+        if (closing || address.equals(current.address)) {
             return;
         }
-        newest.end();
-        if (newestTalked) {
-            // Its address takes nobody any more: what it has still to tell is welcome.
-            before = newest;
+        current.end();
+        if (currentHasReceivedData) {
+            // The old address accepts no new connection, but events it still sends are delivered.
+            previous = current;
         }
-        newest = new JournalConnection(to, tells);
-        newestTalked = false;
-        newest.start();
+        current = new JournalConnection(address, connectionListener);
+        currentHasReceivedData = false;
+        current.start();
     }
 
-    private final JournalConnection.Listener tells = new JournalConnection.Listener() {
+    private final JournalConnection.Listener connectionListener = new JournalConnection.Listener() {
         @Override
         public long position() {
             return Journal.this.position();
         }
 
         @Override
-        public boolean talks(JournalConnection by) {
+        public boolean dataReceived(JournalConnection connection) {
             synchronized (Journal.this) {
-                if (by == newest && !newestTalked) {
-                    newestTalked = true;
-                    before = null;
+                if (connection == current && !currentHasReceivedData) {
+                    currentHasReceivedData = true;
+                    previous = null;
                 }
-                return counts(by);
+                return isActive(connection);
             }
         }
 
         @Override
-        public void event(JournalConnection by, SwitchListEvent event) throws InterruptedException {
+        public void eventReceived(JournalConnection connection, SwitchListEvent event) throws InterruptedException {
             synchronized (Journal.this) {
-                if (!counts(by) || event.position() <= position) {
+                if (!isActive(connection) || event.position() <= position) {
                     return;
                 }
-                heard.eventReceived(event);
+                listener.eventReceived(event);
                 position = event.position();
             }
         }
 
         @Override
-        public void broken(String why) {
-            heard.connectionLost(why);
+        public void connectionLost(String reason) {
+            listener.connectionLost(reason);
         }
     };
 
-    private boolean counts(JournalConnection by) {
-        return !closing && (by == newest || by == before);
+    private boolean isActive(JournalConnection connection) {
+        return !closing && (connection == current || connection == previous);
     }
 
     @Override
     public synchronized void close() {
         closing = true;
-        newest.end();
+        current.end();
     }
 }
--- a/src/main/java/martenslip/platform/journal/JournalConnection.java
+++ b/src/main/java/martenslip/platform/journal/JournalConnection.java
@@ -11,80 +11,88 @@
 import martenslip.platform.json.Json;
 
 /**
- * Reads one address of the journal service on a thread of its own: server-sent events from the last position on, a
- * comment each second. What breaks, falls silent or can't be read is asked for again at once, then with growing pauses.
+ * Reads one address of the journal service on its own thread: server-sent events from the last position on, and a
+ * comment each second. A stream that fails, falls silent or can't be parsed is opened again at once, then with growing
+ * pauses.
  *
- * <p>It is ended by a mark, never by an interrupt: an interrupt does not wake a read of a socket, and one that comes
- * late hits whatever is waited for next. A feed that is no longer heard notices it at its next line, or when it has
- * been silent for too long.
+ * <p>It is ended by a flag, never by an interrupt: an interrupt does not wake a socket read, and a late one would hit
+ * the next wait. A connection that is no longer active notices it at its next line or at the read timeout.
  */
 final class JournalConnection {
-    private static final int STACK = 256 * 1024;
-    private static final int CONNECT_MS = 700;
-    /** A comment is due each second. */
-    private static final int SILENT_MS = 1600;
+    private static final int STACK_BYTES = 256 * 1024;
+    private static final int CONNECT_TIMEOUT_MS = 700;
+    /** The service sends a comment each second. */
+    private static final int READ_TIMEOUT_MS = 1600;
 
-    private static final int MOST_LINE = 1 << 20;
-    private static final Span FIRST_PAUSE = Span.ofMillis(50);
-    private static final Span LONGEST_PAUSE = Span.ofMillis(400);
-    private static final int LEAST_PAUSE_MS = 10;
+    /** Of a line, in bytes, and of an event, in characters. */
+    private static final int MAX_LENGTH = 1 << 20;
 
-    /** What a feed tells; called by its thread. */
+    private static final Span FIRST_RETRY_PAUSE = Span.ofMillis(50);
+    private static final Span MAX_RETRY_PAUSE = Span.ofMillis(400);
+    private static final int MIN_RETRY_PAUSE_MS = 10;
+
+    /** Called by the connection's thread. */
     interface Listener {
+        /** Position of the last event that was delivered; the stream is opened after it. */
         long position();
 
-        /** False where it is no longer to be heard. */
-        boolean talks(JournalConnection by);
+        /** A line was received. Returns false if the connection is no longer active. */
+        boolean dataReceived(JournalConnection connection);
 
-        void event(JournalConnection by, SwitchListEvent event) throws InterruptedException;
+        void eventReceived(JournalConnection connection, SwitchListEvent event) throws InterruptedException;
 
-        void broken(String why);
+        void connectionLost(String reason);
     }
 
-    final InetSocketAddress at;
-    private final Listener tells;
+    final InetSocketAddress address;
+    private final Listener listener;
     private boolean ended;
 
-    JournalConnection(InetSocketAddress at, Listener tells) {
-        this.at = at;
-        this.tells = tells;
+    JournalConnection(InetSocketAddress address, Listener listener) {
+        this.address = address;
+        this.listener = listener;
     }
 
     void start() {
-        Thread thread = new Thread(null, this::work, "journal", STACK);
+        Thread thread = new Thread(null, this::readUntilEnded, "journal", STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Not asked for again once it breaks. Whether it is heard until then is settled by {@link Listener#talks}. */
+    /** Stops reconnecting. Whether events count until the stream ends is decided by {@link Listener#dataReceived}. */
     synchronized void end() {
         ended = true;
         notifyAll();
     }
 
-    private void work() {
+    private void readUntilEnded() {
         Span pause = Span.ZERO;
         do {
-            long before = tells.position();
-            boolean talked = false;
+            long positionBefore = listener.position();
+            boolean receivedData = false;
             try {
-                talked = read();
-                tells.broken("ended");
+                receivedData = readStream();
+                listener.connectionLost("stream ended");
             } catch (IOException | RuntimeException e) {
-                tells.broken(String.valueOf(e.getMessage()));
+                listener.connectionLost(String.valueOf(e.getMessage()));
             } catch (InterruptedException e) {
                 return;
             }
-            boolean told = talked || tells.position() != before;
-            pause = told ? Span.ZERO : pause.times(2).atLeast(FIRST_PAUSE).atMost(LONGEST_PAUSE);
-        } while (goesOnAfter(Math.max(LEAST_PAUSE_MS, pause.ns() / 1_000_000)));
+            boolean progressed = receivedData || listener.position() != positionBefore;
+            pause = progressed
+                    ? Span.ZERO
+                    : pause.times(2).atLeast(FIRST_RETRY_PAUSE).atMost(MAX_RETRY_PAUSE);
+        } while (pauseUnlessEnded(Math.max(MIN_RETRY_PAUSE_MS, pause.ns() / 1_000_000)));
     }
 
-    private synchronized boolean goesOnAfter(long ms) {
-        long until = System.nanoTime() + ms * 1_000_000;
+    /** Returns false if the connection was ended. */
+    private synchronized boolean pauseUnlessEnded(long pauseMs) {
+        long deadlineNs = System.nanoTime() + pauseMs * 1_000_000;
         try {
-            for (long left = ms; left > 0 && !ended; left = (until - System.nanoTime()) / 1_000_000) {
-                wait(left);
+            for (long remainingMs = pauseMs;
+                    remainingMs > 0 && !ended;
+                    remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000) {
+                wait(remainingMs);
             }
         } catch (InterruptedException e) {
             return false;
@@ -92,63 +100,63 @@
         return !ended;
     }
 
-    /** True where anything at all was said. */
-    private boolean read() throws IOException, InterruptedException {
-        HttpURLConnection http = (HttpURLConnection)
-                URI.create("http://" + at.getAddress().getHostAddress() + ":" + at.getPort() + "/journal")
+    /** Returns true if any line was received. */
+    private boolean readStream() throws IOException, InterruptedException {
+        HttpURLConnection connection = (HttpURLConnection)
+                URI.create("http://" + address.getAddress().getHostAddress() + ":" + address.getPort() + "/journal")
                         .toURL()
                         .openConnection();
         try {
-            http.setConnectTimeout(CONNECT_MS);
-            http.setReadTimeout(SILENT_MS);
-            http.setUseCaches(false);
-            http.setRequestProperty("Last-Event-ID", Long.toString(tells.position()));
-            http.setRequestProperty("Accept", "text/event-stream");
-            if (http.getResponseCode() != 200) {
-                throw new IOException("status " + http.getResponseCode());
+            connection.setConnectTimeout(CONNECT_TIMEOUT_MS);
+            connection.setReadTimeout(READ_TIMEOUT_MS);
+            connection.setUseCaches(false);
+            connection.setRequestProperty("Last-Event-ID", Long.toString(listener.position()));
+            connection.setRequestProperty("Accept", "text/event-stream");
+            if (connection.getResponseCode() != 200) {
+                throw new IOException("HTTP status " + connection.getResponseCode());
             }
-            return events(http.getInputStream());
+            return readEvents(connection.getInputStream());
         } finally {
-            http.disconnect();
+            connection.disconnect();
         }
     }
 
-    private boolean events(InputStream in) throws IOException, InterruptedException {
+    private boolean readEvents(InputStream in) throws IOException, InterruptedException {
         ByteArrayOutputStream line = new ByteArrayOutputStream(512);
         StringBuilder data = new StringBuilder();
-        byte[] room = new byte[4096];
-        boolean talked = false;
-        for (int got = in.read(room); got >= 0; got = in.read(room)) {
-            for (int i = 0; i < got; i++) {
-                if (room[i] != '\n') {
-                    line.write(room[i]);
-                    if (line.size() > MOST_LINE) {
-                        throw new IOException("a line without end");
+        byte[] buffer = new byte[4096];
+        boolean receivedData = false;
+        for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
+            for (int i = 0; i < length; i++) {
+                if (buffer[i] != '\n') {
+                    line.write(buffer[i]);
+                    if (line.size() > MAX_LENGTH) {
+                        throw new IOException("line longer than " + MAX_LENGTH + " bytes");
                     }
                     continue;
                 }
                 String text = line.toString(StandardCharsets.UTF_8);
                 line.reset();
-                if (!tells.talks(this)) {
-                    return talked;
+                if (!listener.dataReceived(this)) {
+                    return receivedData;
                 }
-                talked = true;
+                receivedData = true;
                 text = text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
                 if (text.isEmpty()) {
                     if (data.length() > 0) {
-                        tells.event(
+                        listener.eventReceived(
                                 this,
                                 SwitchListEvent.parse(Json.read(data.toString().getBytes(StandardCharsets.UTF_8))));
                         data.setLength(0);
                     }
                 } else if (text.startsWith("data:")) {
                     data.append(text, text.startsWith("data: ") ? 6 : 5, text.length());
-                    if (data.length() > MOST_LINE) {
-                        throw new IOException("an event without end");
+                    if (data.length() > MAX_LENGTH) {
+                        throw new IOException("event longer than " + MAX_LENGTH + " characters");
                     }
                 }
             }
         }
-        return talked;
+        return receivedData;
     }
 }
--- a/src/main/java/martenslip/platform/journal/SwitchListEvent.java
+++ b/src/main/java/martenslip/platform/journal/SwitchListEvent.java
@@ -9,50 +9,66 @@
 import martenslip.platform.json.AddressParser;
 import martenslip.platform.json.Json;
 
-/** One event of the journal service: its number, whether it is the whole list, and the lines it names. */
+/**
+ * One event of the journal service.
+ *
+ * @param position position in the journal
+ * @param full true if the entries are the whole switch list, false if they are changes
+ * @param entries switches of the list or changed switches
+ */
 public record SwitchListEvent(long position, boolean full, List<Entry> entries) {
-    private static final int MOST_ENTRIES = 4096;
+    private static final int MAX_ENTRIES = 4096;
 
-    /** A line of the list; {@code startedMs} is 0 where the start was long ago. */
+    /**
+     * A switch.
+     *
+     * @param address null only if the switch is gone
+     * @param number the field {@code cell}, or -1 if it is absent
+     * @param startedAtMs start of the switch in ms since the epoch, 0 if it was long ago
+     */
     public record Entry(
             String id, InetSocketAddress address, String zone, int number, SwitchEntry.State state, long startedAtMs) {}
 
-    /** Read whole or not at all. */
+    /**
+     * Converts a parsed JSON value.
+     *
+     * @throws IOException if any part of the event is invalid
+     */
     public static SwitchListEvent parse(Object value) throws IOException {
         if (!(value instanceof Map<?, ?> event)
                 || !(event.get("hosts") instanceof Map<?, ?> hosts)
-                || !(hosts.get("instances") instanceof List<?> lines)
-                || lines.size() > MOST_ENTRIES) {
+                || !(hosts.get("instances") instanceof List<?> instances)
+                || instances.size() > MAX_ENTRIES) {
             throw new IOException("an event without hosts and instances");
         }
         List<Entry> entries = new ArrayList<>();
-        for (Object line : lines) {
-            entries.add(entry(line));
+        for (Object instance : instances) {
+            entries.add(parseEntry(instance));
         }
         return new SwitchListEvent(
                 (long) Json.number(event.get("pos"), "pos"), Boolean.TRUE.equals(hosts.get("reset")), entries);
     }
 
-    private static Entry entry(Object value) throws IOException {
-        if (!(value instanceof Map<?, ?> line) || !(line.get("instanceId") instanceof String id)) {
+    private static Entry parseEntry(Object value) throws IOException {
+        if (!(value instanceof Map<?, ?> instance) || !(instance.get("instanceId") instanceof String id)) {
             throw new IOException("an instance without instanceId");
         }
-        SwitchEntry.State state = switch (String.valueOf(line.get("lifecycle"))) {
+        SwitchEntry.State state = switch (String.valueOf(instance.get("lifecycle"))) {
             case "up" -> SwitchEntry.State.READY;
             case "draining" -> SwitchEntry.State.DRAINING;
             case "removed" -> SwitchEntry.State.GONE;
-            default -> throw new IOException(id + ": lifecycle " + line.get("lifecycle"));
+            default -> throw new IOException(id + ": unknown lifecycle " + instance.get("lifecycle"));
         };
-        InetSocketAddress at = state == SwitchEntry.State.GONE && line.get("hostPort") == null
+        InetSocketAddress address = state == SwitchEntry.State.GONE && instance.get("hostPort") == null
                 ? null
-                : AddressParser.parse(line.get("hostPort"), id + ".hostPort");
-        Object started = line.get("startedAtMs");
+                : AddressParser.parse(instance.get("hostPort"), id + ".hostPort");
+        Object startedAtMs = instance.get("startedAtMs");
         return new Entry(
                 id,
-                at,
-                String.valueOf(line.get("zone")),
-                line.get("cell") == null ? -1 : (int) Json.number(line.get("cell"), id + ".cell"),
+                address,
+                String.valueOf(instance.get("zone")),
+                instance.get("cell") == null ? -1 : (int) Json.number(instance.get("cell"), id + ".cell"),
                 state,
-                started == null ? 0 : (long) Json.number(started, id + ".startedAtMs"));
+                startedAtMs == null ? 0 : (long) Json.number(startedAtMs, id + ".startedAtMs"));
     }
 }
--- a/src/main/java/martenslip/platform/json/AddressParser.java
+++ b/src/main/java/martenslip/platform/json/AddressParser.java
@@ -4,12 +4,18 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Addresses as the platform writes them: IPv4 and a port; names are never looked up. */
+/** Parses addresses as the platform writes them: an IPv4 address and a port. Host names are never resolved. */
 public final class AddressParser {
     private AddressParser() {}
 
-    public static InetSocketAddress parse(Object value, String where) throws IOException {
-        String text = value instanceof String given ? given : "";
+    /**
+     * Parses {@code address:port}.
+     *
+     * @param path where the value was read, named in the error message
+     * @throws IOException if the value is not an IPv4 address with a port
+     */
+    public static InetSocketAddress parse(Object value, String path) throws IOException {
+        String text = value instanceof String string ? string : "";
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         boolean literal = !host.isEmpty() && host.chars().allMatch(c -> c == '.' || c >= '0' && c <= '9');
@@ -19,8 +25,8 @@
                 return new InetSocketAddress(InetAddress.getByName(host), port);
             }
         } catch (NumberFormatException e) {
-            throw new IOException(where + ": " + value + " is no address with a port");
+            throw new IOException(path + ": " + value + " is no address with a port");
         }
-        throw new IOException(where + ": " + value + " is no address with a port");
+        throw new IOException(path + ": " + value + " is no address with a port");
     }
 }
--- a/src/main/java/martenslip/platform/peer/PeerNoteTransport.java
+++ b/src/main/java/martenslip/platform/peer/PeerNoteTransport.java
@@ -11,71 +11,83 @@
 import martenslip.control.Orders;
 import martenslip.sip.transport.DropCounter;
 
-/** Notes between controllers, a datagram each; they may be late or lost. Only listed senders are heard. */
+/** Notes between peer controllers, one per datagram; they may be late or lost. Notes of unlisted senders are dropped. */
 public final class PeerNoteTransport implements AutoCloseable {
+    /** Longest note that is sent or accepted. */
     public static final int MAX_NOTE_BYTES = 256;
-    private static final int STACK = 128 * 1024;
 
-    /** Called by the reading thread; says no where there is no room, and the note is lost. */
+    private static final int STACK_BYTES = 128 * 1024;
+
+    /** Called by the reading thread. */
     public interface Listener {
+        /** A note from the peer with this index; returns false if there is no room, and the note is lost. */
         boolean noteReceived(int peer, byte[] note);
     }
 
     private final DatagramSocket socket;
     private final List<InetSocketAddress> peers;
-    private final InetSocketAddress all;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
-    private final int own;
+    private final InetSocketAddress broadcastAddress;
+    private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
+    private final int ownNumber;
     private final DropCounter drops;
-    private final Listener heard;
+    private final Listener listener;
 
+    /**
+     * Opens the socket and starts reading.
+     *
+     * @param peers the controllers' addresses; a peer's number is its index
+     * @param broadcastAddress where notes to all peers are sent
+     * @param ownNumber index of this controller, whose own notes are dropped
+     */
     public PeerNoteTransport(
-            InetSocketAddress at,
+            InetSocketAddress localAddress,
             List<InetSocketAddress> peers,
-            InetSocketAddress all,
-            int own,
+            InetSocketAddress broadcastAddress,
+            int ownNumber,
             DropCounter drops,
-            Listener heard)
+            Listener listener)
             throws IOException {
         this.peers = peers;
-        this.all = all;
-        this.own = own;
+        this.broadcastAddress = broadcastAddress;
+        this.ownNumber = ownNumber;
         this.drops = drops;
-        this.heard = heard;
+        this.listener = listener;
         for (int i = 0; i < peers.size(); i++) {
-            numbers.put(peers.get(i), i);
+            peerNumbers.put(peers.get(i), i);
         }
-        socket = new DatagramSocket(at);
-        Thread reading = new Thread(null, this::read, "peers", STACK);
-        reading.setDaemon(true);
-        reading.start();
+        socket = new DatagramSocket(localAddress);
+        Thread readThread = new Thread(null, this::read, "peers", STACK_BYTES);
+        readThread.setDaemon(true);
+        readThread.start();
     }
 
-    /** Any thread; a note that is too long is not sent. */
+    /**
+     * Sends a note to a peer or to {@link Orders#ALL_PEERS}; an empty or too long note is dropped. Called by any thread.
+     */
     public void send(int peer, byte[] note) {
-        InetSocketAddress to =
-                peer == Orders.ALL_PEERS ? all : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
-        if (to == null || note.length > MAX_NOTE_BYTES || note.length == 0) {
+        InetSocketAddress address =
+                peer == Orders.ALL_PEERS ? broadcastAddress : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
+        if (address == null || note.length > MAX_NOTE_BYTES || note.length == 0) {
             drops.increment("note not sent");
             return;
         }
         try {
-            socket.send(new DatagramPacket(note, note.length, to));
+            socket.send(new DatagramPacket(note, note.length, address));
         } catch (IOException e) {
             drops.increment("note not sent");
         }
     }
 
     private void read() {
-        byte[] room = new byte[MAX_NOTE_BYTES + 1];
+        byte[] buffer = new byte[MAX_NOTE_BYTES + 1];
         while (!socket.isClosed()) {
             try {
-                DatagramPacket packet = new DatagramPacket(room, room.length);
+                DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
-                Integer from = numbers.get(packet.getSocketAddress());
-                if (from == null || from == own || packet.getLength() > MAX_NOTE_BYTES) {
+                Integer peer = peerNumbers.get(packet.getSocketAddress());
+                if (peer == null || peer == ownNumber || packet.getLength() > MAX_NOTE_BYTES) {
                     drops.increment("note of a stranger, of oneself or too long");
-                } else if (!heard.noteReceived(from, Arrays.copyOf(room, packet.getLength()))) {
+                } else if (!listener.noteReceived(peer, Arrays.copyOf(buffer, packet.getLength()))) {
                     drops.increment("note without room");
                 }
             } catch (IOException | RuntimeException e) {
--- a/src/main/java/martenslip/platform/switchconnection/LineFramer.java
+++ b/src/main/java/martenslip/platform/switchconnection/LineFramer.java
@@ -3,33 +3,37 @@
 import java.util.Arrays;
 import martenslip.sip.transport.BufferedStreamFramer;
 
-/** Cuts a stream into lines ended by a line feed; one that is longer than any message is lost. */
+/** Splits a stream into lines that end with a line feed; a line longer than any message fails the stream. */
 final class LineFramer extends BufferedStreamFramer {
-    static final int MOST_BYTES = 16 * 1024;
+    static final int MAX_LINE_BYTES = 16 * 1024;
+    private static final int INITIAL_BUFFER_BYTES = 1024;
+    /** Buffer space beyond the longest line. */
+    private static final int READ_AHEAD_BYTES = 4096;
 
-    private int looked;
+    /** Buffered bytes known to contain no line feed. */
+    private int scanned;
 
     LineFramer() {
-        super(1024, MOST_BYTES + 4096);
+        super(INITIAL_BUFFER_BYTES, MAX_LINE_BYTES + READ_AHEAD_BYTES);
     }
 
     @Override
     public byte[] nextMessage() throws FramingException {
-        while (looked < length) {
-            if (buffer[looked] != '\n') {
-                looked++;
+        while (scanned < length) {
+            if (buffer[scanned] != '\n') {
+                scanned++;
                 continue;
             }
-            byte[] line = Arrays.copyOf(buffer, looked);
-            discard(looked + 1);
-            looked = 0;
-            if (line.length > MOST_BYTES) {
-                throw new FramingException("a line over " + MOST_BYTES + " bytes");
+            byte[] line = Arrays.copyOf(buffer, scanned);
+            discard(scanned + 1);
+            scanned = 0;
+            if (line.length > MAX_LINE_BYTES) {
+                throw new FramingException("line longer than " + MAX_LINE_BYTES + " bytes");
             }
             return line;
         }
-        if (length > MOST_BYTES) {
-            throw new FramingException("a line over " + MOST_BYTES + " bytes");
+        if (length > MAX_LINE_BYTES) {
+            throw new FramingException("line longer than " + MAX_LINE_BYTES + " bytes");
         }
         return null;
     }
--- a/src/main/java/martenslip/platform/switchconnection/LoadReportParser.java
+++ b/src/main/java/martenslip/platform/switchconnection/LoadReportParser.java
@@ -5,11 +5,15 @@
 import java.util.Map;
 
 /**
- * Reads a load report into the order of the settings' fields; what is absent or no number is told as such,
- * never as 0. The wire may name a field by the simulator's word where the settings have the platform's.
+ * Parses a switch's load report into the order of fields given in the settings. A field that is absent or not a number
+ * is marked as absent (NaN or -1), never 0. A report may use the simulator's field names instead of the platform's.
  */
 public final class LoadReportParser {
-    private static final Map<String, String> OTHER = Map.of(
+    /** The first fields: free and total circuits. */
+    private static final int CIRCUIT_FIELDS = 2;
+
+    /** The simulator's field names by the platform's. */
+    private static final Map<String, String> SIMULATOR_FIELD_NAMES = Map.of(
             "spare",
             "x0",
             "total",
@@ -27,59 +31,61 @@
             "mean_ms",
             "latency_ms");
 
-    private final Map<String, Integer> places = new HashMap<>();
-    private final int count;
+    private final Map<String, Integer> fieldIndexes = new HashMap<>();
+    private final int fieldCount;
 
+    /** {@code fields} are the field names in the order of the values of {@link #parse}. */
     public LoadReportParser(List<String> fields) {
-        count = fields.size();
-        for (int i = 0; i < count; i++) {
-            places.put(fields.get(i), i);
-            places.putIfAbsent(OTHER.getOrDefault(fields.get(i), fields.get(i)), i);
+        fieldCount = fields.size();
+        for (int i = 0; i < fieldCount; i++) {
+            fieldIndexes.put(fields.get(i), i);
+            fieldIndexes.putIfAbsent(SIMULATOR_FIELD_NAMES.getOrDefault(fields.get(i), fields.get(i)), i);
         }
     }
 
-    /** Empty where there is no report. */
-    public float[] read(String text) {
+    /** Returns an empty array if the text is null or contains no known field. */
+    public float[] parse(String text) {
         if (text == null || text.isBlank()) {
             return new float[0];
         }
-        float[] values = new float[count];
-        for (int i = 0; i < count; i++) {
-            values[i] = absent(i);
+        float[] values = new float[fieldCount];
+        for (int i = 0; i < fieldCount; i++) {
+            values[i] = absentValue(i);
         }
-        boolean any = false;
-        for (String one : text.split("[;,]")) {
-            int colon = one.indexOf(':');
-            Integer place =
-                    colon < 0 ? null : places.get(one.substring(0, colon).trim());
-            if (place != null) {
-                values[place] = number(one.substring(colon + 1).trim(), absent(place));
-                any = true;
+        boolean hasKnownField = false;
+        for (String entry : text.split("[;,]")) {
+            int colon = entry.indexOf(':');
+            Integer index = colon < 0
+                    ? null
+                    : fieldIndexes.get(entry.substring(0, colon).trim());
+            if (index != null) {
+                values[index] = parseNumber(entry.substring(colon + 1).trim(), absentValue(index));
+                hasKnownField = true;
             }
         }
-        return any ? values : new float[0];
+        return hasKnownField ? values : new float[0];
     }
 
-    /** The same without the circuits, for a report that may be older than what was told of them. */
-    float[] processor(String text) {
-        float[] values = read(text);
-        for (int i = 0; i < Math.min(2, values.length); i++) {
+    /** Parses a report that may be older than the last known circuit counts: leaves the circuit fields absent. */
+    float[] parseWithoutCircuits(String text) {
+        float[] values = parse(text);
+        for (int i = 0; i < Math.min(CIRCUIT_FIELDS, values.length); i++) {
             values[i] = Float.NaN;
         }
         return values;
     }
 
-    /** Free circuits and size, the first two, say with a -1 that no group is there: not told is no number. */
-    private static float absent(int place) {
-        return place < 2 ? Float.NaN : -1;
+    /** A -1 in a circuit field would mean that the switch has no group, so NaN stands for an absent value there. */
+    private static float absentValue(int index) {
+        return index < CIRCUIT_FIELDS ? Float.NaN : -1;
     }
 
-    private static float number(String text, float absent) {
+    private static float parseNumber(String text, float absentValue) {
         try {
             float value = Float.parseFloat(text);
-            return Float.isFinite(value) && value >= 0 ? value : absent;
+            return Float.isFinite(value) && value >= 0 ? value : absentValue;
         } catch (NumberFormatException e) {
-            return absent;
+            return absentValue;
         }
     }
 }
--- a/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
@@ -26,468 +26,527 @@
 import martenslip.sip.transport.TransportLimits;
 
 /**
- * Connections to the switches: so many to each that a spoilt one takes only a part down, opened at once when a switch
- * is listed and again after each loss, with bounded pauses. All state belongs to the deciding thread; reading threads
- * hand in what they read through {@link DecisionExecutor}.
+ * Connections to the switches: several to each switch, so that a broken one affects only a part of its contacts. They
+ * are opened at once when a switch is listed and again after each loss, with bounded pauses. All state belongs to the
+ * decision thread; reading threads pass on what they read through {@link DecisionExecutor}.
  *
- * <p>States of a group are taken from one connection of a switch, the first, and set-ups go by that one while it is up:
- * what comes by two connections overtakes each other by milliseconds, and a release's report that is older than the
- * last state would stand for it. The last state of the others is kept for when the first ends.
+ * <p>LOAD messages are taken from one connection of a switch, the primary, and set-ups are sent on it while it is
+ * established: messages on different connections overtake each other by milliseconds, and the load report of a release
+ * could replace a newer LOAD. The newest LOAD of each other connection is kept for when the primary ends.
  */
 public final class SwitchConnections {
-    /** Runs something on the deciding thread; waits for room. */
+    /** Runs tasks on the decision thread. */
     public interface DecisionExecutor {
-        void run(Runnable what) throws InterruptedException;
+        /** Queues a task, waiting for room in the queue. */
+        void run(Runnable task) throws InterruptedException;
     }
 
-    /** What the lines tell; called on the deciding thread. */
+    /** Called on the decision thread. */
     public interface Listener {
-        void started(long target, long connection, String tag, String description);
+        /** The switch has established the contact (STARTED); {@code description} may be null. */
+        void started(long switchId, long connectionId, String tag, String description);
 
-        void ended(long target, long connection, String tag, int cause, String note, float[] report);
+        /**
+         * The switch has ended the contact (FINISH).
+         *
+         * @param cause the field {@code rc}
+         * @param note the field {@code note} of {@code opts}, or null
+         * @param report load report of the switch, see {@link LoadReportParser#parse}; empty if there is none
+         */
+        void ended(long switchId, long connectionId, String tag, int cause, String note, float[] report);
 
-        void loadReported(long target, float[] report);
+        /** The switch has reported its load (LOAD). */
+        void loadReported(long switchId, float[] report);
 
-        void connectionEnded(long target, long connection, boolean everUp);
+        /** A connection has ended or could not be established. */
+        void connectionEnded(long switchId, long connectionId, boolean wasEstablished);
 
-        /** The process there has ended: what stood on it is over. */
-        void processEnded(long target);
+        /** The switch's process has ended, and with it the contacts established there. */
+        void processEnded(long switchId);
 
-        boolean hasEstablishedAt(long target);
+        /** Whether any contact is established at the switch. */
+        boolean hasEstablishedAt(long switchId);
 
+        /** Writes a line to the log. */
         void log(String line);
     }
 
-    private static final int EACH = 2;
-    private static final Span FIRST_PAUSE = Span.ofMillis(50);
-    private static final Span LONGEST_PAUSE = Span.ofMillis(1000);
-    /** A switch tells the state of its group before anything else: one that has not by then has none. */
-    private static final Span TELLS = Span.ofMillis(150);
+    private static final int CONNECTIONS_PER_SWITCH = 2;
+    private static final Span FIRST_RETRY_PAUSE = Span.ofMillis(50);
+    private static final Span MAX_RETRY_PAUSE = Span.ofMillis(1000);
+    /** A switch reports the state of its group before anything else; one that has not done so by then has no group. */
+    private static final Span GROUP_STATE_TIMEOUT = Span.ofMillis(150);
 
-    private static final Span LOOK = Span.ofMillis(500);
-    /** How long a release is kept for a further connection where nothing says that it was heard. */
-    private static final Span UNHEARD = Span.ofMillis(4000);
+    private static final Span LIVENESS_CHECK_INTERVAL = Span.ofMillis(500);
+    /** How long an unacknowledged FINISH is kept, to be sent again on the next connection. */
+    private static final Span PENDING_FINISH_LIFETIME = Span.ofMillis(4000);
 
-    private static final int MOST_UNHEARD = 2048;
+    private static final int MAX_PENDING_FINISHES = 2048;
 
     private static final class SwitchConnection {
-        final Connection connection;
-        final SwitchEndpoint far;
-        /** Opened for a sign of life only, and ended once it has come up. */
-        boolean asks;
+        final Connection transportConnection;
+        final SwitchEndpoint endpoint;
+        /** Opened only to check that the switch is alive; closed once it is established. */
+        boolean probe;
 
-        boolean up;
-        Moment upAt;
-        boolean told;
-        /** The one whose states count; readers look at it. */
-        volatile boolean first;
-        /** The newest state that was read and not yet taken, or that is kept while another link's count. */
-        final AtomicReference<byte[]> newest = new AtomicReference<>();
+        boolean established;
+        Moment establishedAt;
+        boolean groupStateReported;
+        /** The connection whose LOAD messages count; read by the reading threads. */
+        volatile boolean primary;
+        /** The newest LOAD that was read and not yet handled, or that is kept while another connection is primary. */
+        final AtomicReference<byte[]> latestLoad = new AtomicReference<>();
 
-        volatile long readAt;
+        volatile long lastReadNs;
 
-        SwitchConnection(Connection connection, SwitchEndpoint far) {
-            this.connection = connection;
-            this.far = far;
+        SwitchConnection(Connection transportConnection, SwitchEndpoint endpoint) {
+            this.transportConnection = transportConnection;
+            this.endpoint = endpoint;
         }
     }
 
-    private record PendingFinish(int cause, Moment at) {}
+    /** A FINISH that the switch has not acknowledged. */
+    private record PendingFinish(int cause, Moment queuedAt) {}
 
     private static final class SwitchEndpoint {
         final long id;
-        final InetSocketAddress at;
-        final List<SwitchConnection> links = new ArrayList<>();
-        final Map<String, PendingFinish> releases = new LinkedHashMap<>();
+        final InetSocketAddress address;
+        final List<SwitchConnection> connections = new ArrayList<>();
+        /** By tag, oldest first. */
+        final Map<String, PendingFinish> pendingFinishes = new LinkedHashMap<>();
+
         boolean listed = true;
-        boolean drains;
-        /** Listed and not draining; who writes looks at it. */
-        volatile boolean takesNew = true;
+        boolean draining;
+        /** Listed and not draining; read by the writing threads. */
+        volatile boolean acceptsStarts = true;
 
-        Span pause = Span.ZERO;
-        boolean waiting;
-        boolean failed;
-        final LivenessMonitor pulse;
-        long readAt;
+        Span retryPause = Span.ZERO;
+        boolean retryScheduled;
+        boolean connectFailed;
+        final LivenessMonitor liveness;
+        long lastReadNs;
 
-        SwitchEndpoint(long id, InetSocketAddress at, Moment now) {
+        SwitchEndpoint(long id, InetSocketAddress address, Moment now) {
             this.id = id;
-            this.at = at;
-            pulse = new LivenessMonitor(now);
+            this.address = address;
+            liveness = new LivenessMonitor(now);
         }
     }
 
-    private final TransportLimits bounds;
-    private final Supplier<Socket> sockets;
-    private final ConnectionThreadPool writers;
-    private final TimerWheel wheel;
-    private final DecisionExecutor turn;
-    private final Listener heard;
-    private final LoadReportParser loads;
+    private final TransportLimits limits;
+    private final Supplier<Socket> socketFactory;
+    private final ConnectionThreadPool threadPool;
+    private final TimerWheel timerWheel;
+    private final DecisionExecutor executor;
+    private final Listener listener;
+    private final LoadReportParser loadReportParser;
     private final DropCounter drops;
-    private final Map<Long, SwitchEndpoint> fars = new LinkedHashMap<>();
-    private final Map<Long, SwitchConnection> links = new ConcurrentHashMap<>();
-    private long numbers;
+    private final Map<Long, SwitchEndpoint> endpoints = new LinkedHashMap<>();
+    private final Map<Long, SwitchConnection> connections = new ConcurrentHashMap<>();
+    private long lastConnectionId;
     private boolean closing;
 
-    /** {@code sockets} makes one not yet connected for each connection. */
+    /** {@code socketFactory} creates an unconnected socket for each connection. */
     public SwitchConnections(
-            TransportLimits bounds,
-            Supplier<Socket> sockets,
-            ConnectionThreadPool writers,
-            TimerWheel wheel,
-            LoadReportParser loads,
+            TransportLimits limits,
+            Supplier<Socket> socketFactory,
+            ConnectionThreadPool threadPool,
+            TimerWheel timerWheel,
+            LoadReportParser loadReportParser,
             DropCounter drops,
-            DecisionExecutor turn,
-            Listener heard) {
-        this.bounds = bounds;
-        this.sockets = sockets;
-        this.writers = writers;
-        this.wheel = wheel;
-        this.loads = loads;
+            DecisionExecutor executor,
+            Listener listener) {
+        this.limits = limits;
+        this.socketFactory = socketFactory;
+        this.threadPool = threadPool;
+        this.timerWheel = timerWheel;
+        this.loadReportParser = loadReportParser;
         this.drops = drops;
-        this.turn = turn;
-        this.heard = heard;
+        this.executor = executor;
+        this.listener = listener;
     }
 
-    /** A switch is on the list, or still is. One that drains may take no further connection and lives all the same. */
-    public void listed(long id, InetSocketAddress at, boolean drains) {
-        SwitchEndpoint far = fars.get(id);
-        if (far == null) {
-            far = new SwitchEndpoint(id, at, wheel.now());
-            fars.put(id, far);
-            look(far);
-        }
-        far.listed = true;
-        far.drains = drains;
-        far.takesNew = !drains;
-        far.pulse.setListed(true);
-        fill(far);
+    /** A switch is on the list. One that drains may be alive even if it accepts no further connection. */
+    public void listed(long id, InetSocketAddress address, boolean draining) {
+        SwitchEndpoint endpoint = endpoints.get(id);
+        if (endpoint == null) {
+            endpoint = new SwitchEndpoint(id, address, timerWheel.now());
+            endpoints.put(id, endpoint);
+            checkLiveness(endpoint);
+        }
+        endpoint.listed = true;
+        endpoint.draining = draining;
+        endpoint.acceptsStarts = !draining;
+        endpoint.liveness.setListed(true);
+        openMissingConnections(endpoint);
     }
 
-    /** A switch has left the list: no further connection is opened to it, and it is forgotten once it is quiet. */
+    /**
+     * A switch has left the list: no further connection is opened to it, and it is removed once it has no connection
+     * left or is silent.
+     */
     public void unlisted(long id) {
-        SwitchEndpoint far = fars.get(id);
-        if (far != null) {
-            far.listed = false;
-            far.takesNew = false;
-            far.pulse.setListed(false);
+        SwitchEndpoint endpoint = endpoints.get(id);
+        if (endpoint != null) {
+            endpoint.listed = false;
+            endpoint.acceptsStarts = false;
+            endpoint.liveness.setListed(false);
         }
     }
 
-    private void look(SwitchEndpoint far) {
-        if (fars.get(far.id) != far || closing) {
+    private void checkLiveness(SwitchEndpoint endpoint) {
+        if (endpoints.get(endpoint.id) != endpoint || closing) {
             return;
         }
-        for (SwitchConnection link : far.links) {
-            if (link.readAt - far.readAt > 0 || far.readAt == 0 && link.readAt != 0) {
-                far.readAt = link.readAt;
-                far.pulse.signalReceived(new Moment(link.readAt));
+        for (SwitchConnection connection : endpoint.connections) {
+            if (connection.lastReadNs - endpoint.lastReadNs > 0
+                    || endpoint.lastReadNs == 0 && connection.lastReadNs != 0) {
+                endpoint.lastReadNs = connection.lastReadNs;
+                endpoint.liveness.signalReceived(new Moment(connection.lastReadNs));
             }
         }
-        // Where nothing stands, nothing is owed, and silence is no matter.
-        LivenessMonitor.Action sign = far.listed && !heard.hasEstablishedAt(far.id)
+        // A listed switch without established contacts owes no release, so its silence does not matter.
+        LivenessMonitor.Action action = endpoint.listed && !listener.hasEstablishedAt(endpoint.id)
                 ? LivenessMonitor.Action.NONE
-                : far.pulse.check(wheel.now());
-        if (sign == LivenessMonitor.Action.DECLARE_DEAD || !far.listed && far.links.isEmpty()) {
-            heard.log("switch " + far.id + " at " + far.at + " says nothing any more, listed: " + far.listed);
-            List.copyOf(far.links).forEach(link -> link.connection.close("silent"));
-            heard.processEnded(far.id);
-            if (!far.listed) {
-                fars.remove(far.id);
+                : endpoint.liveness.check(timerWheel.now());
+        if (action == LivenessMonitor.Action.DECLARE_DEAD || !endpoint.listed && endpoint.connections.isEmpty()) {
+            listener.log("switch " + endpoint.id + " at " + endpoint.address + " says nothing any more, listed: "
+                    + endpoint.listed);
+            List.copyOf(endpoint.connections).forEach(connection -> connection.transportConnection.close("silent"));
+            listener.processEnded(endpoint.id);
+            if (!endpoint.listed) {
+                endpoints.remove(endpoint.id);
                 return;
             }
-        } else if (sign == LivenessMonitor.Action.PROBE && open(far)) {
-            far.links.get(far.links.size() - 1).asks = true;
+        } else if (action == LivenessMonitor.Action.PROBE && openConnection(endpoint)) {
+            endpoint.connections.get(endpoint.connections.size() - 1).probe = true;
         }
-        wheel.scheduleAfter(LOOK, () -> look(far));
+        timerWheel.scheduleAfter(LIVENESS_CHECK_INTERVAL, () -> checkLiveness(endpoint));
     }
 
     /**
-     * True once each listed switch has told the state of its group, or has been connected for long enough to have told
-     * it: the own exchange's switch has no group and says nothing. One that can't be reached is not waited for.
+     * Whether each listed switch has reported the state of its group, or has been connected long enough to have
+     * reported it: the switch of the own exchange has no group and reports nothing. Unreachable switches are ignored.
      */
     public boolean allGroupStatesReported() {
-        return fars.values().stream()
-                .allMatch(far -> !far.listed
-                        || far.failed
-                        || far.links.stream()
-                                .anyMatch(link -> link.told
-                                        || link.up
-                                                && wheel.now().since(link.upAt).longerThan(TELLS)));
+        return endpoints.values().stream()
+                .allMatch(endpoint -> !endpoint.listed
+                        || endpoint.connectFailed
+                        || endpoint.connections.stream()
+                                .anyMatch(connection -> connection.groupStateReported
+                                        || connection.established
+                                                && timerWheel
+                                                        .now()
+                                                        .since(connection.establishedAt)
+                                                        .longerThan(GROUP_STATE_TIMEOUT)));
     }
 
+    /** Number of connections that are open or being opened. */
     public int connectionCount() {
-        return links.size();
+        return connections.size();
     }
 
-    /** Connections that the switches of the list may need: to each, to one that takes its place, and one that asks. */
+    /**
+     * Connections that the switches may need: for each that is listed and not draining its own, those of a switch that
+     * takes its place, and one probe; for each other its own.
+     */
     public int requiredConnections() {
-        return (2 * EACH + 1)
-                        * (int) fars.values().stream()
-                                .filter(far -> far.listed && !far.drains)
+        return (2 * CONNECTIONS_PER_SWITCH + 1)
+                        * (int) endpoints.values().stream()
+                                .filter(endpoint -> endpoint.listed && !endpoint.draining)
                                 .count()
-                + EACH
-                        * (int) fars.values().stream()
-                                .filter(far -> !far.listed || far.drains)
+                + CONNECTIONS_PER_SWITCH
+                        * (int) endpoints.values().stream()
+                                .filter(endpoint -> !endpoint.listed || endpoint.draining)
                                 .count();
     }
 
-    private void fill(SwitchEndpoint far) {
-        while (far.listed && !closing && !far.waiting && far.links.size() < EACH) {
-            if (!open(far)) {
-                pause(far);
+    private void openMissingConnections(SwitchEndpoint endpoint) {
+        while (endpoint.listed
+                && !closing
+                && !endpoint.retryScheduled
+                && endpoint.connections.size() < CONNECTIONS_PER_SWITCH) {
+            if (!openConnection(endpoint)) {
+                scheduleRetry(endpoint);
             }
         }
     }
 
-    private boolean open(SwitchEndpoint far) {
-        Connection connection =
-                new Connection(++numbers, sockets.get(), far.at, false, bounds, events, new LineFramer(), writers);
-        SwitchConnection link = new SwitchConnection(connection, far);
-        links.put(connection.id(), link);
-        far.links.add(link);
-        link.first = far.links.get(0) == link;
+    private boolean openConnection(SwitchEndpoint endpoint) {
+        Connection transportConnection = new Connection(
+                ++lastConnectionId,
+                socketFactory.get(),
+                endpoint.address,
+                false,
+                limits,
+                connectionListener,
+                new LineFramer(),
+                threadPool);
+        SwitchConnection connection = new SwitchConnection(transportConnection, endpoint);
+        connections.put(transportConnection.id(), connection);
+        endpoint.connections.add(connection);
+        connection.primary = endpoint.connections.get(0) == connection;
         try {
-            connection.start("switch");
+            transportConnection.start("switch");
             return true;
         } catch (OutOfMemoryError | RejectedExecutionException e) {
-            links.remove(connection.id());
-            far.links.remove(link);
-            connection.close("no thread for a switch");
+            connections.remove(transportConnection.id());
+            endpoint.connections.remove(connection);
+            transportConnection.close("no thread for a switch");
             return false;
         }
     }
 
-    /** One pause for all connections of a switch: it doubles until one of them comes up. */
-    private void pause(SwitchEndpoint far) {
-        if (!far.waiting && far.listed && !closing) {
-            far.waiting = true;
-            wheel.scheduleAfter(far.pause, () -> {
-                far.waiting = false;
-                fill(far);
+    /** All connections of a switch share one pause; it doubles until one of them is established. */
+    private void scheduleRetry(SwitchEndpoint endpoint) {
+        if (!endpoint.retryScheduled && endpoint.listed && !closing) {
+            endpoint.retryScheduled = true;
+            timerWheel.scheduleAfter(endpoint.retryPause, () -> {
+                endpoint.retryScheduled = false;
+                openMissingConnections(endpoint);
             });
-            far.pause = far.pause.times(2).atLeast(FIRST_PAUSE).atMost(LONGEST_PAUSE);
+            endpoint.retryPause =
+                    endpoint.retryPause.times(2).atLeast(FIRST_RETRY_PAUSE).atMost(MAX_RETRY_PAUSE);
         }
     }
 
     /**
-     * Queues a set-up; null where no connection takes it. One that is up is preferred to one that is yet to come up,
-     * but on either it may wait, so its reason is looked at once more when it is written. {@code unsent} is run by the
-     * deciding thread where it no longer held.
+     * Queues a START; returns null if no connection accepts it. Established connections are preferred to those that are
+     * still being opened. The message may wait on either, so whether it is still due is checked again when it is
+     * written; if it is not, {@code onRevoked} runs on the decision thread.
      */
-    public QueuedMessage sendStart(long target, SwitchStartRequest start, Runnable unsent) {
-        SwitchEndpoint far = fars.get(target);
-        if (far == null) {
+    public QueuedMessage sendStart(long switchId, SwitchStartRequest request, Runnable onRevoked) {
+        SwitchEndpoint endpoint = endpoints.get(switchId);
+        if (endpoint == null) {
             return null;
         }
         RevocableMessage message = new RevocableMessage(
-                SwitchMessage.STARTS_AT_MOST + 2 * start.description().length(),
-                () -> due(far, start),
-                () -> put(unsent));
-        // The end of an earlier attempt must not be said again on a connection that comes up after this one.
-        far.releases.remove(start.tag());
-        for (boolean up : new boolean[] {true, false}) {
-            for (SwitchConnection link : far.links) {
-                if (link.up == up && link.connection.send(message)) {
-                    return new QueuedMessage(link.connection.id(), message);
+                SwitchMessage.MAX_START_BYTES_WITHOUT_DESCRIPTION
+                        + 2 * request.description().length(),
+                () -> encodeStartIfDue(endpoint, request),
+                () -> execute(onRevoked));
+        // The FINISH of an earlier attempt must not be sent again on a connection established after this START.
+        endpoint.pendingFinishes.remove(request.tag());
+        for (boolean wantEstablished : new boolean[] {true, false}) {
+            for (SwitchConnection connection : endpoint.connections) {
+                if (connection.established == wantEstablished && connection.transportConnection.send(message)) {
+                    return new QueuedMessage(connection.transportConnection.id(), message);
                 }
             }
         }
         return null;
     }
 
-    /** What a set-up reads as when it is written, or null where there is nothing left to ask for. */
-    private static byte[] due(SwitchEndpoint far, SwitchStartRequest start) {
+    /** Encodes a START at the time it is written; null if it is no longer due. */
+    private static byte[] encodeStartIfDue(SwitchEndpoint endpoint, SwitchStartRequest request) {
         Moment now = new Moment(System.nanoTime());
-        return far.takesNew && start.isDue(now)
-                ? SwitchMessage.start(
-                        start.tag(),
-                        start.skill(),
-                        start.remaining(now).ns() / 1_000_000,
-                        start.calledNumber(),
-                        start.description())
+        return endpoint.acceptsStarts && request.isDue(now)
+                ? SwitchMessage.encodeStart(
+                        request.tag(),
+                        request.skill(),
+                        request.remaining(now).ns() / 1_000_000,
+                        request.calledNumber(),
+                        request.description())
                 : null;
     }
 
-    /** {@code written} is run by the deciding thread once it has been written, or can't be any more. */
-    public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
-        OutgoingMessage message = OutgoingMessage.of(SwitchMessage.finish(tag, cause), () -> put(written));
-        SwitchEndpoint far = fars.get(target);
-        if (far == null) {
+    /**
+     * Sends a FINISH on the given connection, or on another established one of the switch if that is gone.
+     * {@code onCompleted} runs on the decision thread once it has been written or can't be written any more.
+     */
+    public void sendFinish(long switchId, long connectionId, String tag, int cause, Runnable onCompleted) {
+        OutgoingMessage message =
+                OutgoingMessage.of(SwitchMessage.encodeFinish(tag, cause), () -> execute(onCompleted));
+        SwitchEndpoint endpoint = endpoints.get(switchId);
+        if (endpoint == null) {
             message.completed();
             return;
         }
-        // They stand in the order of time.
-        for (Iterator<PendingFinish> all = far.releases.values().iterator(); all.hasNext(); ) {
-            boolean old = wheel.now().since(all.next().at).longerThan(UNHEARD);
-            if (!old && far.releases.size() < MOST_UNHEARD) {
+        // Ordered by time, oldest first.
+        for (Iterator<PendingFinish> finishes =
+                        endpoint.pendingFinishes.values().iterator();
+                finishes.hasNext(); ) {
+            boolean expired = timerWheel.now().since(finishes.next().queuedAt).longerThan(PENDING_FINISH_LIFETIME);
+            if (!expired && endpoint.pendingFinishes.size() < MAX_PENDING_FINISHES) {
                 break;
             }
-            all.remove();
+            finishes.remove();
         }
-        far.releases.put(tag, new PendingFinish(cause, wheel.now()));
-        SwitchConnection own = links.get(connection);
-        if (own != null && own.connection.send(message)) {
+        endpoint.pendingFinishes.put(tag, new PendingFinish(cause, timerWheel.now()));
+        SwitchConnection preferred = connections.get(connectionId);
+        if (preferred != null && preferred.transportConnection.send(message)) {
             return;
         }
-        for (SwitchConnection link : far.links) {
-            if (link.up && link.connection.send(message)) {
+        for (SwitchConnection connection : endpoint.connections) {
+            if (connection.established && connection.transportConnection.send(message)) {
                 return;
             }
         }
         message.completed();
     }
 
-    public void sendFinished(long target, long connection, String tag) {
-        SwitchConnection link = links.get(connection);
-        if (link != null) {
-            link.connection.send(SwitchMessage.finished(tag));
+    /** Acknowledges a FINISH of the switch, on the same connection only. */
+    public void sendFinished(long switchId, long connectionId, String tag) {
+        SwitchConnection connection = connections.get(connectionId);
+        if (connection != null) {
+            connection.transportConnection.send(SwitchMessage.encodeFinished(tag));
         }
     }
 
-    private final Connection.Listener events = new Connection.Listener() {
+    private final Connection.Listener connectionListener = new Connection.Listener() {
         @Override
-        public void messageReceived(Connection connection, byte[] line) throws InterruptedException {
-            SwitchConnection link = links.get(connection.id());
-            if (link == null) {
+        public void messageReceived(Connection transportConnection, byte[] line) throws InterruptedException {
+            SwitchConnection connection = connections.get(transportConnection.id());
+            if (connection == null) {
                 return;
             }
-            link.readAt = System.nanoTime();
-            if (SwitchMessage.state(line)) {
-                // States come by the hundred a second and only the newest counts: one waits for its turn at a time,
-                // and those of a further connection stay unread until that one is the first.
-                if (link.newest.getAndSet(line) == null && (link.first || !link.told)) {
-                    turn.run(() -> loaded(link));
+            connection.lastReadNs = System.nanoTime();
+            if (SwitchMessage.isLoadReport(line)) {
+                // LOAD messages arrive at hundreds a second and only the newest counts: at most one is queued for the
+                // decision thread, and those of other connections are not parsed until their connection is primary.
+                if (connection.latestLoad.getAndSet(line) == null
+                        && (connection.primary || !connection.groupStateReported)) {
+                    executor.run(() -> reportGroupState(connection));
                 }
                 return;
             }
-            SwitchMessage says;
+            SwitchMessage message;
             try {
-                says = SwitchMessage.read(line);
+                message = SwitchMessage.parse(line);
             } catch (IOException | RuntimeException e) {
                 drops.increment("a switch's line that can't be read");
-                connection.close("unreadable line");
+                transportConnection.close("unreadable line");
                 return;
             }
-            turn.run(() -> take(connection.id(), says));
+            executor.run(() -> handleMessage(transportConnection.id(), message));
         }
 
         @Override
-        public void connected(Connection connection) {
-            put(() -> opened(connection.id()));
+        public void connected(Connection transportConnection) {
+            execute(() -> connectionEstablished(transportConnection.id()));
         }
 
         @Override
-        public void ended(Connection connection, String why) {
-            drops.increment("switch line over", why);
-            put(() -> over(connection, why));
+        public void ended(Connection transportConnection, String reason) {
+            drops.increment("switch line over", reason);
+            execute(() -> connectionLost(transportConnection, reason));
         }
     };
 
-    private void put(Runnable what) {
+    private void execute(Runnable task) {
         try {
-            turn.run(what);
+            executor.run(task);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void opened(long number) {
-        SwitchConnection link = links.get(number);
-        if (link == null) {
+    private void connectionEstablished(long connectionId) {
+        SwitchConnection connection = connections.get(connectionId);
+        if (connection == null) {
             return;
         }
-        link.up = true;
-        link.upAt = wheel.now();
-        link.far.pause = Span.ZERO;
-        link.far.pulse.signalReceived(wheel.now());
-        if (link.asks && link.far.links.size() > EACH) {
-            link.connection.close("it lives");
+        connection.established = true;
+        connection.establishedAt = timerWheel.now();
+        connection.endpoint.retryPause = Span.ZERO;
+        connection.endpoint.liveness.signalReceived(timerWheel.now());
+        if (connection.probe && connection.endpoint.connections.size() > CONNECTIONS_PER_SWITCH) {
+            connection.transportConnection.close("probe succeeded");
             return;
         }
-        link.far.releases.values().removeIf(one -> wheel.now().since(one.at).longerThan(UNHEARD));
-        link.far.releases.forEach((tag, one) -> link.connection.send(SwitchMessage.finish(tag, one.cause)));
+        connection
+                .endpoint
+                .pendingFinishes
+                .values()
+                .removeIf(finish -> timerWheel.now().since(finish.queuedAt).longerThan(PENDING_FINISH_LIFETIME));
+        connection.endpoint.pendingFinishes.forEach(
+                (tag, finish) -> connection.transportConnection.send(SwitchMessage.encodeFinish(tag, finish.cause)));
     }
 
-    private void over(Connection connection, String why) {
-        SwitchConnection link = links.remove(connection.id());
-        if (link == null) {
+    private void connectionLost(Connection transportConnection, String reason) {
+        SwitchConnection connection = connections.remove(transportConnection.id());
+        if (connection == null) {
             return;
         }
-        SwitchEndpoint far = link.far;
-        boolean told = far.links.indexOf(link) == 0;
-        far.links.remove(link);
-        heard.log("switch " + far.id + " at " + far.at + (connection.wasEstablished() ? ": " : ", never up: ") + why);
-        if (!connection.wasEstablished()) {
-            far.failed = true;
-            far.pulse.connectFailed(wheel.now());
-        }
-        heard.connectionEnded(far.id, connection.id(), connection.wasEstablished());
-        if (connection.wasRefused()
-                && far.listed
-                && !far.drains
-                && far.links.stream().noneMatch(other -> other.up)) {
-            heard.processEnded(far.id);
-        }
-        if (told && !far.links.isEmpty()) {
-            first(far.links.get(0));
-        }
-        pause(far);
+        SwitchEndpoint endpoint = connection.endpoint;
+        boolean wasPrimary = endpoint.connections.indexOf(connection) == 0;
+        endpoint.connections.remove(connection);
+        listener.log("switch " + endpoint.id + " at " + endpoint.address
+                + (transportConnection.wasEstablished() ? ": " : ", never established: ") + reason);
+        if (!transportConnection.wasEstablished()) {
+            endpoint.connectFailed = true;
+            endpoint.liveness.connectFailed(timerWheel.now());
+        }
+        listener.connectionEnded(endpoint.id, transportConnection.id(), transportConnection.wasEstablished());
+        if (transportConnection.wasRefused()
+                && endpoint.listed
+                && !endpoint.draining
+                && endpoint.connections.stream().noneMatch(other -> other.established)) {
+            listener.processEnded(endpoint.id);
+        }
+        if (wasPrimary && !endpoint.connections.isEmpty()) {
+            makePrimary(endpoint.connections.get(0));
+        }
+        scheduleRetry(endpoint);
     }
 
-    private void first(SwitchConnection link) {
-        link.first = true;
-        loaded(link);
+    private void makePrimary(SwitchConnection connection) {
+        connection.primary = true;
+        reportGroupState(connection);
     }
 
-    private void loaded(SwitchConnection link) {
-        if (links.get(link.connection.id()) != link) {
+    /** Reports the latest LOAD if the connection is primary; else only notes that a LOAD was received. */
+    private void reportGroupState(SwitchConnection connection) {
+        if (connections.get(connection.transportConnection.id()) != connection) {
             return;
         }
-        link.told = true;
-        byte[] newest = link.first ? link.newest.getAndSet(null) : null;
-        if (newest == null) {
+        connection.groupStateReported = true;
+        byte[] latestLoad = connection.primary ? connection.latestLoad.getAndSet(null) : null;
+        if (latestLoad == null) {
             return;
         }
         try {
-            heard.loadReported(
-                    link.far.id, loads.read(SwitchMessage.read(newest).load()));
+            listener.loadReported(
+                    connection.endpoint.id,
+                    loadReportParser.parse(SwitchMessage.parse(latestLoad).load()));
         } catch (IOException e) {
             drops.increment("a switch's line that can't be read");
-            link.connection.close("unreadable state");
+            connection.transportConnection.close("unreadable LOAD");
         }
     }
 
-    private void take(long number, SwitchMessage says) {
-        SwitchConnection link = links.get(number);
-        if (link == null) {
+    private void handleMessage(long connectionId, SwitchMessage message) {
+        SwitchConnection connection = connections.get(connectionId);
+        if (connection == null) {
             return;
         }
-        SwitchEndpoint far = link.far;
-        switch (says.verb()) {
-            case "STARTED" -> heard.started(far.id, number, says.tag(), says.description());
+        SwitchEndpoint endpoint = connection.endpoint;
+        switch (message.verb()) {
+            case "STARTED" -> listener.started(endpoint.id, connectionId, message.tag(), message.description());
             case "FINISH" ->
-                heard.ended(
-                        far.id,
-                        number,
-                        says.tag(),
-                        says.cause(),
-                        says.note(),
-                        link.first ? loads.read(says.load()) : loads.processor(says.load()));
-            case "FINISHED" -> far.releases.remove(says.tag());
+                listener.ended(
+                        endpoint.id,
+                        connectionId,
+                        message.tag(),
+                        message.cause(),
+                        message.note(),
+                        connection.primary
+                                ? loadReportParser.parse(message.load())
+                                : loadReportParser.parseWithoutCircuits(message.load()));
+            case "FINISHED" -> endpoint.pendingFinishes.remove(message.tag());
             case "PENDING", "ECHOED" -> {}
             default -> {
                 drops.increment("a switch's line of an unknown type");
-                link.connection.close("unknown type");
+                connection.transportConnection.close("unknown verb");
             }
         }
     }
 
+    /** Closes all connections and opens no further ones; queued messages get a limited time to be written. */
     public void close() {
         closing = true;
-        for (SwitchConnection link : List.copyOf(links.values())) {
-            link.connection.flushAndClose("closing", Span.ofMillis(100));
+        for (SwitchConnection connection : List.copyOf(connections.values())) {
+            connection.transportConnection.flushAndClose("closing", Span.ofMillis(100));
         }
     }
 }
--- a/src/main/java/martenslip/platform/switchconnection/SwitchMessage.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchMessage.java
@@ -7,110 +7,121 @@
 import java.io.IOException;
 import martenslip.platform.json.Json;
 
-/** One line of a switch: the type, the id, what it carries of the fields that count here, cause and description. */
+/**
+ * One JSON line to or from a switch.
+ *
+ * @param verb type of the message
+ * @param tag id of the contact
+ * @param load load report, the field {@code load} of {@code opts}, or null
+ * @param note the field {@code note} of {@code opts}, or null
+ * @param cause the field {@code rc}
+ * @param description the field {@code blob}, or null
+ */
 record SwitchMessage(String verb, String tag, String load, String note, int cause, String description) {
-    /** All of a set-up toward a switch but its description: names of classes are short. */
-    static final int STARTS_AT_MOST = 256;
+    /** Upper bound for a START line without its description; skill names are short. */
+    static final int MAX_START_BYTES_WITHOUT_DESCRIPTION = 256;
 
-    private static final byte[] STATE = "\"LOAD\"".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
+    private static final byte[] LOAD_VERB = "\"LOAD\"".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
 
-    /** True where the type can only be the state of a group: a quote in a text is written with a stroke before it. */
-    static boolean state(byte[] line) {
-        for (int i = line.length - STATE.length; i >= 0; i--) {
-            if (java.util.Arrays.equals(line, i, i + STATE.length, STATE, 0, STATE.length)) {
+    /** Whether the line is a LOAD: quotes inside strings are escaped, so the quoted word can only be the verb. */
+    static boolean isLoadReport(byte[] message) {
+        for (int i = message.length - LOAD_VERB.length; i >= 0; i--) {
+            if (java.util.Arrays.equals(message, i, i + LOAD_VERB.length, LOAD_VERB, 0, LOAD_VERB.length)) {
                 return true;
             }
         }
         return false;
     }
 
-    static SwitchMessage read(byte[] line) throws IOException {
+    /** Parses a line; unknown fields are skipped. */
+    static SwitchMessage parse(byte[] message) throws IOException {
         String verb = null;
         String tag = "";
-        String[] fields = new String[2];
+        String[] loadAndNote = new String[2];
         int cause = 0;
         String description = null;
-        try (JsonParser in = Json.FACTORY.createParser(line)) {
-            if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("no object");
+        try (JsonParser parser = Json.FACTORY.createParser(message)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new IOException("message is not a JSON object");
             }
-            while (in.nextToken() == JsonToken.FIELD_NAME) {
-                String name = in.currentName();
-                JsonToken value = in.nextToken();
+            while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                String name = parser.currentName();
+                JsonToken value = parser.nextToken();
                 switch (name) {
-                    case "verb" -> verb = text(in, value);
-                    case "tag" -> tag = text(in, value);
-                    case "blob" -> description = text(in, value);
-                    case "rc" -> cause = (int) in.getValueAsLong(-1);
-                    case "opts" -> fields(in, value, fields);
-                    default -> in.skipChildren();
+                    case "verb" -> verb = parseString(parser, value);
+                    case "tag" -> tag = parseString(parser, value);
+                    case "blob" -> description = parseString(parser, value);
+                    case "rc" -> cause = (int) parser.getValueAsLong(-1);
+                    case "opts" -> parseOptions(parser, value, loadAndNote);
+                    default -> parser.skipChildren();
                 }
             }
-            if (in.currentToken() != JsonToken.END_OBJECT || in.nextToken() != null || verb == null) {
-                throw new IOException("no whole object");
+            if (parser.currentToken() != JsonToken.END_OBJECT || parser.nextToken() != null || verb == null) {
+                throw new IOException("message is not one complete JSON object with a verb");
             }
         }
-        return new SwitchMessage(verb, tag, fields[0], fields[1], cause, description);
+        return new SwitchMessage(verb, tag, loadAndNote[0], loadAndNote[1], cause, description);
     }
 
-    private static String text(JsonParser in, JsonToken value) throws IOException {
+    private static String parseString(JsonParser parser, JsonToken value) throws IOException {
         if (value != JsonToken.VALUE_STRING) {
-            throw new IOException("no text where one stands");
+            throw new IOException("field is not a string");
         }
-        return in.getText();
+        return parser.getText();
     }
 
-    private static void fields(JsonParser in, JsonToken value, String[] fields) throws IOException {
+    /** Sets load and note from the fields of {@code opts}. */
+    private static void parseOptions(JsonParser parser, JsonToken value, String[] loadAndNote) throws IOException {
         if (value != JsonToken.START_OBJECT) {
-            throw new IOException("fields are no object");
+            throw new IOException("opts is not a JSON object");
         }
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            in.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
             switch (name) {
-                case "load" -> fields[0] = in.getText();
-                case "note" -> fields[1] = in.getText();
-                default -> in.skipChildren();
+                case "load" -> loadAndNote[0] = parser.getText();
+                case "note" -> loadAndNote[1] = parser.getText();
+                default -> parser.skipChildren();
             }
         }
     }
 
-    static byte[] start(String tag, String skill, long leftMs, String key, String description) {
-        return line(
+    static byte[] encodeStart(String tag, String skill, long remainingMs, String calledNumber, String description) {
+        return encode(
                 "START",
                 tag,
-                out -> {
-                    out.writeStringField("class", skill);
-                    out.writeStringField("key", key);
-                    out.writeStringField("left", Long.toString(leftMs));
+                generator -> {
+                    generator.writeStringField("class", skill);
+                    generator.writeStringField("key", calledNumber);
+                    generator.writeStringField("left", Long.toString(remainingMs));
                 },
-                out -> out.writeStringField("blob", description));
+                generator -> generator.writeStringField("blob", description));
     }
 
-    static byte[] finish(String tag, int cause) {
-        return line("FINISH", tag, out -> {}, out -> out.writeNumberField("rc", cause));
+    static byte[] encodeFinish(String tag, int cause) {
+        return encode("FINISH", tag, generator -> {}, generator -> generator.writeNumberField("rc", cause));
     }
 
-    static byte[] finished(String tag) {
-        return line("FINISHED", tag, out -> {}, out -> {});
+    static byte[] encodeFinished(String tag) {
+        return encode("FINISHED", tag, generator -> {}, generator -> {});
     }
 
     private interface JsonPart {
-        void write(JsonGenerator out) throws IOException;
+        void write(JsonGenerator generator) throws IOException;
     }
 
-    private static byte[] line(String verb, String tag, JsonPart fields, JsonPart rest) {
+    private static byte[] encode(String verb, String tag, JsonPart options, JsonPart remainder) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        try (JsonGenerator out = Json.FACTORY.createGenerator(bytes)) {
-            out.writeStartObject();
-            out.writeStringField("verb", verb);
-            out.writeStringField("tag", tag);
-            out.writeObjectFieldStart("opts");
-            fields.write(out);
-            out.writeEndObject();
-            rest.write(out);
-            out.writeEndObject();
-            out.writeRaw('\n');
+        try (JsonGenerator generator = Json.FACTORY.createGenerator(bytes)) {
+            generator.writeStartObject();
+            generator.writeStringField("verb", verb);
+            generator.writeStringField("tag", tag);
+            generator.writeObjectFieldStart("opts");
+            options.write(generator);
+            generator.writeEndObject();
+            remainder.write(generator);
+            generator.writeEndObject();
+            generator.writeRaw('\n');
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
--- a/src/test/java/martenslip/platform/caller/CallerConnectionsTest.java
+++ b/src/test/java/martenslip/platform/caller/CallerConnectionsTest.java
@@ -26,8 +26,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Tests accepting, closing and refusing on callers' connections, at a limit of two connections. */
 public class CallerConnectionsTest {
-    private static final TransportLimits TWO = new TransportLimits(
+    private static final TransportLimits TWO_CONNECTIONS = new TransportLimits(
             2,
             Span.ofMillis(5000),
             Span.ofMillis(20_000),
@@ -35,25 +36,25 @@
             100_000,
             Span.ofMillis(3000),
             Span.ofMillis(500));
-    private final LinkedBlockingQueue<SetUpRequest> heard = new LinkedBlockingQueue<>();
-    private CountDownLatch go;
-    private volatile boolean full;
-    private AtomicInteger broken;
-    private ServerSocket listener;
+    private final LinkedBlockingQueue<SetUpRequest> setUps = new LinkedBlockingQueue<>();
+    private CountDownLatch acknowledgementsReleased;
+    private volatile boolean queueFull;
+    private AtomicInteger remainingAcceptFailures;
+    private ServerSocket serverSocket;
     private CallerConnections callers;
-    private InetSocketAddress at;
+    private InetSocketAddress address;
 
     @BeforeMethod
     public void open() throws IOException {
-        heard.clear();
-        full = false;
-        go = new CountDownLatch(1);
-        broken = new AtomicInteger();
-        listener = new ServerSocket() {
+        setUps.clear();
+        queueFull = false;
+        acknowledgementsReleased = new CountDownLatch(1);
+        remainingAcceptFailures = new AtomicInteger();
+        serverSocket = new ServerSocket() {
             @Override
             public Socket accept() throws IOException {
-                if (broken.get() > 0) {
-                    broken.decrementAndGet();
+                if (remainingAcceptFailures.get() > 0) {
+                    remainingAcceptFailures.decrementAndGet();
                     throw new SocketException("Too many open files");
                 }
                 return super.accept();
@@ -61,29 +62,29 @@
         };
         callers = new CallerConnections(
                 new ContactSettings(List.of("dear"), 10, Span.ofMillis(9000), Span.ofMillis(20)),
-                TWO,
+                TWO_CONNECTIONS,
                 new ConnectionThreadPool("test", 4),
                 new DropCounter(),
                 new CallerConnections.Listener() {
                     @Override
-                    public boolean setUpReceived(SetUpRequest asked) {
-                        return !full && heard.add(asked);
+                    public boolean setUpReceived(SetUpRequest setUp) {
+                        return !queueFull && setUps.add(setUp);
                     }
 
                     @Override
-                    public void requestReceived(long line, Request request) {
-                        // Not asked here.
+                    public void requestReceived(long connectionId, Request request) {
+                        // Not part of these tests.
                     }
 
                     @Override
                     public void releaseAcknowledged(String tag) throws InterruptedException {
-                        // The deciding thread has no room: the reader waits.
-                        go.await();
+                        // Blocks the reading thread, as the decision thread does when it has no room.
+                        acknowledgementsReleased.await();
                     }
 
                     @Override
-                    public void connectionEnded(long line) {
-                        // Counted by the lines themselves.
+                    public void connectionEnded(long connectionId) {
+                        // The tests check connectionCount() instead.
                     }
 
                     @Override
@@ -91,43 +92,43 @@
                         return true;
                     }
                 },
-                listener);
-        at = new InetSocketAddress(
+                serverSocket);
+        address = new InetSocketAddress(
                 InetAddress.getLoopbackAddress(),
                 callers.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
     }
 
     @AfterMethod
     public void close() throws IOException {
-        go.countDown();
+        acknowledgementsReleased.countDown();
         callers.close();
     }
 
-    private Socket line() throws IOException {
-        Socket socket = new Socket(at.getAddress(), at.getPort());
+    private Socket connect() throws IOException {
+        Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(10_000);
         return socket;
     }
 
-    private static void say(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void send(Socket socket, String message) throws IOException {
+        socket.getOutputStream().write(message.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void invite(Socket socket, int number) throws IOException {
-        say(
+    private static void sendInvite(Socket socket, int number) throws IOException {
+        send(
                 socket,
                 "INVITE sip:00000000000000aa@net SIP/2.0\r\nCall-ID: " + String.format("%016x", number)
                         + "\r\nCSeq: 1 INVITE\r\nCall-Kind: dear\r\nAnswer-Within: 900\r\nRouting-Data: dest:1\r\n"
                         + "Content-Length: 0\r\n\r\n");
     }
 
-    private SetUpRequest next() throws InterruptedException {
-        SetUpRequest asked = heard.poll(10, TimeUnit.SECONDS);
-        assertTrue(asked != null, "no set-up came");
-        return asked;
+    private SetUpRequest nextSetUp() throws InterruptedException {
+        SetUpRequest setUp = setUps.poll(10, TimeUnit.SECONDS);
+        assertTrue(setUp != null, "no set-up was received");
+        return setUp;
     }
 
-    private static boolean ended(Socket socket) throws IOException {
+    private static boolean isEnded(Socket socket) throws IOException {
         try {
             return socket.getInputStream().read() < 0;
         } catch (SocketException e) {
@@ -136,158 +137,158 @@
     }
 
     @Test
-    public void aQuietLineMakesRoomAndOneThatIsOwedAnAnswerDoesNot() throws Exception {
-        try (Socket quiet = line();
-                Socket owed = line()) {
-            invite(owed, 1);
-            long waiting = next().connectionId();
-            try (Socket third = line()) {
-                invite(third, 2);
-                next();
-                assertTrue(ended(quiet));
-                assertTrue(callers.send(waiting, "x".getBytes()));
+    public void idleConnectionIsEvictedAndOneAwaitingAnAnswerIsNot() throws Exception {
+        try (Socket idle = connect();
+                Socket awaitingAnswer = connect()) {
+            sendInvite(awaitingAnswer, 1);
+            long connectionId = nextSetUp().connectionId();
+            try (Socket third = connect()) {
+                sendInvite(third, 2);
+                nextSetUp();
+                assertTrue(isEnded(idle));
+                assertTrue(callers.send(connectionId, "x".getBytes()));
             }
         }
     }
 
-    /** On the crowd's day readers came late and lines were ended with a set-up in them that nobody had read. */
+    /** Under heavy load reading threads lagged, and connections were closed with a set-up in them that was not read. */
     @Test
-    public void aLineOfWhichSomethingWaitsToBeReadIsNotEnded() throws Exception {
-        try (Socket unread = line()) {
-            say(unread, "SIP/2.0 200 OK\r\nCall-ID: 0000000000000009\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n");
-            invite(unread, 1);
-            try (Socket quiet = line();
-                    Socket third = line()) {
-                assertTrue(ended(quiet));
-                invite(third, 2);
-                assertEquals(next().tag(), String.format("%016x", 2));
-                go.countDown();
-                assertEquals(next().tag(), String.format("%016x", 1));
+    public void connectionWithUnreadInputIsNotEvicted() throws Exception {
+        try (Socket unread = connect()) {
+            send(unread, "SIP/2.0 200 OK\r\nCall-ID: 0000000000000009\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n");
+            sendInvite(unread, 1);
+            try (Socket idle = connect();
+                    Socket third = connect()) {
+                assertTrue(isEnded(idle));
+                sendInvite(third, 2);
+                assertEquals(nextSetUp().tag(), String.format("%016x", 2));
+                acknowledgementsReleased.countDown();
+                assertEquals(nextSetUp().tag(), String.format("%016x", 1));
             }
         }
     }
 
     @Test
-    public void whereAllAreOwedAnAnswerOnlyTheNewOneIsEnded() throws Exception {
-        try (Socket one = line();
-                Socket two = line()) {
-            invite(one, 1);
-            invite(two, 2);
-            next();
-            next();
-            try (Socket third = line()) {
-                assertTrue(ended(third));
+    public void newConnectionIsClosedIfAllOthersAwaitAnAnswer() throws Exception {
+        try (Socket first = connect();
+                Socket second = connect()) {
+            sendInvite(first, 1);
+            sendInvite(second, 2);
+            nextSetUp();
+            nextSetUp();
+            try (Socket third = connect()) {
+                assertTrue(isEnded(third));
                 assertEquals(callers.connectionCount(), 2);
             }
         }
     }
 
-    /** What comes while the connections are ended has an owner: it is read, handed up and answered before its own is. */
+    /** A set-up that arrives during a graceful close is read, passed on and answered before its connection is closed. */
     @Test
-    public void hangingUpWaitsForWhatItsReaderIsAmidOf() throws Exception {
-        try (Socket unread = line();
-                Socket quiet = line()) {
-            say(unread, "SIP/2.0 200 OK\r\nCall-ID: 0000000000000009\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n");
-            invite(unread, 1);
-            say(quiet, "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
-            assertTrue(quiet.getInputStream().read() == 'S');
+    public void gracefulCloseWaitsForUnreadInput() throws Exception {
+        try (Socket unread = connect();
+                Socket idle = connect()) {
+            send(unread, "SIP/2.0 200 OK\r\nCall-ID: 0000000000000009\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n");
+            sendInvite(unread, 1);
+            send(idle, "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
+            assertTrue(idle.getInputStream().read() == 'S');
             while (callers.connectionCount() < 2) {
                 Thread.onSpinWait();
             }
-            Thread ends = new Thread(() -> callers.closeGracefully(Span.ofMillis(20_000)));
-            ends.start();
-            while (quiet.getInputStream().read() >= 0) {
-                // The rest of its answer, then the end.
+            Thread closer = new Thread(() -> callers.closeGracefully(Span.ofMillis(20_000)));
+            closer.start();
+            while (idle.getInputStream().read() >= 0) {
+                // Reads the rest of the response, then the end of the stream.
             }
-            assertEquals(heard.size(), 0);
-            go.countDown();
-            SetUpRequest asked = next();
-            assertTrue(callers.send(asked.connectionId(), "bye".getBytes(StandardCharsets.US_ASCII)));
-            callers.contactAnswered(asked.connectionId(), asked.tag());
+            assertEquals(setUps.size(), 0);
+            acknowledgementsReleased.countDown();
+            SetUpRequest setUp = nextSetUp();
+            assertTrue(callers.send(setUp.connectionId(), "bye".getBytes(StandardCharsets.US_ASCII)));
+            callers.contactAnswered(setUp.connectionId(), setUp.tag());
             assertEquals(new String(unread.getInputStream().readNBytes(3), StandardCharsets.US_ASCII), "bye");
-            assertTrue(ended(unread));
-            ends.join(10_000);
-            assertTrue(!ends.isAlive() && listener.isClosed());
+            assertTrue(isEnded(unread));
+            closer.join(10_000);
+            assertTrue(!closer.isAlive() && serverSocket.isClosed());
         }
     }
 
-    /** Where there is no room for it its caller hears so at once, and its reader goes on to what comes next. */
+    /** The caller is refused at once, and the reading thread goes on with the next message. */
     @Test
-    public void aSetUpThatFindsNoRoomIsRefusedByItsReader() throws Exception {
-        full = true;
-        try (Socket socket = line()) {
-            invite(socket, 1);
+    public void setUpIsRefusedWithoutWaitingIfListenerHasNoRoom() throws Exception {
+        queueFull = true;
+        try (Socket socket = connect()) {
+            sendInvite(socket, 1);
             byte[] status = socket.getInputStream().readNBytes(11);
             assertEquals(new String(status, StandardCharsets.US_ASCII), "SIP/2.0 503");
-            full = false;
-            invite(socket, 2);
-            assertEquals(next().tag(), String.format("%016x", 2));
+            queueFull = false;
+            sendInvite(socket, 2);
+            assertEquals(nextSetUp().tag(), String.format("%016x", 2));
         }
     }
 
     @Test
-    public void theReaderMarksWhoCancelsAndWhoLeavesBeforeAnybodyIsTold() throws Exception {
-        try (Socket socket = line()) {
-            invite(socket, 1);
-            invite(socket, 2);
-            SetUpRequest cancelled = next();
-            SetUpRequest left = next();
+    public void cancelAndDisconnectionMarkTheSetUpAsCancelled() throws Exception {
+        try (Socket socket = connect()) {
+            sendInvite(socket, 1);
+            sendInvite(socket, 2);
+            SetUpRequest cancelled = nextSetUp();
+            SetUpRequest disconnected = nextSetUp();
             assertTrue(!cancelled.cancellation().isCancelled());
-            say(
+            send(
                     socket,
                     "CANCEL sip:00000000000000aa@net SIP/2.0\r\nCall-ID: " + cancelled.tag()
                             + "\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n");
-            waits(cancelled);
-            assertTrue(!left.cancellation().isCancelled());
+            awaitCancellation(cancelled);
+            assertTrue(!disconnected.cancellation().isCancelled());
             socket.close();
-            waits(left);
+            awaitCancellation(disconnected);
         }
     }
 
-    private static void waits(SetUpRequest asked) {
-        for (long begun = System.nanoTime(); !asked.cancellation().isCancelled(); Thread.onSpinWait()) {
-            assertTrue(System.nanoTime() - begun < 10_000_000_000L, "never marked");
+    private static void awaitCancellation(SetUpRequest setUp) {
+        for (long startNs = System.nanoTime(); !setUp.cancellation().isCancelled(); Thread.onSpinWait()) {
+            assertTrue(System.nanoTime() - startNs < 10_000_000_000L, "the set-up was not marked as cancelled");
         }
     }
 
-    /** A list that grows needs descriptors: quiet callers give theirs, one that is owed an answer keeps its own. */
+    /** A growing switch list needs file descriptors: idle callers lose theirs, one awaiting an answer keeps its own. */
     @Test
-    public void fewerAllowedEndsQuietOnesAtOnce() throws Exception {
-        try (Socket owed = line();
-                Socket quiet = line()) {
-            invite(owed, 1);
-            SetUpRequest asked = next();
+    public void loweringTheLimitEvictsIdleConnections() throws Exception {
+        try (Socket awaitingAnswer = connect();
+                Socket idle = connect()) {
+            sendInvite(awaitingAnswer, 1);
+            SetUpRequest setUp = nextSetUp();
             while (callers.connectionCount() < 2) {
                 Thread.onSpinWait();
             }
-            for (long begun = System.nanoTime(); callers.connectionCount() > 1; ) {
-                // It counts as quiet once it has been so for longer than a reader may be late.
+            for (long startNs = System.nanoTime(); callers.connectionCount() > 1; ) {
+                // A connection counts as idle only after a while, so this is repeated.
                 callers.setConnectionLimit(1);
-                assertTrue(System.nanoTime() - begun < 10_000_000_000L, "none was ended");
+                assertTrue(System.nanoTime() - startNs < 10_000_000_000L, "no connection was closed");
             }
-            assertTrue(ended(quiet));
-            assertTrue(callers.send(asked.connectionId(), "x".getBytes(StandardCharsets.US_ASCII)));
+            assertTrue(isEnded(idle));
+            assertTrue(callers.send(setUp.connectionId(), "x".getBytes(StandardCharsets.US_ASCII)));
         }
     }
 
-    /** No descriptor to be had: accept fails at once and again, the caller waits. Room is made, and nothing spins. */
+    /** Without a free file descriptor accept fails at once, repeatedly, while the caller waits. */
     @Test
-    public void acceptThatFailsMakesRoomAndDoesNotSpin() throws Exception {
-        try (Socket quiet = line()) {
+    public void failingAcceptEvictsAnIdleConnectionAndDoesNotSpin() throws Exception {
+        try (Socket idle = connect()) {
             while (callers.connectionCount() < 1) {
                 Thread.onSpinWait();
             }
-            // Under the 5 s after which one that says nothing is ended in any case.
-            quiet.setSoTimeout(3000);
-            int often = 60;
-            broken.set(often);
-            long begun = System.nanoTime();
-            try (Socket second = line()) {
-                assertTrue(ended(quiet), "the quiet one's descriptor is the one to be had");
-                invite(second, 1);
-                next();
-                long each = (System.nanoTime() - begun) / often;
-                assertTrue(each > 2_000_000, "a try each " + each + " ns");
+            // Less than the 5 s after which a connection without any message is closed anyway.
+            idle.setSoTimeout(3000);
+            int failures = 60;
+            remainingAcceptFailures.set(failures);
+            long startNs = System.nanoTime();
+            try (Socket second = connect()) {
+                assertTrue(isEnded(idle), "the idle connection is the one to close for its descriptor");
+                sendInvite(second, 1);
+                nextSetUp();
+                long nsPerFailure = (System.nanoTime() - startNs) / failures;
+                assertTrue(nsPerFailure > 2_000_000, "accept was retried every " + nsPerFailure + " ns");
             }
         }
     }
--- a/src/test/java/martenslip/platform/caller/SetUpParserTest.java
+++ b/src/test/java/martenslip/platform/caller/SetUpParserTest.java
@@ -14,43 +14,44 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests parsing of INVITEs and refusal of invalid ones. */
 public class SetUpParserTest {
-    private final SetUpParser fit =
+    private final SetUpParser parser =
             new SetUpParser(new ContactSettings(List.of("voice", "text"), 10, Span.ofMillis(9000), Span.ofMillis(20)));
 
-    private static Request invite(String tag, String uri, String kind, String within, String figures) {
+    private static Request invite(String tag, String uri, String callKind, String answerWithin, String routingData) {
         Headers headers = new Headers();
         headers.add("Call-ID", tag).add("CSeq", "1 INVITE");
-        if (kind != null) {
-            headers.add("Call-Kind", kind);
+        if (callKind != null) {
+            headers.add("Call-Kind", callKind);
         }
-        if (within != null) {
-            headers.add("Answer-Within", within);
+        if (answerWithin != null) {
+            headers.add("Answer-Within", answerWithin);
         }
-        if (figures != null) {
-            headers.add("Routing-Data", figures);
+        if (routingData != null) {
+            headers.add("Routing-Data", routingData);
         }
         Request request = new Request("INVITE", uri, headers);
         request.body("application/sdp", new byte[] {'c', '=', '\r', '\n'});
         return request;
     }
 
-    private SetUpRequest read(Request request) throws SetUpParser.InvalidSetUpException {
-        return fit.setUp(4, request, new Moment(5), CALLER);
+    private SetUpRequest parse(Request request) throws SetUpParser.InvalidSetUpException {
+        return parser.parse(4, request, new Moment(5), CANCELLATION);
     }
 
-    private static final CallerCancellation CALLER = new CallerCancellation();
+    private static final CallerCancellation CANCELLATION = new CallerCancellation();
     private static final String TAG = "9b1f03aa5c7e2d41";
     private static final String URI = "sip:ff3a9c21e0b4d655@net";
 
     @Test
-    public void figuresAreReadForWhatTheyAre() throws SetUpParser.InvalidSetUpException {
-        SetUpRequest asked = read(invite(TAG, URI, "text", "1500", "dest:2;width:1;via:-1;transit:1;again:1"));
+    public void allFieldsAreParsed() throws SetUpParser.InvalidSetUpException {
+        SetUpRequest setUp = parse(invite(TAG, URI, "text", "1500", "dest:2;width:1;via:-1;transit:1;again:1"));
         assertEquals(
-                asked,
+                setUp,
                 new SetUpRequest(
                         4,
-                        asked.invite(),
+                        setUp.invite(),
                         TAG,
                         "ff3a9c21e0b4d655",
                         1,
@@ -63,31 +64,31 @@
                         true,
                         null,
                         "c=\r\n",
-                        CALLER));
+                        CANCELLATION));
     }
 
     @Test
-    public void oneThatStandsNeedsNothingElse() throws SetUpParser.InvalidSetUpException {
-        assertEquals(read(invite(TAG, URI, null, null, "at:s-00c41f7a")).establishedSwitch(), "s-00c41f7a");
+    public void establishedContactNeedsNoOtherFields() throws SetUpParser.InvalidSetUpException {
+        assertEquals(parse(invite(TAG, URI, null, null, "at:s-00c41f7a")).establishedSwitch(), "s-00c41f7a");
     }
 
     @DataProvider
-    public Object[][] wrong() {
-        String good = "dest:2;width:1;via:-1";
+    public Object[][] invalidRequests() {
+        String validRoutingData = "dest:2;width:1;via:-1";
         return new Object[][] {
-            {invite("9b1f", URI, "text", "1500", good)},
-            {invite("9b1f03aa5c7e2d4g", URI, "text", "1500", good)},
-            {invite(TAG, "sip:7f3a@net", "text", "1500", good)},
-            {invite(TAG, "sip:7f3a9c21e0b4d655@elsewhere", "text", "1500", good)},
-            {invite(TAG, URI, "fax", "1500", good)},
-            {invite(TAG, URI, null, "1500", good)},
-            {invite(TAG, URI, "text", null, good)},
-            {invite(TAG, URI, "text", "-5", good)},
-            {invite(TAG, URI, "text", "0", good)},
-            {invite(TAG, URI, "text", "NaN", good)},
-            {invite(TAG, URI, "text", "Infinity", good)},
-            {invite(TAG, URI, "text", "99999999999", good)},
-            {invite(TAG, URI, "text", "soon", good)},
+            {invite("9b1f", URI, "text", "1500", validRoutingData)},
+            {invite("9b1f03aa5c7e2d4g", URI, "text", "1500", validRoutingData)},
+            {invite(TAG, "sip:7f3a@net", "text", "1500", validRoutingData)},
+            {invite(TAG, "sip:7f3a9c21e0b4d655@elsewhere", "text", "1500", validRoutingData)},
+            {invite(TAG, URI, "fax", "1500", validRoutingData)},
+            {invite(TAG, URI, null, "1500", validRoutingData)},
+            {invite(TAG, URI, "text", null, validRoutingData)},
+            {invite(TAG, URI, "text", "-5", validRoutingData)},
+            {invite(TAG, URI, "text", "0", validRoutingData)},
+            {invite(TAG, URI, "text", "NaN", validRoutingData)},
+            {invite(TAG, URI, "text", "Infinity", validRoutingData)},
+            {invite(TAG, URI, "text", "99999999999", validRoutingData)},
+            {invite(TAG, URI, "text", "soon", validRoutingData)},
             {invite(TAG, URI, "text", "1500", null)},
             {invite(TAG, URI, "text", "1500", "dest:NaN")},
             {invite(TAG, URI, "text", "1500", "dest:-2")},
@@ -100,15 +101,15 @@
         };
     }
 
-    @Test(dataProvider = "wrong")
-    public void whatIsUnfitIsRefused(Request request) {
-        assertThrows(SetUpParser.InvalidSetUpException.class, () -> read(request));
+    @Test(dataProvider = "invalidRequests")
+    public void invalidRequestIsRefused(Request request) {
+        assertThrows(SetUpParser.InvalidSetUpException.class, () -> parse(request));
     }
 
     @Test
-    public void aDescriptionThatJsonCantCarryIsRefused() {
+    public void descriptionThatIsNotUtf8IsRefused() {
         Request request = invite(TAG, URI, "text", "1500", "dest:2");
         request.body("application/sdp", new byte[] {(byte) 0xff, 'x'});
-        assertThrows(SetUpParser.InvalidSetUpException.class, () -> read(request));
+        assertThrows(SetUpParser.InvalidSetUpException.class, () -> parse(request));
     }
 }
--- a/src/test/java/martenslip/platform/switchconnection/LoadReportParserTest.java
+++ b/src/test/java/martenslip/platform/switchconnection/LoadReportParserTest.java
@@ -6,6 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests parsing of load reports, also of absent fields. */
 public class LoadReportParserTest {
     private static final float ABSENT = Float.NaN;
 
@@ -27,14 +28,14 @@
     }
 
     @Test(dataProvider = "reports")
-    public void whatIsNotToldIsNeverZero(String text, float[] expected) {
-        assertEquals(new LoadReportParser(List.of("spare", "total", "allowed")).read(text), expected, 0f);
+    public void absentFieldIsNeverZero(String text, float[] expected) {
+        assertEquals(new LoadReportParser(List.of("spare", "total", "allowed")).parse(text), expected, 0f);
     }
 
     @Test
-    public void ofAReportThatMayBeOldOnlyTheProcessorCounts() {
-        LoadReportParser load = new LoadReportParser(List.of("spare", "total", "allowed"));
-        assertEquals(load.processor("spare:12;total:40;allowed:3"), new float[] {ABSENT, ABSENT, 3}, 0f);
-        assertEquals(load.processor(null), new float[] {});
+    public void circuitFieldsAreLeftOutOfAReportThatMayBeOutdated() {
+        LoadReportParser parser = new LoadReportParser(List.of("spare", "total", "allowed"));
+        assertEquals(parser.parseWithoutCircuits("spare:12;total:40;allowed:3"), new float[] {ABSENT, ABSENT, 3}, 0f);
+        assertEquals(parser.parseWithoutCircuits(null), new float[] {});
     }
 }
--- a/src/test/java/martenslip/platform/switchconnection/SwitchMessageTest.java
+++ b/src/test/java/martenslip/platform/switchconnection/SwitchMessageTest.java
@@ -10,38 +10,40 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests the JSON messages of switches and their framing into lines. */
 public class SwitchMessageTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
     @Test
-    public void aDescriptionPassesUnchanged() throws IOException {
-        String odd = "a\r\n\"\\\u0000\u001f\u20ac\ud83d\ude00 /</script>";
-        byte[] line = SwitchMessage.start("00000000000000aa", "dear", 1500, "00000000000000bb", odd);
+    public void descriptionIsPassedUnchanged() throws IOException {
+        String description = "a\r\n\"\\\u0000\u001f\u20ac\ud83d\ude00 /</script>";
+        byte[] line = SwitchMessage.encodeStart("00000000000000aa", "dear", 1500, "00000000000000bb", description);
         assertEquals(line[line.length - 1], '\n');
         assertEquals(
-                SwitchMessage.read(Arrays.copyOf(line, line.length - 1)),
-                new SwitchMessage("START", "00000000000000aa", null, null, 0, odd));
+                SwitchMessage.parse(Arrays.copyOf(line, line.length - 1)),
+                new SwitchMessage("START", "00000000000000aa", null, null, 0, description));
     }
 
     @Test
-    public void allThatCountsIsRead() throws IOException {
+    public void allFieldsAreParsed() throws IOException {
         assertEquals(
-                SwitchMessage.read(bytes("{\"verb\":\"FINISH\",\"tag\":\"t\",\"new\":{\"a\":[1]},\"opts\":{\"load\":"
+                SwitchMessage.parse(bytes("{\"verb\":\"FINISH\",\"tag\":\"t\",\"new\":{\"a\":[1]},\"opts\":{\"load\":"
                         + "\"x0:1\",\"note\":\"overload\",\"other\":[{}]},\"rc\":34}")),
                 new SwitchMessage("FINISH", "t", "x0:1", "overload", 34, null));
     }
 
     @Test
-    public void aStateIsKnownByItsTypeAndNotByATextThatNamesIt() {
-        assertEquals(SwitchMessage.state(bytes("{\"opts\":{},\"tag\":\"0\",\"verb\":\"LOAD\"}")), true);
-        byte[] line = SwitchMessage.start("00000000000000aa", "dear", 1500, "00000000000000bb", "\"verb\":\"LOAD\"");
-        assertEquals(SwitchMessage.state(line), false);
+    public void loadReportIsRecognizedByItsVerbAndNotByOtherText() {
+        assertEquals(SwitchMessage.isLoadReport(bytes("{\"opts\":{},\"tag\":\"0\",\"verb\":\"LOAD\"}")), true);
+        byte[] line =
+                SwitchMessage.encodeStart("00000000000000aa", "dear", 1500, "00000000000000bb", "\"verb\":\"LOAD\"");
+        assertEquals(SwitchMessage.isLoadReport(line), false);
     }
 
     @DataProvider
-    public Object[][] spoilt() {
+    public Object[][] malformedMessages() {
         return new Object[][] {
             {""},
             {"{"},
@@ -58,43 +60,43 @@
         };
     }
 
-    @Test(dataProvider = "spoilt")
-    public void whatIsSpoiltIsRefused(String line) {
-        assertThrows(IOException.class, () -> SwitchMessage.read(line.getBytes(StandardCharsets.ISO_8859_1)));
+    @Test(dataProvider = "malformedMessages")
+    public void malformedMessageIsRefused(String line) {
+        assertThrows(IOException.class, () -> SwitchMessage.parse(line.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    private static void give(StreamFramer cutter, String text) {
+    private static void feed(StreamFramer framer, String text) {
         byte[] bytes = bytes(text);
-        byte[] room = cutter.buffer();
-        int at = cutter.position();
-        while (room.length - at < bytes.length) {
-            cutter.advance(room.length - at);
-            room = cutter.buffer();
-            cutter.advance(at - cutter.position());
+        byte[] buffer = framer.buffer();
+        int position = framer.position();
+        while (buffer.length - position < bytes.length) {
+            framer.advance(buffer.length - position);
+            buffer = framer.buffer();
+            framer.advance(position - framer.position());
         }
-        System.arraycopy(bytes, 0, room, at, bytes.length);
-        cutter.advance(bytes.length);
+        System.arraycopy(bytes, 0, buffer, position, bytes.length);
+        framer.advance(bytes.length);
     }
 
     @Test
-    public void linesAreCutWhereverReadsEnd() throws StreamFramer.FramingException {
-        LineFramer cutter = new LineFramer();
-        give(cutter, "one\ntw");
-        assertEquals(new String(cutter.nextMessage()), "one");
-        assertEquals(cutter.nextMessage(), null);
-        give(cutter, "o\n\n");
-        assertEquals(new String(cutter.nextMessage()), "two");
-        assertEquals(new String(cutter.nextMessage()), "");
-        assertEquals(cutter.hasPartialMessage(), false);
+    public void linesAreFramedWhereverReadsEnd() throws StreamFramer.FramingException {
+        LineFramer framer = new LineFramer();
+        feed(framer, "one\ntw");
+        assertEquals(new String(framer.nextMessage()), "one");
+        assertEquals(framer.nextMessage(), null);
+        feed(framer, "o\n\n");
+        assertEquals(new String(framer.nextMessage()), "two");
+        assertEquals(new String(framer.nextMessage()), "");
+        assertEquals(framer.hasPartialMessage(), false);
     }
 
     @Test
-    public void aLineWithoutEndIsLost() {
-        LineFramer cutter = new LineFramer();
+    public void tooLongLineIsRefused() {
+        LineFramer framer = new LineFramer();
         assertThrows(StreamFramer.FramingException.class, () -> {
             for (int i = 0; i < 20; i++) {
-                give(cutter, "x".repeat(1000));
-                cutter.nextMessage();
+                feed(framer, "x".repeat(1000));
+                framer.nextMessage();
             }
         });
     }
