--- a/src/main/java/martenslip/platform/caller/CallerConnections.java
+++ b/src/main/java/martenslip/platform/caller/CallerConnections.java
@@ -232,13 +232,13 @@
 
     /** Accepts one connection; returns false if accepting has to stop and no connection is waiting. */
     private boolean acceptNext() {
-        boolean finalAttempt = closingGracefully;
+        boolean isFinalAttempt = closingGracefully;
         Socket socket;
         try {
-            serverSocket.setSoTimeout(finalAttempt ? FINAL_ACCEPT_TIMEOUT_MS : ACCEPT_TIMEOUT_MS);
+            serverSocket.setSoTimeout(isFinalAttempt ? FINAL_ACCEPT_TIMEOUT_MS : ACCEPT_TIMEOUT_MS);
             socket = serverSocket.accept();
         } catch (SocketTimeoutException e) {
-            return !finalAttempt;
+            return !isFinalAttempt;
         } catch (IOException e) {
             if (serverSocket.isClosed()) {
                 return false;
--- a/src/main/java/martenslip/platform/caller/SetUpParser.java
+++ b/src/main/java/martenslip/platform/caller/SetUpParser.java
@@ -24,6 +24,12 @@
         }
     }
 
+    /** Hex digits of an id. */
+    private static final int ID_LENGTH = 16;
+
+    /** Longest text that is parsed as a number. */
+    private static final int MAX_NUMBER_LENGTH = 24;
+
     private static final int MAX_EXCHANGE_NUMBER = 65_535;
     private static final int MAX_WIDTH = 1024;
     private static final String URI_SUFFIX = "@net";
@@ -75,6 +81,7 @@
                 invite.headers().first("Answer-Within"),
                 "Answer-Within",
                 1,
+                // Twice the longest patience of any skill, in milliseconds.
                 2.0 * settings.maxPatience().ns() / 1e6);
         int destination = (int) parseNumber(routingData.get("dest"), "dest", 0, MAX_EXCHANGE_NUMBER);
         int width = (int) parseNumber(routingData.getOrDefault("width", "1"), "width", 1, MAX_WIDTH);
@@ -103,10 +110,10 @@
 
     /** Whether the text is an id: 16 hex digits. */
     static boolean isHexId(String text) {
-        if (text == null || text.length() != 16) {
+        if (text == null || text.length() != ID_LENGTH) {
             return false;
         }
-        for (int i = 0; i < 16; i++) {
+        for (int i = 0; i < ID_LENGTH; i++) {
             char c = text.charAt(i);
             if (!(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F')) {
                 return false;
@@ -144,7 +151,7 @@
     private static double parseNumber(String text, String name, double min, double max) throws InvalidSetUpException {
         double value;
         try {
-            value = text == null || text.length() > 24 ? Double.NaN : Double.parseDouble(text);
+            value = text == null || text.length() > MAX_NUMBER_LENGTH ? Double.NaN : Double.parseDouble(text);
         } catch (NumberFormatException e) {
             value = Double.NaN;
         }
--- a/src/main/java/martenslip/platform/journal/JournalConnection.java
+++ b/src/main/java/martenslip/platform/journal/JournalConnection.java
@@ -126,8 +126,8 @@
         StringBuilder data = new StringBuilder();
         byte[] buffer = new byte[4096];
         boolean receivedData = false;
-        for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
-            for (int i = 0; i < length; i++) {
+        for (int readBytes = in.read(buffer); readBytes >= 0; readBytes = in.read(buffer)) {
+            for (int i = 0; i < readBytes; i++) {
                 if (buffer[i] != '\n') {
                     line.write(buffer[i]);
                     if (line.size() > MAX_LENGTH) {
--- a/src/main/java/martenslip/platform/json/AddressParser.java
+++ b/src/main/java/martenslip/platform/json/AddressParser.java
@@ -18,9 +18,9 @@
         String text = value instanceof String string ? string : "";
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
-        boolean literal = !host.isEmpty() && host.chars().allMatch(c -> c == '.' || c >= '0' && c <= '9');
+        boolean isIpv4Literal = !host.isEmpty() && host.chars().allMatch(c -> c == '.' || c >= '0' && c <= '9');
         try {
-            int port = literal ? Integer.parseInt(text.substring(colon + 1)) : -1;
+            int port = isIpv4Literal ? Integer.parseInt(text.substring(colon + 1)) : -1;
             if (port >= 0 && port <= 65_535) {
                 return new InetSocketAddress(InetAddress.getByName(host), port);
             }
--- a/src/main/java/martenslip/platform/peer/PeerNoteTransport.java
+++ b/src/main/java/martenslip/platform/peer/PeerNoteTransport.java
@@ -11,7 +11,7 @@
 import martenslip.control.Orders;
 import martenslip.sip.transport.DropCounter;
 
-/** Notes between peer controllers, one per datagram; they may be late or lost. Notes of unlisted senders are dropped. */
+/** Notes between peer controllers, one per datagram; they may be late or lost. Unlisted senders are ignored. */
 public final class PeerNoteTransport implements AutoCloseable {
     /** Longest note that is sent or accepted. */
     public static final int MAX_NOTE_BYTES = 256;
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Sends a note to a peer or to {@link Orders#ALL_PEERS}; an empty or too long note is dropped. Called by any thread.
+     * Sends a note to a peer or to {@link Orders#ALL_PEERS}; an empty or too long one is dropped. Called by any thread.
      */
     public void send(int peer, byte[] note) {
         InetSocketAddress address =
--- a/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
@@ -82,6 +82,8 @@
     private static final Span PENDING_FINISH_LIFETIME = Span.ofMillis(4000);
 
     private static final int MAX_PENDING_FINISHES = 2048;
+    /** How long closing waits for the queued messages of one connection to be written. */
+    private static final Span FLUSH_TIMEOUT = Span.ofMillis(100);
 
     private static final class SwitchConnection {
         final Connection transportConnection;
@@ -546,7 +548,7 @@
     public void close() {
         closing = true;
         for (SwitchConnection connection : List.copyOf(connections.values())) {
-            connection.transportConnection.flushAndClose("closing", Span.ofMillis(100));
+            connection.transportConnection.flushAndClose("closing", FLUSH_TIMEOUT);
         }
     }
 }
--- a/src/test/java/martenslip/platform/caller/CallerConnectionsTest.java
+++ b/src/test/java/martenslip/platform/caller/CallerConnectionsTest.java
@@ -183,7 +183,7 @@
         }
     }
 
-    /** A set-up that arrives during a graceful close is read, passed on and answered before its connection is closed. */
+    /** A set-up that arrives during a graceful close is read, passed on and answered before its connection closes. */
     @Test
     public void gracefulCloseWaitsForUnreadInput() throws Exception {
         try (Socket unread = connect();
--- a/src/test/java/martenslip/platform/peer/PeerNoteTransportTest.java
+++ b/src/test/java/martenslip/platform/peer/PeerNoteTransportTest.java
@@ -25,9 +25,9 @@
         try (DatagramSocket peer = new DatagramSocket(loopback(0));
                 DatagramSocket stranger = new DatagramSocket(loopback(0));
                 DatagramSocket broadcast = new DatagramSocket(loopback(0));
-                DatagramSocket unusedPort = new DatagramSocket(loopback(0))) {
-            InetSocketAddress ownAddress = loopback(unusedPort.getLocalPort());
-            unusedPort.close();
+                DatagramSocket portReservation = new DatagramSocket(loopback(0))) {
+            InetSocketAddress ownAddress = loopback(portReservation.getLocalPort());
+            portReservation.close();
             LinkedBlockingQueue<Integer> received = new LinkedBlockingQueue<>();
             DropCounter drops = new DropCounter();
             List<InetSocketAddress> peerAddresses = List.of(ownAddress, loopback(peer.getLocalPort()));
