--- a/src/main/java/martenslip/platform/journal/JournalConnection.java
+++ b/src/main/java/martenslip/platform/journal/JournalConnection.java
@@ -72,7 +72,7 @@
             boolean receivedData = false;
             try {
                 receivedData = readStream();
-                listener.connectionLost("stream ended");
+                listener.connectionLost("ended");
             } catch (IOException | RuntimeException e) {
                 listener.connectionLost(String.valueOf(e.getMessage()));
             } catch (InterruptedException e) {
@@ -113,7 +113,7 @@
             connection.setRequestProperty("Last-Event-ID", Long.toString(listener.position()));
             connection.setRequestProperty("Accept", "text/event-stream");
             if (connection.getResponseCode() != 200) {
-                throw new IOException("HTTP status " + connection.getResponseCode());
+                throw new IOException("status " + connection.getResponseCode());
             }
             return readEvents(connection.getInputStream());
         } finally {
@@ -131,7 +131,7 @@
                 if (buffer[i] != '\n') {
                     line.write(buffer[i]);
                     if (line.size() > MAX_LENGTH) {
-                        throw new IOException("line longer than " + MAX_LENGTH + " bytes");
+                        throw new IOException("a line without end");
                     }
                     continue;
                 }
@@ -152,7 +152,7 @@
                 } else if (text.startsWith("data:")) {
                     data.append(text, text.startsWith("data: ") ? 6 : 5, text.length());
                     if (data.length() > MAX_LENGTH) {
-                        throw new IOException("event longer than " + MAX_LENGTH + " characters");
+                        throw new IOException("an event without end");
                     }
                 }
             }
--- a/src/main/java/martenslip/platform/switchconnection/LineFramer.java
+++ b/src/main/java/martenslip/platform/switchconnection/LineFramer.java
@@ -28,12 +28,12 @@
             discard(scanned + 1);
             scanned = 0;
             if (line.length > MAX_LINE_BYTES) {
-                throw new FramingException("line longer than " + MAX_LINE_BYTES + " bytes");
+                throw new FramingException("a line over " + MAX_LINE_BYTES + " bytes");
             }
             return line;
         }
         if (length > MAX_LINE_BYTES) {
-            throw new FramingException("line longer than " + MAX_LINE_BYTES + " bytes");
+            throw new FramingException("a line over " + MAX_LINE_BYTES + " bytes");
         }
         return null;
     }
--- a/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
@@ -453,7 +453,7 @@
         connection.endpoint.retryPause = Span.ZERO;
         connection.endpoint.liveness.signalReceived(timerWheel.now());
         if (connection.probe && connection.endpoint.connections.size() > CONNECTIONS_PER_SWITCH) {
-            connection.transportConnection.close("probe succeeded");
+            connection.transportConnection.close("it lives");
             return;
         }
         connection
@@ -513,7 +513,7 @@
                     loadReportParser.parse(SwitchMessage.parse(latestLoad).load()));
         } catch (IOException e) {
             drops.increment("a switch's line that can't be read");
-            connection.transportConnection.close("unreadable LOAD");
+            connection.transportConnection.close("unreadable state");
         }
     }
 
@@ -539,7 +539,7 @@
             case "PENDING", "ECHOED" -> {}
             default -> {
                 drops.increment("a switch's line of an unknown type");
-                connection.transportConnection.close("unknown verb");
+                connection.transportConnection.close("unknown type");
             }
         }
     }
