--- a/src/main/java/martenslip/platform/Configuration.java
+++ b/src/main/java/martenslip/platform/Configuration.java
@@ -17,83 +17,83 @@
  */
 record Configuration(
         String name,
-        InetSocketAddress listen,
-        long seed,
-        int sockets,
-        String limits,
-        InetSocketAddress peerListen,
-        List<InetSocketAddress> peers,
-        InetSocketAddress peersAll,
-        InetSocketAddress journal,
-        long position,
-        List<SwitchListEvent> known,
+        InetSocketAddress listenAddress,
+        long parseSeed,
+        int maxSockets,
+        String limitsText,
+        InetSocketAddress peerListenAddress,
+        List<InetSocketAddress> peerAddresses,
+        InetSocketAddress allPeersAddress,
+        InetSocketAddress journalAddress,
+        long initialPosition,
+        List<SwitchListEvent> initialEvents,
         Map<String, String> settings) {
-    private static final int MOST_BYTES = 4 << 20;
+    private static final int MAX_FILE_BYTES = 4 << 20;
 
     static Configuration read(Path file) throws IOException {
-        if (Files.size(file) > MOST_BYTES) {
-            throw new IOException("over " + MOST_BYTES + " bytes");
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new IOException("over " + MAX_FILE_BYTES + " bytes");
         }
-        if (!(Json.read(Files.readAllBytes(file)) instanceof Map<?, ?> all)) {
+        if (!(Json.read(Files.readAllBytes(file)) instanceof Map<?, ?> root)) {
             throw new IOException("no object");
         }
-        List<InetSocketAddress> peers = new ArrayList<>();
-        if (all.get("peers") instanceof List<?> list) {
-            for (Object peer : list) {
-                peers.add(AddressParser.parse(peer, "peers"));
+        List<InetSocketAddress> peerAddresses = new ArrayList<>();
+        if (root.get("peers") instanceof List<?> peerList) {
+            for (Object peer : peerList) {
+                peerAddresses.add(AddressParser.parse(peer, "peers"));
             }
         }
-        List<SwitchListEvent> known = new ArrayList<>();
-        long position = 0;
-        if (all.get("known") instanceof Map<?, ?> map) {
-            position = (long) within(map.get("pos"), "known.pos", 0, Long.MAX_VALUE);
-            if (map.get("entries") instanceof List<?> entries) {
+        List<SwitchListEvent> initialEvents = new ArrayList<>();
+        long initialPosition = 0;
+        if (root.get("known") instanceof Map<?, ?> knownEvents) {
+            initialPosition = (long) requireInRange(knownEvents.get("pos"), "known.pos", 0, Long.MAX_VALUE);
+            if (knownEvents.get("entries") instanceof List<?> entries) {
                 for (Object entry : entries) {
-                    known.add(SwitchListEvent.parse(entry));
+                    initialEvents.add(SwitchListEvent.parse(entry));
                 }
             }
         }
-        Map<?, ?> limits = map(all.get("limits"), "limits");
-        Map<String, String> settings = SettingsFlattener.of(map(all.get("settings"), "settings"));
-        SettingsValidator.check(settings);
+        Map<?, ?> limits = requireObject(root.get("limits"), "limits");
+        Map<String, String> settings = SettingsFlattener.flatten(requireObject(root.get("settings"), "settings"));
+        SettingsValidator.validate(settings);
         return new Configuration(
-                text(all.get("name"), "name"),
-                AddressParser.parse(all.get("listen"), "listen"),
-                seed(text(all.get("seed"), "seed")),
-                (int) within(limits.get("sockets"), "limits.sockets", 1, Integer.MAX_VALUE),
+                requireText(root.get("name"), "name"),
+                AddressParser.parse(root.get("listen"), "listen"),
+                parseSeed(requireText(root.get("seed"), "seed")),
+                (int) requireInRange(limits.get("sockets"), "limits.sockets", 1, Integer.MAX_VALUE),
                 limits.toString(),
-                optional(all.get("peer_listen"), "peer_listen"),
-                List.copyOf(peers),
-                optional(all.get("peers_all"), "peers_all"),
-                AddressParser.parse(all.get("journal"), "journal"),
-                position,
-                List.copyOf(known),
+                optionalAddress(root.get("peer_listen"), "peer_listen"),
+                List.copyOf(peerAddresses),
+                optionalAddress(root.get("peers_all"), "peers_all"),
+                AddressParser.parse(root.get("journal"), "journal"),
+                initialPosition,
+                List.copyOf(initialEvents),
                 settings);
     }
 
-    private static double within(Object value, String where, double least, double most) throws IOException {
-        return SettingsValidator.within(Json.number(value, where), where, value, least, most);
+    private static double requireInRange(Object value, String path, double min, double max) throws IOException {
+        return SettingsValidator.requireInRange(Json.number(value, path), path, value, min, max);
     }
 
-    private static InetSocketAddress optional(Object value, String where) throws IOException {
-        return value == null ? null : AddressParser.parse(value, where);
+    private static InetSocketAddress optionalAddress(Object value, String path) throws IOException {
+        return value == null ? null : AddressParser.parse(value, path);
     }
 
-    private static Map<?, ?> map(Object value, String where) throws IOException {
+    private static Map<?, ?> requireObject(Object value, String path) throws IOException {
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new IOException(where + " is missing or no object");
+        throw new IOException(path + " is missing or no object");
     }
 
-    private static String text(Object value, String where) throws IOException {
+    private static String requireText(Object value, String path) throws IOException {
         if (value instanceof String || value instanceof Json.JsonNumber) {
             return value.toString();
         }
-        throw new IOException(where + " is missing or no text");
+        throw new IOException(path + " is missing or no text");
     }
 
-    private static long seed(String text) throws IOException {
+    private static long parseSeed(String text) throws IOException {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
--- a/src/main/java/martenslip/platform/ControllerService.java
+++ b/src/main/java/martenslip/platform/ControllerService.java
@@ -34,101 +34,116 @@
 
 /** One controller in service on the platform: wires callers, switches, journal and peers to one deciding thread. */
 public final class ControllerService implements AutoCloseable {
-    private static final int INBOX = 4096;
-    private static final Span READY_AT_LAST = Span.ofMillis(1500);
+    private static final int INBOX_CAPACITY = 4096;
+    private static final Span MAX_READY_DELAY = Span.ofMillis(1500);
     /**
      * After SIGTERM callers' set-ups come for 0.6 s, and may wait unread where the core is busy; contacts in transit
      * come as long as the process runs. Nothing is won by an early end: the kill comes 3.7 s after SIGTERM at the
      * soonest. What comes later than the first of these is refused.
      */
-    private static final Span STILL_TAKEN = Span.ofMillis(1800);
+    private static final Span ACCEPT_AFTER_SIGTERM = Span.ofMillis(1800);
 
-    private static final Span LAST_FOR_SURE = Span.ofMillis(2000);
+    private static final Span MIN_SHUTDOWN_DELAY = Span.ofMillis(2000);
     /** Half of what the platform adds to every time limit on sockets. */
-    private static final Span ON_SOCKETS = Span.ofMillis(25);
+    private static final Span SOCKET_SLACK = Span.ofMillis(25);
 
-    private static final Span LOOK = Span.ofMillis(50);
+    private static final Span SHUTDOWN_POLL_INTERVAL = Span.ofMillis(50);
     /** Well under the kill, which comes 1.7 s after the end begins at the soonest. */
-    private static final Span HANG_UP = Span.ofMillis(600);
+    private static final Span CONNECTION_CLOSE_TIMEOUT = Span.ofMillis(600);
 
-    private static final Span TELL = Span.ofMillis(5000);
+    private static final Span COUNTS_LOG_INTERVAL = Span.ofMillis(5000);
     /** Descriptors of files and the JVM, the journal's two feeds, the listener and the peers' socket. */
-    private static final int NOT_FOR_CONNECTIONS = 28;
+    private static final int RESERVED_DESCRIPTORS = 28;
     /** A bound of threads for callers' connections. */
-    private static final int MOST_LINES = 500;
+    private static final int MAX_CALLER_CONNECTIONS = 500;
 
     private final Path file;
     private final RateLimitedLog log;
     private final DropCounter drops = new DropCounter();
-    private final ConnectionThreadPool writers = new ConnectionThreadPool("desk", 16);
-    private final EventLoop loop = new EventLoop("desk", INBOX);
+    private final ConnectionThreadPool connectionThreads = new ConnectionThreadPool("desk", 16);
+    private final EventLoop loop = new EventLoop("desk", INBOX_CAPACITY);
     private final TimerWheel wheel = loop.timerWheel();
-    private final CountDownLatch done = new CountDownLatch(1);
-    private final ContactTable desk;
-    private final CallerConnections callers;
-    private final SwitchConnections switches;
-    private final SwitchRegistry roster;
+    private final CountDownLatch terminated = new CountDownLatch(1);
+    private final ContactTable contactTable;
+    private final CallerConnections callerConnections;
+    private final SwitchConnections switchConnections;
+    private final SwitchRegistry switchRegistry;
     private final Journal journal;
-    private final PeerNoteTransport peers;
-    private final Configuration start;
-    private volatile Thread decides;
-    private volatile boolean ready;
-    private boolean ends;
+    private final PeerNoteTransport peerTransport;
+    private final Configuration configuration;
+    private volatile Thread decisionThread;
+    private volatile boolean isReady;
+    private boolean isShuttingDown;
     private int port;
 
     /** The log goes to {@code out}; an exception names the path in the file and the reason. */
-    public ControllerService(Path file, ControllerFactory maker, PrintStream out) throws IOException {
-        this(file, maker, out, Socket::new);
+    public ControllerService(Path file, ControllerFactory controllerFactory, PrintStream logStream) throws IOException {
+        this(file, controllerFactory, logStream, Socket::new);
     }
 
     /** {@code sockets} makes those toward switches, not yet connected. */
-    ControllerService(Path file, ControllerFactory maker, PrintStream out, Supplier<Socket> sockets)
+    ControllerService(
+            Path file, ControllerFactory controllerFactory, PrintStream logStream, Supplier<Socket> socketFactory)
             throws IOException {
         this.file = file;
-        log = new RateLimitedLog(out);
-        start = Configuration.read(file);
-        Map<String, String> settings = start.settings();
-        ContactSettings terms = terms(settings);
-        TransportLimits bounds = new TransportLimits(
-                MOST_LINES,
+        log = new RateLimitedLog(logStream);
+        configuration = Configuration.read(file);
+        Map<String, String> settings = configuration.settings();
+        ContactSettings contactSettings = contactSettings(settings);
+        TransportLimits callerLimits = new TransportLimits(
+                MAX_CALLER_CONNECTIONS,
                 Span.ofMillis(2000),
                 Span.ofMillis(20_000),
                 Span.ofMillis(1500),
                 256 * 1024,
                 Span.ofMillis(3000),
                 Span.ofMillis(500));
-        callers = new CallerConnections(terms, bounds, writers, drops, fromCallers);
-        Span connect = span(settings, "policy-limits.connect-timeout-ns", 500e6);
-        Span idle = span(settings, "policy-limits.conn-idle-ns", 600e9);
-        TransportLimits toSwitches = new TransportLimits(
-                256, idle.times(2), idle.times(2), Span.ofMillis(400), 256 * 1024, Span.ofMillis(3000), connect);
-        switches = new SwitchConnections(
-                toSwitches,
-                sockets,
-                writers,
+        callerConnections =
+                new CallerConnections(contactSettings, callerLimits, connectionThreads, drops, callerListener);
+        Span connectTimeout = spanSetting(settings, "policy-limits.connect-timeout-ns", 500e6);
+        Span idleTimeout = spanSetting(settings, "policy-limits.conn-idle-ns", 600e9);
+        TransportLimits switchLimits = new TransportLimits(
+                256,
+                idleTimeout.times(2),
+                idleTimeout.times(2),
+                Span.ofMillis(400),
+                256 * 1024,
+                Span.ofMillis(3000),
+                connectTimeout);
+        switchConnections = new SwitchConnections(
+                switchLimits,
+                socketFactory,
+                connectionThreads,
                 wheel,
                 new LoadReportParser(
                         Arrays.asList(settings.getOrDefault("report.fields", "").split(","))),
                 drops,
-                this::turn,
-                fromSwitches);
-        desk = new ContactTable(wheel, terms, outward);
-        roster = new SwitchRegistry(
-                desk, switches, settings.getOrDefault("zones", ""), wheel.now(), System.currentTimeMillis(), log);
-        journal = new Journal(start.journal(), start.position(), fromJournal);
-        boolean notes = "true".equals(settings.get("policy-limits.peers")) && start.peerListen() != null;
-        int own = (int) number(settings, "me", -1);
-        peers = notes
+                this::runOnDecisionThread,
+                switchListener);
+        contactTable = new ContactTable(wheel, contactSettings, outboundMessages);
+        switchRegistry = new SwitchRegistry(
+                contactTable,
+                switchConnections,
+                settings.getOrDefault("zones", ""),
+                wheel.now(),
+                System.currentTimeMillis(),
+                log);
+        journal = new Journal(configuration.journalAddress(), configuration.initialPosition(), journalListener);
+        boolean usesPeerNotes =
+                "true".equals(settings.get("policy-limits.peers")) && configuration.peerListenAddress() != null;
+        int ownPeerIndex = (int) numberSetting(settings, "me", -1);
+        peerTransport = usesPeerNotes
                 ? new PeerNoteTransport(
-                        start.peerListen(),
-                        start.peers(),
-                        start.peersAll(),
-                        own,
+                        configuration.peerListenAddress(),
+                        configuration.peerAddresses(),
+                        configuration.allPeersAddress(),
+                        ownPeerIndex,
                         drops,
-                        (peer, note) -> loop.offer((Runnable)
-                                () -> desk.notifyController(to -> to.peerNoteReceived(wheel.now(), peer, note))))
+                        (peer, note) -> loop.offer((Runnable) () -> contactTable.notifyController(
+                                controller -> controller.peerNoteReceived(wheel.now(), peer, note))))
                 : null;
-        desk.setController(maker.create(settings, start.seed(), wheel.now(), desk));
+        contactTable.controller(
+                controllerFactory.create(settings, configuration.parseSeed(), wheel.now(), contactTable));
     }
 
     /** Begins to serve; the port that is listened on is returned. */
@@ -137,7 +152,7 @@
                 new EventLoop.Handler() {
                     @Override
                     public void handle(Object next) {
-                        log.line("fault", "unknown piece of work " + next);
+                        log.write("fault", "unknown piece of work " + next);
                     }
 
                     @Override
@@ -147,7 +162,7 @@
 
                     @Override
                     public void onFailure(Throwable fault) {
-                        log.line(
+                        log.write(
                                 "fault",
                                 fault + " at "
                                         + Arrays.stream(fault.getStackTrace())
@@ -156,83 +171,90 @@
                     }
                 },
                 () -> {
-                    decides = Thread.currentThread();
-                    roster.remembered(start.known(), wheel.now());
-                    allot();
-                    Moment begun = wheel.now();
-                    look(begun);
-                    wheel.scheduleAfter(TELL, this::told);
+                    decisionThread = Thread.currentThread();
+                    switchRegistry.applyInitialEvents(configuration.initialEvents(), wheel.now());
+                    updateCallerConnectionLimit();
+                    Moment serviceStart = wheel.now();
+                    checkReady(serviceStart);
+                    wheel.scheduleAfter(COUNTS_LOG_INTERVAL, this::logCounts);
                 });
         journal.start();
-        port = callers.open(start.listen());
-        log.line("settings", start.settings().toString());
-        log.line(
+        port = callerConnections.open(configuration.listenAddress());
+        log.write("settings", configuration.settings().toString());
+        log.write(
                 "start",
-                start.name() + " listens at " + start.listen() + ", limits " + start.limits() + ", journal "
-                        + start.journal() + " from " + start.position());
+                configuration.name() + " listens at " + configuration.listenAddress() + ", limits "
+                        + configuration.limitsText() + ", journal " + configuration.journalAddress() + " from "
+                        + configuration.initialPosition());
         return port;
     }
 
     /** Waits until the controller has ended in good order. */
     public void await() throws InterruptedException {
-        done.await();
+        terminated.await();
     }
 
     /**
      * What the list in force needs comes first, with room for a machine beside each one it replaces; callers who mean
      * it hold at most a third of all.
      */
-    private void allot() {
-        int reserved = NOT_FOR_CONNECTIONS + switches.requiredConnections();
-        callers.setConnectionLimit(Math.max(start.sockets() / 3 + 1, start.sockets() - reserved));
+    private void updateCallerConnectionLimit() {
+        int reservedDescriptors = RESERVED_DESCRIPTORS + switchConnections.requiredConnections();
+        callerConnections.setConnectionLimit(
+                Math.max(configuration.maxSockets() / 3 + 1, configuration.maxSockets() - reservedDescriptors));
     }
 
-    private void look(Moment begun) {
-        if (switches.allGroupStatesReported() || wheel.now().since(begun).longerThan(READY_AT_LAST)) {
-            ready = true;
-            log.line(
+    private void checkReady(Moment serviceStart) {
+        if (switchConnections.allGroupStatesReported()
+                || wheel.now().since(serviceStart).longerThan(MAX_READY_DELAY)) {
+            isReady = true;
+            log.write(
                     "ready",
-                    "after " + wheel.now().since(begun).ns() / 1_000_000 + " ms, states of all groups: "
-                            + switches.allGroupStatesReported());
+                    "after " + wheel.now().since(serviceStart).ns() / 1_000_000 + " ms, states of all groups: "
+                            + switchConnections.allGroupStatesReported());
         } else {
-            wheel.scheduleAfter(Span.ofMillis(10), () -> look(begun));
+            wheel.scheduleAfter(Span.ofMillis(10), () -> checkReady(serviceStart));
         }
     }
 
-    private void told() {
-        log.line(
+    private void logCounts() {
+        log.write(
                 "counts",
-                desk.counters() + " open=" + desk.openCount() + " standing=" + desk.establishedCount() + " unheard="
-                        + desk.unacknowledgedReleaseCount() + " lines=" + callers.connectionCount() + " switch-lines="
-                        + switches.connectionCount()
+                contactTable.counters() + " open=" + contactTable.openCount() + " standing="
+                        + contactTable.establishedContacts() + " unheard="
+                        + contactTable.unacknowledgedReleaseCount() + " lines=" + callerConnections.connectionCount()
+                        + " switch-lines="
+                        + switchConnections.connectionCount()
                         + " threads=" + Thread.activeCount() + " waiting=" + loop.queueSize() + " drops="
                         + drops.counts());
-        wheel.scheduleAfter(TELL, this::told);
+        wheel.scheduleAfter(COUNTS_LOG_INTERVAL, this::logCounts);
     }
 
     /** SIGHUP: the file is read anew; only a whole good one counts, else the one in force stays. One at a time. */
     public synchronized void reload() {
         try {
-            Configuration now = Configuration.read(file);
-            if (!now.settings().equals(start.settings())) {
-                log.line("reload", "other settings than at the start: they count from the next start on");
+            Configuration reloaded = Configuration.read(file);
+            if (!reloaded.settings().equals(configuration.settings())) {
+                log.write("reload", "other settings than at the start: they count from the next start on");
             }
-            journal.moveTo(now.journal());
-            log.line("reload", "journal " + now.journal() + " from " + journal.position());
+            journal.moveTo(reloaded.journalAddress());
+            log.write("reload", "journal " + reloaded.journalAddress() + " from " + journal.position());
         } catch (IOException | RuntimeException e) {
-            log.line("reload", "refused, the one in force stays: " + file + ": " + e.getMessage());
+            log.write("reload", "refused, the one in force stays: " + file + ": " + e.getMessage());
         }
     }
 
     /** SIGTERM: goes on until all that is owed is answered and nothing more can come, then ends. */
     public void requestShutdown() {
         try {
-            turn(() -> {
-                if (!ends) {
-                    ends = true;
-                    log.line("term", "open=" + desk.openCount() + " standing=" + desk.establishedCount());
-                    wheel.scheduleAfter(STILL_TAKEN, desk::refuseNewContacts);
-                    wheel.scheduleAfter(LAST_FOR_SURE, this::ending);
+            runOnDecisionThread(() -> {
+                if (!isShuttingDown) {
+                    isShuttingDown = true;
+                    log.write(
+                            "term",
+                            "open=" + contactTable.openCount() + " standing=" + contactTable.establishedContacts());
+                    wheel.scheduleAfter(ACCEPT_AFTER_SIGTERM, contactTable::isRefusingNewContacts);
+                    wheel.scheduleAfter(MIN_SHUTDOWN_DELAY, this::shutDownWhenIdle);
                 }
             });
         } catch (InterruptedException e) {
@@ -240,22 +262,22 @@
         }
     }
 
-    private void ending() {
-        if (desk.openCount() > 0 || callers.hasUnreadInput()) {
-            wheel.scheduleAfter(LOOK, this::ending);
+    private void shutDownWhenIdle() {
+        if (contactTable.openCount() > 0 || callerConnections.hasUnreadInput()) {
+            wheel.scheduleAfter(SHUTDOWN_POLL_INTERVAL, this::shutDownWhenIdle);
             return;
         }
-        Thread last = new Thread(
+        Thread shutdownThread = new Thread(
                 null,
                 () -> {
                     // While the deciding thread still answers: what comes until a connection is ended has an owner.
-                    callers.closeGracefully(HANG_UP);
+                    callerConnections.closeGracefully(CONNECTION_CLOSE_TIMEOUT);
                     close();
-                    done.countDown();
+                    terminated.countDown();
                 },
                 "last",
                 128 * 1024);
-        last.start();
+        shutdownThread.start();
     }
 
     @Override
@@ -263,142 +285,142 @@
         // First: connections that end from here on are no news of callers who went away.
         loop.close();
         try {
-            callers.close();
+            callerConnections.close();
         } catch (IOException e) {
-            log.line("close", e.getMessage());
+            log.write("close", e.getMessage());
         }
         journal.close();
-        switches.close();
-        if (peers != null) {
-            peers.close();
+        switchConnections.close();
+        if (peerTransport != null) {
+            peerTransport.close();
         }
-        log.line("end", desk.counters().toString());
+        log.write("end", contactTable.counters().toString());
     }
 
     /** Has something done by the deciding thread; waits for room, but never on that thread, which alone makes room. */
-    void turn(Runnable what) throws InterruptedException {
-        if (Thread.currentThread() == decides) {
-            wheel.scheduleAfter(Span.ZERO, what);
+    void runOnDecisionThread(Runnable task) throws InterruptedException {
+        if (Thread.currentThread() == decisionThread) {
+            wheel.scheduleAfter(Span.ZERO, task);
             return;
         }
-        loop.put(what, () -> drops.increment("waited for the deciding thread"));
+        loop.put(task, () -> drops.increment("waited for the deciding thread"));
     }
 
-    private static ContactSettings terms(Map<String, String> settings) {
-        int count = (int) number(settings, "classes.count", 0);
-        String[] names = new String[count];
-        Span longest = Span.ZERO;
-        for (int i = 0; i < count; i++) {
-            names[i] = settings.get("classes." + i + ".name");
-            longest = longest.atLeast(span(settings, "classes." + i + ".hard-limit-ns", 9e9));
+    private static ContactSettings contactSettings(Map<String, String> settings) {
+        int skillCount = (int) numberSetting(settings, "classes.count", 0);
+        String[] skillNames = new String[skillCount];
+        Span maxPatience = Span.ZERO;
+        for (int i = 0; i < skillCount; i++) {
+            skillNames[i] = settings.get("classes." + i + ".name");
+            maxPatience = maxPatience.atLeast(spanSetting(settings, "classes." + i + ".hard-limit-ns", 9e9));
         }
         return new ContactSettings(
-                List.of(names),
-                (int) number(settings, "policy-limits.max-open", 20_000),
-                longest,
-                span(settings, "guarantees.answer-slack-ns", 20e6).plus(ON_SOCKETS));
+                List.of(skillNames),
+                (int) numberSetting(settings, "policy-limits.max-open", 20_000),
+                maxPatience,
+                spanSetting(settings, "guarantees.answer-slack-ns", 20e6).plus(SOCKET_SLACK));
     }
 
     /** They were looked through when the file was read. */
-    private static double number(Map<String, String> settings, String name, double otherwise) {
+    private static double numberSetting(Map<String, String> settings, String name, double defaultValue) {
         String text = settings.get(name);
-        return text == null || text.isBlank() ? otherwise : Double.parseDouble(text);
+        return text == null || text.isBlank() ? defaultValue : Double.parseDouble(text);
     }
 
-    private static Span span(Map<String, String> settings, String name, double otherwise) {
-        return new Span((long) number(settings, name, otherwise));
+    private static Span spanSetting(Map<String, String> settings, String name, double defaultValue) {
+        return new Span((long) numberSetting(settings, name, defaultValue));
     }
 
-    private final CallerConnections.Listener fromCallers = new CallerConnections.Listener() {
+    private final CallerConnections.Listener callerListener = new CallerConnections.Listener() {
         @Override
         public boolean setUpReceived(SetUpRequest asked) throws InterruptedException {
             Runnable take = () -> {
                 if (asked.establishedSwitch() == null) {
-                    desk.setUpReceived(asked);
-                } else if (roster.number(asked.establishedSwitch()) == 0) {
-                    desk.establishedAtUnknownSwitch(asked);
+                    contactTable.setUpReceived(asked);
+                } else if (switchRegistry.switchId(asked.establishedSwitch()) == 0) {
+                    contactTable.establishedContactReportedAtUnknownSwitch(asked);
                 } else {
-                    desk.establishedElsewhere(asked, roster.number(asked.establishedSwitch()));
+                    contactTable.establishedContactReported(asked, switchRegistry.switchId(asked.establishedSwitch()));
                 }
             };
             if (asked.establishedSwitch() == null) {
                 return loop.offer(take);
             }
             // It expects no answer that could refuse it, and nobody else would ever release it.
-            turn(take);
+            runOnDecisionThread(take);
             return true;
         }
 
         @Override
         public void requestReceived(long line, Request request) throws InterruptedException {
-            turn(() -> {
+            runOnDecisionThread(() -> {
                 switch (request.method()) {
-                    case "CANCEL" -> desk.cancelReceived(line, request);
-                    case "BYE" -> desk.byeReceived(line, request);
-                    default -> desk.ackReceived(request.callId());
+                    case "CANCEL" -> contactTable.cancelReceived(line, request);
+                    case "BYE" -> contactTable.byeReceived(line, request);
+                    default -> contactTable.ackReceived(request.callId());
                 }
             });
         }
 
         @Override
         public void releaseAcknowledged(String tag) throws InterruptedException {
-            turn(() -> desk.releaseAcknowledged(tag));
+            runOnDecisionThread(() -> contactTable.releaseAcknowledged(tag));
         }
 
         @Override
         public void connectionEnded(long line) throws InterruptedException {
-            turn(() -> desk.callerConnectionEnded(line));
+            runOnDecisionThread(() -> contactTable.callerConnectionEnded(line));
         }
 
         @Override
         public boolean isReady() {
-            return ready;
+            return isReady;
         }
     };
 
-    private final SwitchConnections.Listener fromSwitches = new SwitchConnections.Listener() {
+    private final SwitchConnections.Listener switchListener = new SwitchConnections.Listener() {
         @Override
         public void started(long target, long connection, String tag, String description) {
-            desk.started(target, connection, tag, description);
+            contactTable.started(target, connection, tag, description);
         }
 
         @Override
         public void ended(long target, long connection, String tag, int cause, String note, float[] report) {
-            desk.ended(target, connection, tag, cause, note, report);
+            contactTable.ended(target, connection, tag, cause, note, report);
         }
 
         @Override
         public void loadReported(long target, float[] report) {
-            desk.loadReported(target, report);
+            contactTable.loadReported(target, report);
         }
 
         @Override
         public void connectionEnded(long target, long connection, boolean everUp) {
-            desk.switchConnectionEnded(target, connection, everUp);
+            contactTable.switchConnectionEnded(target, connection, everUp);
         }
 
         @Override
         public void processEnded(long target) {
-            desk.switchProcessEnded(target, null);
+            contactTable.switchProcessEnded(target, null);
         }
 
         @Override
         public boolean hasEstablishedAt(long target) {
-            return desk.hasEstablishedAt(target);
+            return contactTable.hasEstablishedContactsAt(target);
         }
 
         @Override
         public void log(String line) {
-            log.line("line-over", line);
+            log.write("line-over", line);
         }
     };
 
-    private final Journal.Listener fromJournal = new Journal.Listener() {
+    private final Journal.Listener journalListener = new Journal.Listener() {
         @Override
         public void eventReceived(SwitchListEvent event) throws InterruptedException {
-            turn(() -> {
-                roster.take(event, wheel.now());
-                allot();
+            runOnDecisionThread(() -> {
+                switchRegistry.applyEvent(event, wheel.now());
+                updateCallerConnectionLimit();
             });
         }
 
@@ -408,52 +430,52 @@
         }
     };
 
-    private final OutboundMessages outward = new OutboundMessages() {
+    private final OutboundMessages outboundMessages = new OutboundMessages() {
         @Override
         public boolean sendToCaller(long line, byte[] message) {
-            return callers.send(line, message);
+            return callerConnections.send(line, message);
         }
 
         @Override
-        public long anyConnection(long but) {
-            return callers.mostRecentConnection(but);
+        public long otherCallerConnection(long but) {
+            return callerConnections.mostRecentConnection(but);
         }
 
         @Override
         public void contactAnswered(long line, String tag) {
-            callers.contactAnswered(line, tag);
+            callerConnections.contactAnswered(line, tag);
         }
 
         @Override
         public void disconnect(long line, String why) {
-            callers.disconnect(line, why);
+            callerConnections.disconnect(line, why);
         }
 
         @Override
         public QueuedMessage sendStart(long target, SwitchStartRequest asked, Runnable unsent) {
-            return switches.sendStart(target, asked, unsent);
+            return switchConnections.sendStart(target, asked, unsent);
         }
 
         @Override
         public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
-            switches.sendFinish(target, connection, tag, cause, written);
+            switchConnections.sendFinish(target, connection, tag, cause, written);
         }
 
         @Override
         public void sendFinished(long target, long connection, String tag) {
-            switches.sendFinished(target, connection, tag);
+            switchConnections.sendFinished(target, connection, tag);
         }
 
         @Override
         public void sendNote(int peer, byte[] note) {
-            if (peers != null) {
-                peers.send(peer, note);
+            if (peerTransport != null) {
+                peerTransport.send(peer, note);
             }
         }
 
         @Override
         public void log(String kind, String line) {
-            log.line(kind, line);
+            log.write(kind, line);
         }
     };
 
@@ -467,21 +489,21 @@
     }
 
     /** For checks; the deciding thread's. */
-    int openSetUps() {
-        return desk.openCount();
+    int openContactCount() {
+        return contactTable.openCount();
     }
 
     /** For checks; the deciding thread's. */
-    boolean groupsTold() {
-        return switches.allGroupStatesReported();
+    boolean allGroupStatesReported() {
+        return switchConnections.allGroupStatesReported();
     }
 
     /** Of the last event of the list that was taken. */
-    long position() {
+    long journalPosition() {
         return journal.position();
     }
 
-    InetSocketAddress listens() {
-        return new InetSocketAddress(start.listen().getAddress(), port);
+    InetSocketAddress listenAddress() {
+        return new InetSocketAddress(configuration.listenAddress().getAddress(), port);
     }
 }
--- a/src/main/java/martenslip/platform/RateLimitedLog.java
+++ b/src/main/java/martenslip/platform/RateLimitedLog.java
@@ -9,12 +9,12 @@
  * out is told with the next one. No logging library: its start and its memory are part of the day.
  */
 final class RateLimitedLog {
-    private static final int MOST = 10;
-    private static final long SECOND = 1_000_000_000;
+    private static final int MAX_LINES_PER_SECOND = 10;
+    private static final long SECOND_NS = 1_000_000_000;
 
-    private static final class Kind {
-        private long since;
-        private int written;
+    private static final class KindState {
+        private long windowStartNs;
+        private int writtenInWindow;
         private long leftOut;
     }
 
@@ -25,23 +25,23 @@
     }
 
     /** Kinds are words of the program, so their number is bounded. */
-    private final Map<String, Kind> kinds = new HashMap<>();
+    private final Map<String, KindState> kinds = new HashMap<>();
 
-    synchronized void line(String kind, String text) {
-        Kind one = kinds.computeIfAbsent(kind, any -> new Kind());
+    synchronized void write(String kind, String text) {
+        KindState kindState = kinds.computeIfAbsent(kind, any -> new KindState());
         long now = System.nanoTime();
-        if (now - one.since > SECOND) {
-            one.since = now;
-            one.written = 0;
+        if (now - kindState.windowStartNs > SECOND_NS) {
+            kindState.windowStartNs = now;
+            kindState.writtenInWindow = 0;
         }
-        if (one.written >= MOST) {
-            one.leftOut++;
+        if (kindState.writtenInWindow >= MAX_LINES_PER_SECOND) {
+            kindState.leftOut++;
             return;
         }
-        one.written++;
-        String plain = text.length() > 2000 ? text.substring(0, 2000) : text;
-        out.println(System.currentTimeMillis() + " " + kind + ": " + plain.replace('\n', ' ')
-                + (one.leftOut > 0 ? " (left out " + one.leftOut + ")" : ""));
-        one.leftOut = 0;
+        kindState.writtenInWindow++;
+        String truncated = text.length() > 2000 ? text.substring(0, 2000) : text;
+        out.println(System.currentTimeMillis() + " " + kind + ": " + truncated.replace('\n', ' ')
+                + (kindState.leftOut > 0 ? " (left out " + kindState.leftOut + ")" : ""));
+        kindState.leftOut = 0;
     }
 }
--- a/src/main/java/martenslip/platform/ReloadSignal.java
+++ b/src/main/java/martenslip/platform/ReloadSignal.java
@@ -8,25 +8,25 @@
  * in time for that, so it is looked at again once service has begun; none is lost between two lines.
  */
 public final class ReloadSignal {
-    private final AtomicReference<Runnable> serving = new AtomicReference<>();
-    private final AtomicBoolean asked = new AtomicBoolean();
+    private final AtomicReference<Runnable> reloadAction = new AtomicReference<>();
+    private final AtomicBoolean isRequested = new AtomicBoolean();
 
     /** The signal. Any thread. */
     public void request() {
-        asked.set(true);
-        go();
+        isRequested.set(true);
+        runIfRequested();
     }
 
     /** Service has begun, and this is what a reload does. */
     public void start(Runnable reload) {
-        serving.set(reload);
-        go();
+        reloadAction.set(reload);
+        runIfRequested();
     }
 
     /** Whoever of the two comes last sees both. */
-    private void go() {
-        Runnable reload = serving.get();
-        if (reload != null && asked.getAndSet(false)) {
+    private void runIfRequested() {
+        Runnable reload = reloadAction.get();
+        if (reload != null && isRequested.getAndSet(false)) {
             reload.run();
         }
     }
--- a/src/main/java/martenslip/platform/SettingsFlattener.java
+++ b/src/main/java/martenslip/platform/SettingsFlattener.java
@@ -12,34 +12,35 @@
 final class SettingsFlattener {
     private SettingsFlattener() {}
 
-    static Map<String, String> of(Map<?, ?> settings) {
-        Map<String, String> flat = new LinkedHashMap<>();
-        settings.forEach((name, value) -> put(flat, String.valueOf(name), value));
-        return flat;
+    static Map<String, String> flatten(Map<?, ?> settings) {
+        Map<String, String> flattened = new LinkedHashMap<>();
+        settings.forEach((name, value) -> flattenInto(flattened, String.valueOf(name), value));
+        return flattened;
     }
 
-    private static void put(Map<String, String> flat, String path, Object value) {
+    private static void flattenInto(Map<String, String> flattened, String path, Object value) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((name, inner) -> put(flat, path + "." + name, inner));
+            map.forEach((name, inner) -> flattenInto(flattened, path + "." + name, inner));
         } else if (value instanceof List<?> list) {
-            boolean plain = list.stream().noneMatch(one -> one instanceof Map || one instanceof List);
-            if (plain) {
-                flat.put(
+            boolean hasOnlyPlainItems = list.stream().noneMatch(item -> item instanceof Map || item instanceof List);
+            if (hasOnlyPlainItems) {
+                flattened.put(
                         path,
                         String.join(
-                                ",", list.stream().map(SettingsFlattener::text).toList()));
+                                ",",
+                                list.stream().map(SettingsFlattener::toText).toList()));
                 return;
             }
-            flat.put(path + ".count", Integer.toString(list.size()));
+            flattened.put(path + ".count", Integer.toString(list.size()));
             for (int i = 0; i < list.size(); i++) {
-                put(flat, path + "." + i, list.get(i));
+                flattenInto(flattened, path + "." + i, list.get(i));
             }
         } else {
-            flat.put(path, text(value));
+            flattened.put(path, toText(value));
         }
     }
 
-    private static String text(Object value) {
+    private static String toText(Object value) {
         return value == null ? "" : value.toString().replace(' ', '_').replace(',', '_');
     }
 }
--- a/src/main/java/martenslip/platform/SettingsValidator.java
+++ b/src/main/java/martenslip/platform/SettingsValidator.java
@@ -11,59 +11,59 @@
  */
 final class SettingsValidator {
     /** A century: no span of a call, a connection or a start is longer. */
-    private static final double LONGEST_NS = 3.2e18;
+    private static final double MAX_SPAN_NS = 3.2e18;
 
-    private static final double MOST = 1e9;
+    private static final double MAX_NUMBER = 1e9;
 
-    private record NumberRange(String path, double least, double most) {}
+    private record NumberRange(String path, double min, double max) {}
 
-    private static final List<NumberRange> NUMBERS = List.of(
-            new NumberRange("round-ns", 1, LONGEST_NS),
-            new NumberRange("me", -1, MOST),
-            new NumberRange("n-instances", 0, MOST),
-            new NumberRange("family-info.mean-hold-ns", 0, LONGEST_NS),
-            new NumberRange("family-info.widths", 0, MOST),
-            new NumberRange("family-info.home-no", -1, MOST),
-            new NumberRange("family-info.release-ns", 0, LONGEST_NS),
-            new NumberRange("guarantees.warm-within-ns", 0, LONGEST_NS),
+    private static final List<NumberRange> NUMBER_RANGES = List.of(
+            new NumberRange("round-ns", 1, MAX_SPAN_NS),
+            new NumberRange("me", -1, MAX_NUMBER),
+            new NumberRange("n-instances", 0, MAX_NUMBER),
+            new NumberRange("family-info.mean-hold-ns", 0, MAX_SPAN_NS),
+            new NumberRange("family-info.widths", 0, MAX_NUMBER),
+            new NumberRange("family-info.home-no", -1, MAX_NUMBER),
+            new NumberRange("family-info.release-ns", 0, MAX_SPAN_NS),
+            new NumberRange("guarantees.warm-within-ns", 0, MAX_SPAN_NS),
             new NumberRange("guarantees.cold-share", 0, 1),
-            new NumberRange("guarantees.fall-multiple", 0, MOST),
-            new NumberRange("guarantees.fall-ns", 0, LONGEST_NS),
-            new NumberRange("guarantees.drain-grace-ns", 0, LONGEST_NS),
-            new NumberRange("guarantees.answer-slack-ns", 0, LONGEST_NS),
-            new NumberRange("policy-limits.send-cap", 0, MOST),
-            new NumberRange("policy-limits.max-open", 0, MOST),
-            new NumberRange("policy-limits.max-retry-after-ns", 0, LONGEST_NS),
-            new NumberRange("policy-limits.connect-timeout-ns", 0, LONGEST_NS),
-            new NumberRange("policy-limits.conn-idle-ns", 0, LONGEST_NS));
-    private static final List<NumberRange> OF_A_CLASS = List.of(
-            new NumberRange("aim-ns", 0, LONGEST_NS),
-            new NumberRange("hard-limit-ns", 0, LONGEST_NS),
+            new NumberRange("guarantees.fall-multiple", 0, MAX_NUMBER),
+            new NumberRange("guarantees.fall-ns", 0, MAX_SPAN_NS),
+            new NumberRange("guarantees.drain-grace-ns", 0, MAX_SPAN_NS),
+            new NumberRange("guarantees.answer-slack-ns", 0, MAX_SPAN_NS),
+            new NumberRange("policy-limits.send-cap", 0, MAX_NUMBER),
+            new NumberRange("policy-limits.max-open", 0, MAX_NUMBER),
+            new NumberRange("policy-limits.max-retry-after-ns", 0, MAX_SPAN_NS),
+            new NumberRange("policy-limits.connect-timeout-ns", 0, MAX_SPAN_NS),
+            new NumberRange("policy-limits.conn-idle-ns", 0, MAX_SPAN_NS));
+    private static final List<NumberRange> CLASS_NUMBER_RANGES = List.of(
+            new NumberRange("aim-ns", 0, MAX_SPAN_NS),
+            new NumberRange("hard-limit-ns", 0, MAX_SPAN_NS),
             new NumberRange("worth", 0, 1e12));
-    private static final List<String> SWITCHES = List.of("cancel", "peers", "probes", "retry-after");
+    private static final List<String> BOOLEAN_SETTINGS = List.of("cancel", "peers", "probes", "retry-after");
 
     private SettingsValidator() {}
 
     /** Throws where one is wrong; the text names its path and the reason. */
-    static void check(Map<String, String> settings) throws IOException {
-        number(settings, new NumberRange("classes.count", 1, 1024));
+    static void validate(Map<String, String> settings) throws IOException {
+        validateNumber(settings, new NumberRange("classes.count", 1, 1024));
         String count = settings.get("classes.count");
         if (count == null) {
             throw new IOException("settings.classes is missing or empty");
         }
         for (int i = 0; i < (int) Double.parseDouble(count); i++) {
-            String at = "classes." + i + ".";
-            if (settings.getOrDefault(at + "name", "").isBlank()) {
+            String classPath = "classes." + i + ".";
+            if (settings.getOrDefault(classPath + "name", "").isBlank()) {
                 throw new IOException("settings.classes[" + i + "].name is missing");
             }
-            for (NumberRange one : OF_A_CLASS) {
-                number(settings, new NumberRange(at + one.path, one.least, one.most));
+            for (NumberRange range : CLASS_NUMBER_RANGES) {
+                validateNumber(settings, new NumberRange(classPath + range.path, range.min, range.max));
             }
         }
-        for (NumberRange one : NUMBERS) {
-            number(settings, one);
+        for (NumberRange range : NUMBER_RANGES) {
+            validateNumber(settings, range);
         }
-        for (String name : SWITCHES) {
+        for (String name : BOOLEAN_SETTINGS) {
             String text = settings.get("policy-limits." + name);
             if (text != null && !text.equals("true") && !text.equals("false")) {
                 throw new IOException("settings.policy-limits." + name + " is neither true nor false: " + text);
@@ -72,11 +72,11 @@
     }
 
     /** A list is one number after another; an empty one is none. */
-    private static void number(Map<String, String> settings, NumberRange number) throws IOException {
-        if (settings.keySet().stream().anyMatch(name -> name.startsWith(number.path + "."))) {
-            throw new IOException("settings." + number.path + " is no number");
+    private static void validateNumber(Map<String, String> settings, NumberRange range) throws IOException {
+        if (settings.keySet().stream().anyMatch(name -> name.startsWith(range.path + "."))) {
+            throw new IOException("settings." + range.path + " is no number");
         }
-        String text = settings.get(number.path);
+        String text = settings.get(range.path);
         if (text == null || text.isBlank()) {
             return;
         }
@@ -85,17 +85,17 @@
             try {
                 value = Double.parseDouble(item.trim());
             } catch (NumberFormatException e) {
-                throw new IOException("settings." + number.path + " is no number: " + text);
+                throw new IOException("settings." + range.path + " is no number: " + text);
             }
-            within(value, "settings." + number.path, text, number.least, number.most);
+            requireInRange(value, "settings." + range.path, text, range.min, range.max);
         }
     }
 
     /** The value where it is in its range; else the message names its place and the text as it stands. */
-    static double within(double value, String where, Object text, double least, double most) throws IOException {
+    static double requireInRange(double value, String path, Object text, double min, double max) throws IOException {
         // No number at all is in no range.
-        if (!(value >= least && value <= most)) {
-            throw new IOException(where + " is out of its range, " + least + " to " + most + ": " + text);
+        if (!(value >= min && value <= max)) {
+            throw new IOException(path + " is out of its range, " + min + " to " + max + ": " + text);
         }
         return value;
     }
--- a/src/main/java/martenslip/platform/SwitchRegistry.java
+++ b/src/main/java/martenslip/platform/SwitchRegistry.java
@@ -21,94 +21,107 @@
  * and the module's list in step with the journal's events. The deciding thread's.
  */
 final class SwitchRegistry {
-    private record RegisteredSwitch(long number, long startedMs) {}
+    private record RegisteredSwitch(long switchId, long startedAtMs) {}
 
-    private final ContactTable desk;
-    private final SwitchConnections lines;
+    private final ContactTable contactTable;
+    private final SwitchConnections switchConnections;
     private final List<String> zones;
     /** What the clock of the program shows less what the Unix clock shows, at the start. */
-    private final Span offset;
+    private final Span clockOffset;
 
     private final RateLimitedLog log;
-    private final Map<String, RegisteredSwitch> known = new LinkedHashMap<>();
-    private long numbers;
+    private final Map<String, RegisteredSwitch> switchesById = new LinkedHashMap<>();
+    private long lastSwitchId;
 
     SwitchRegistry(
-            ContactTable desk, SwitchConnections lines, String zones, Moment now, long unixMs, RateLimitedLog log) {
-        this.desk = desk;
-        this.lines = lines;
+            ContactTable contactTable,
+            SwitchConnections switchConnections,
+            String zones,
+            Moment now,
+            long unixTimeMs,
+            RateLimitedLog log) {
+        this.contactTable = contactTable;
+        this.switchConnections = switchConnections;
         this.zones = Arrays.asList(zones.split(","));
         this.log = log;
-        offset = new Span(now.ns() - unixMs * 1_000_000);
+        clockOffset = new Span(now.ns() - unixTimeMs * 1_000_000);
     }
 
     /** The number of a switch that is on the list, or 0. */
-    long number(String id) {
-        RegisteredSwitch one = known.get(id);
-        return one == null ? 0 : one.number;
+    long switchId(String instanceId) {
+        RegisteredSwitch registered = switchesById.get(instanceId);
+        return registered == null ? 0 : registered.switchId;
     }
 
     /** The events up to the start, as one list. */
-    void remembered(List<SwitchListEvent> events, Moment now) {
-        Map<String, SwitchListEvent.Entry> all = new LinkedHashMap<>();
+    void applyInitialEvents(List<SwitchListEvent> events, Moment now) {
+        Map<String, SwitchListEvent.Entry> entriesById = new LinkedHashMap<>();
         for (SwitchListEvent event : events) {
             if (event.full()) {
-                all.clear();
+                entriesById.clear();
             }
             for (SwitchListEvent.Entry entry : event.entries()) {
                 if (entry.state() == SwitchEntry.State.GONE) {
-                    all.remove(entry.id());
+                    entriesById.remove(entry.id());
                 } else {
-                    all.put(entry.id(), entry);
+                    entriesById.put(entry.id(), entry);
                 }
             }
         }
-        tell(ListKind.CACHED, List.copyOf(all.values()), now);
+        applyEntries(ListKind.CACHED, List.copyOf(entriesById.values()), now);
     }
 
-    void take(SwitchListEvent event, Moment now) {
-        tell(event.full() ? ListKind.FULL : ListKind.CHANGES, event.entries(), now);
+    void applyEvent(SwitchListEvent event, Moment now) {
+        applyEntries(event.full() ? ListKind.FULL : ListKind.CHANGES, event.entries(), now);
     }
 
-    private void tell(ListKind kind, List<SwitchListEvent.Entry> entries, Moment now) {
-        List<SwitchEntry> told = new ArrayList<>();
-        Set<String> left = new HashSet<>();
+    private void applyEntries(ListKind kind, List<SwitchListEvent.Entry> entries, Moment now) {
+        List<SwitchEntry> controllerEntries = new ArrayList<>();
+        Set<String> removedIds = new HashSet<>();
         Map<Long, Moment> restarted = new HashMap<>();
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (SwitchListEvent.Entry entry : entries) {
-            named.add(entry.id());
-            RegisteredSwitch before = known.get(entry.id());
-            if (entry.state() == SwitchEntry.State.GONE && before == null) {
+            listedIds.add(entry.id());
+            RegisteredSwitch previous = switchesById.get(entry.id());
+            if (entry.state() == SwitchEntry.State.GONE && previous == null) {
                 continue;
             }
-            RegisteredSwitch one =
-                    new RegisteredSwitch(before == null ? ++numbers : before.number, entry.startedAtMs());
-            known.put(entry.id(), one);
-            Moment started = entry.startedAtMs() == 0 ? null : new Moment(entry.startedAtMs() * 1_000_000).plus(offset);
-            if (before != null && entry.startedAtMs() > before.startedMs) {
-                restarted.put(one.number, started);
+            RegisteredSwitch registered =
+                    new RegisteredSwitch(previous == null ? ++lastSwitchId : previous.switchId, entry.startedAtMs());
+            switchesById.put(entry.id(), registered);
+            Moment startedAt =
+                    entry.startedAtMs() == 0 ? null : new Moment(entry.startedAtMs() * 1_000_000).plus(clockOffset);
+            if (previous != null && entry.startedAtMs() > previous.startedAtMs) {
+                restarted.put(registered.switchId, startedAt);
             }
-            log.line(
+            log.write(
                     "list",
-                    entry.id() + " is switch " + one.number + ", number " + entry.number() + ", " + entry.state()
-                            + " at " + entry.address() + " since " + entry.startedAtMs());
-            told.add(new SwitchEntry(
-                    one.number, entry.number(), entry.state(), started, Math.max(0, zones.indexOf(entry.zone()))));
+                    entry.id() + " is switch " + registered.switchId + ", number " + entry.number() + ", "
+                            + entry.state() + " at " + entry.address() + " since " + entry.startedAtMs());
+            controllerEntries.add(new SwitchEntry(
+                    registered.switchId,
+                    entry.number(),
+                    entry.state(),
+                    startedAt,
+                    Math.max(0, zones.indexOf(entry.zone()))));
             if (entry.state() == SwitchEntry.State.GONE) {
-                left.add(entry.id());
+                removedIds.add(entry.id());
             } else {
-                lines.listed(one.number, entry.address(), entry.state() == SwitchEntry.State.DRAINING);
+                switchConnections.listed(
+                        registered.switchId, entry.address(), entry.state() == SwitchEntry.State.DRAINING);
             }
         }
         if (kind != ListKind.CHANGES) {
-            known.keySet().stream().filter(id -> !named.contains(id)).forEach(left::add);
+            switchesById.keySet().stream()
+                    .filter(instanceId -> !listedIds.contains(instanceId))
+                    .forEach(removedIds::add);
         }
-        restarted.forEach(desk::switchProcessEnded);
-        desk.notifyController(to -> to.switchListReceived(now, kind, told));
-        for (String id : left) {
-            long number = known.remove(id).number;
-            lines.unlisted(number);
-            desk.switchRemoved(number);
+        restarted.forEach(contactTable::switchProcessEnded);
+        contactTable.notifyController(controller -> controller.switchListReceived(now, kind, controllerEntries));
+        for (String instanceId : removedIds) {
+            long switchId = switchesById.remove(instanceId).switchId;
+            switchConnections.unlisted(switchId);
+            contactTable.switchRemoved(switchId);
         }
     }
 }
--- a/src/main/java/martenslip/platform/contact/CallerMessages.java
+++ b/src/main/java/martenslip/platform/contact/CallerMessages.java
@@ -13,26 +13,26 @@
         return request.createResponse(status, reason, null).bytes();
     }
 
-    static byte[] stands(Request invite, byte[] description) {
-        Response answer = invite.createResponse(200, "OK", null);
-        answer.body("application/sdp", description);
-        return answer.bytes();
+    static byte[] established(Request invite, byte[] description) {
+        Response response = invite.createResponse(200, "OK", null);
+        response.body("application/sdp", description);
+        return response.bytes();
     }
 
-    static byte[] deferred(Request invite, Span comeBack) {
-        Response answer = invite.createResponse(503, "Service Unavailable", null);
-        if (comeBack.longerThan(Span.ZERO)) {
-            answer.headers().add("Come-Back-Ms", comeBack.ns() / 1_000_000);
+    static byte[] deferred(Request invite, Span retryDelay) {
+        Response response = invite.createResponse(503, "Service Unavailable", null);
+        if (retryDelay.longerThan(Span.ZERO)) {
+            response.headers().add("Come-Back-Ms", retryDelay.ns() / 1_000_000);
         }
-        return answer.bytes();
+        return response.bytes();
     }
 
-    static byte[] release(String tag, String key, int cause) {
+    static byte[] release(String callId, String calledNumber, int cause) {
         Headers headers = new Headers();
         headers.add("Via", "SIP/2.0/TCP controller")
-                .add("Call-ID", tag)
+                .add("Call-ID", callId)
                 .add("CSeq", "2 BYE")
                 .add("Reason", "Q.850;cause=" + cause);
-        return new Request("BYE", "sip:" + key + "@net", headers).bytes();
+        return new Request("BYE", "sip:" + calledNumber + "@net", headers).bytes();
     }
 }
--- a/src/main/java/martenslip/platform/contact/ContactCounters.java
+++ b/src/main/java/martenslip/platform/contact/ContactCounters.java
@@ -8,23 +8,24 @@
 /** What passed the desk since its start; the deciding thread writes and reads. */
 public final class ContactCounters {
     long taken;
-    long stood;
+    long established;
     long inherited;
     long deferred;
     long abandoned;
     long callerGone;
-    long refusedUnseen;
+    long refusedWithoutOffer;
     long rings;
-    private final Map<String, Long> ends = new TreeMap<>();
+    private final Map<String, Long> endsByCause = new TreeMap<>();
 
-    void ended(RingEndCause cause, RejectionReason blame) {
-        ends.merge(blame == RejectionReason.NONE ? cause.name() : cause + "/" + blame, 1L, Long::sum);
+    void countRingEnd(RingEndCause cause, RejectionReason rejectionReason) {
+        endsByCause.merge(
+                rejectionReason == RejectionReason.NONE ? cause.name() : cause + "/" + rejectionReason, 1L, Long::sum);
     }
 
     @Override
     public String toString() {
-        return "taken=" + taken + " stood=" + stood + " inherited=" + inherited + " deferred=" + deferred
-                + " abandoned=" + abandoned + " caller-gone=" + callerGone + " refused-unseen=" + refusedUnseen
-                + " rings=" + rings + " ends=" + ends;
+        return "taken=" + taken + " stood=" + established + " inherited=" + inherited + " deferred=" + deferred
+                + " abandoned=" + abandoned + " caller-gone=" + callerGone + " refused-unseen=" + refusedWithoutOffer
+                + " rings=" + rings + " ends=" + endsByCause;
     }
 }
--- a/src/main/java/martenslip/platform/contact/ContactTable.java
+++ b/src/main/java/martenslip/platform/contact/ContactTable.java
@@ -32,34 +32,34 @@
     private static final float[] NO_REPORT = {};
 
     private final TimerWheel wheel;
-    private final ContactSettings terms;
-    private final OutboundMessages out;
-    private final Map<String, TrackedContact> byTag = new HashMap<>();
-    private final Map<Long, TrackedContact> byId = new LinkedHashMap<>();
-    private final Map<Long, TrackedContact> underWay = new LinkedHashMap<>();
-    private final EstablishedContacts establishedCount;
-    private final ReleaseSender releases;
+    private final ContactSettings settings;
+    private final OutboundMessages isAwaitingAnswerFrom;
+    private final Map<String, TrackedContact> contactsByTag = new HashMap<>();
+    private final Map<Long, TrackedContact> openContactsById = new LinkedHashMap<>();
+    private final Map<Long, TrackedContact> inFlightById = new LinkedHashMap<>();
+    private final EstablishedContacts establishedContacts;
+    private final ReleaseSender releaseSender;
     /** Sizes of the groups as they were told last. */
-    private final Map<Long, Integer> sizes = new HashMap<>();
+    private final Map<Long, Integer> groupSizes = new HashMap<>();
 
-    private final ArrayDeque<Consumer<Controller>> news = new ArrayDeque<>();
+    private final ArrayDeque<Consumer<Controller>> pendingNotifications = new ArrayDeque<>();
     private final ContactCounters counters = new ContactCounters();
-    private Controller setController;
-    private boolean amid;
-    private boolean refuseNewContacts;
-    private long ids;
+    private Controller controller;
+    private boolean isNotifying;
+    private boolean isRefusingNewContacts;
+    private long lastContactId;
 
-    public ContactTable(TimerWheel wheel, ContactSettings terms, OutboundMessages out) {
+    public ContactTable(TimerWheel wheel, ContactSettings settings, OutboundMessages outbound) {
         this.wheel = wheel;
-        this.terms = terms;
-        this.out = out;
-        releases = new ReleaseSender(wheel, out);
-        establishedCount = new EstablishedContacts(out, releases, this::standingOver);
+        this.settings = settings;
+        this.isAwaitingAnswerFrom = outbound;
+        releaseSender = new ReleaseSender(wheel, outbound);
+        establishedContacts = new EstablishedContacts(outbound, releaseSender, this::establishedContactEnded);
     }
 
     /** The module that was made with this desk as its orders. */
-    public void setController(Controller made) {
-        setController = made;
+    public void controller(Controller moduleController) {
+        controller = moduleController;
     }
 
     public ContactCounters counters() {
@@ -68,252 +68,270 @@
 
     /** Contacts without a final answer. */
     public int openCount() {
-        return byId.size();
+        return openContactsById.size();
     }
 
-    public int establishedCount() {
-        return establishedCount.count();
+    public int establishedContacts() {
+        return establishedContacts.count();
     }
 
-    public boolean hasEstablishedAt(long target) {
-        return establishedCount.at(target);
+    public boolean hasEstablishedContactsAt(long switchId) {
+        return establishedContacts.hasContactsAt(switchId);
     }
 
     public int unacknowledgedReleaseCount() {
-        return releases.unheard();
+        return releaseSender.pendingCount();
     }
 
     /** From now on what comes is refused; what is open is answered in its own time. */
-    public void refuseNewContacts() {
-        refuseNewContacts = true;
+    public void isRefusingNewContacts() {
+        isRefusingNewContacts = true;
     }
 
     /** Tells the module, and then what its orders have brought about, one thing at a time. */
-    public void notifyController(Consumer<Controller> what) {
-        news.add(what);
-        if (amid) {
+    public void notifyController(Consumer<Controller> notification) {
+        pendingNotifications.add(notification);
+        if (isNotifying) {
             return;
         }
-        amid = true;
+        isNotifying = true;
         try {
-            for (Consumer<Controller> next = news.poll(); next != null; next = news.poll()) {
+            for (Consumer<Controller> next = pendingNotifications.poll();
+                    next != null;
+                    next = pendingNotifications.poll()) {
                 try {
-                    next.accept(setController);
+                    next.accept(controller);
                 } catch (RuntimeException e) {
                     // It costs this piece of news: contacts it left open have their last word here.
-                    out.log("fault", "the module: " + e);
+                    isAwaitingAnswerFrom.log("fault", "the module: " + e);
                 }
             }
         } finally {
-            amid = false;
+            isNotifying = false;
         }
     }
 
     // ---- what callers say
 
-    public void setUpReceived(SetUpRequest asked) {
-        TrackedContact same = byTag.get(asked.tag());
-        if (asked.establishedSwitch() == null && same != null && same.open && same.line == asked.connectionId()) {
+    public void setUpReceived(SetUpRequest request) {
+        TrackedContact existing = contactsByTag.get(request.tag());
+        if (request.establishedSwitch() == null
+                && existing != null
+                && existing.isOpen
+                && existing.callerConnectionId == request.connectionId()) {
             // Which of the two its caller means can't be told, and neither may be answered as good.
-            out.disconnect(asked.connectionId(), "two set-ups under one id");
+            isAwaitingAnswerFrom.disconnect(request.connectionId(), "two set-ups under one id");
             return;
         }
-        if (asked.establishedSwitch() == null
-                && (same != null || refuseNewContacts || byId.size() >= terms.maxOpen())) {
-            counters.refusedUnseen++;
-            out.contactAnswered(asked.connectionId(), asked.tag());
-            out.sendToCaller(
-                    asked.connectionId(),
-                    same != null
-                            ? CallerMessages.response(asked.invite(), 482, "Loop Detected")
-                            : CallerMessages.deferred(asked.invite(), Span.ZERO));
+        if (request.establishedSwitch() == null
+                && (existing != null || isRefusingNewContacts || openContactsById.size() >= settings.maxOpen())) {
+            counters.refusedWithoutOffer++;
+            isAwaitingAnswerFrom.contactAnswered(request.connectionId(), request.tag());
+            isAwaitingAnswerFrom.sendToCaller(
+                    request.connectionId(),
+                    existing != null
+                            ? CallerMessages.response(request.invite(), 482, "Loop Detected")
+                            : CallerMessages.deferred(request.invite(), Span.ZERO));
             return;
         }
-        if (asked.cancellation().isCancelled()) {
+        if (request.cancellation().isCancelled()) {
             // Nobody waits for it any more: what its caller said after it stands behind it in the inbox.
             counters.callerGone++;
-            out.contactAnswered(asked.connectionId(), asked.tag());
-            out.sendToCaller(asked.connectionId(), CallerMessages.response(asked.invite(), 487, "Request Terminated"));
+            isAwaitingAnswerFrom.contactAnswered(request.connectionId(), request.tag());
+            isAwaitingAnswerFrom.sendToCaller(
+                    request.connectionId(), CallerMessages.response(request.invite(), 487, "Request Terminated"));
             return;
         }
-        TrackedContact one = new TrackedContact(++ids, asked);
-        byTag.put(one.tag, one);
-        byId.put(one.id, one);
+        TrackedContact contact = new TrackedContact(++lastContactId, request);
+        contactsByTag.put(contact.tag, contact);
+        openContactsById.put(contact.id, contact);
         counters.taken++;
         Moment now = wheel.now();
-        Span left = asked.patience().minus(now.since(asked.receivedAt()).atLeast(Span.ZERO));
-        one.lastWord =
-                wheel.scheduleAt(AnswerDeadline.forContact(now, left.plus(terms.answerSlack())), () -> lastWord(one));
-        Contact contact = new Contact(
-                one.id,
-                asked.skill(),
-                asked.dialled(),
-                asked.destination(),
-                asked.hint(),
-                asked.width(),
-                left.atLeast(Span.ZERO),
+        Span remainingPatience =
+                request.patience().minus(now.since(request.receivedAt()).atLeast(Span.ZERO));
+        contact.answerDeadlineTimer = wheel.scheduleAt(
+                AnswerDeadline.forContact(now, remainingPatience.plus(settings.answerSlack())),
+                () -> answerDeadlineExpired(contact));
+        Contact offeredContact = new Contact(
+                contact.id,
+                request.skill(),
+                request.calledNumberValue(),
+                request.destination(),
+                request.hint(),
+                request.width(),
+                remainingPatience.atLeast(Span.ZERO),
                 false,
-                asked.transit(),
-                asked.redial());
-        notifyController(to -> to.contactOffered(wheel.now(), contact));
+                request.transit(),
+                request.redial());
+        notifyController(controller -> controller.contactOffered(wheel.now(), offeredContact));
     }
 
     /** A contact that stands already at a switch, as its caller says; no answer is expected. */
-    public void establishedElsewhere(SetUpRequest asked, long target) {
-        out.contactAnswered(asked.connectionId(), asked.tag());
-        if (byTag.containsKey(asked.tag())) {
+    public void establishedContactReported(SetUpRequest request, long switchId) {
+        isAwaitingAnswerFrom.contactAnswered(request.connectionId(), request.tag());
+        if (contactsByTag.containsKey(request.tag())) {
             return;
         }
-        TrackedContact one = new TrackedContact(++ids, asked);
-        one.open = false;
-        one.acknowledged = true;
-        one.attempt = new TrackedContact.Attempt(-1, target, null, wheel.now());
-        byTag.put(one.tag, one);
-        establishedCount.add(one, wheel.now());
+        TrackedContact contact = new TrackedContact(++lastContactId, request);
+        contact.isOpen = false;
+        contact.isAcknowledged = true;
+        contact.attempt = new TrackedContact.Attempt(-1, switchId, null, wheel.now());
+        contactsByTag.put(contact.tag, contact);
+        establishedContacts.add(contact, wheel.now());
         counters.inherited++;
     }
 
     /** One that names a switch that is nowhere: what it named is over. */
-    public void establishedAtUnknownSwitch(SetUpRequest asked) {
-        out.contactAnswered(asked.connectionId(), asked.tag());
-        if (!byTag.containsKey(asked.tag())) {
-            releases.release(asked.tag(), asked.calledNumber(), EndCause.CUT, asked.connectionId());
+    public void establishedContactReportedAtUnknownSwitch(SetUpRequest request) {
+        isAwaitingAnswerFrom.contactAnswered(request.connectionId(), request.tag());
+        if (!contactsByTag.containsKey(request.tag())) {
+            releaseSender.release(
+                    request.tag(), request.calledNumber(), EndCause.TEMPORARY_FAILURE, request.connectionId());
         }
     }
 
-    public void cancelReceived(long line, Request cancel) {
-        TrackedContact one = byTag.get(cancel.callId());
-        if (one == null || one.line != line) {
-            out.sendToCaller(line, CallerMessages.response(cancel, 481, "Call/Transaction Does Not Exist"));
+    public void cancelReceived(long connectionId, Request request) {
+        TrackedContact contact = contactsByTag.get(request.callId());
+        if (contact == null || contact.callerConnectionId != connectionId) {
+            isAwaitingAnswerFrom.sendToCaller(
+                    connectionId, CallerMessages.response(request, 481, "Call/Transaction Does Not Exist"));
             return;
         }
-        out.sendToCaller(line, CallerMessages.response(cancel, 200, "OK"));
-        leaves(one);
+        isAwaitingAnswerFrom.sendToCaller(connectionId, CallerMessages.response(request, 200, "OK"));
+        callerLeft(contact);
     }
 
     /** Its caller has cancelled, or is known to have gone before that was told here. */
-    private void leaves(TrackedContact one) {
-        if (one.open) {
-            out.sendToCaller(one.line, CallerMessages.response(one.asked.invite(), 487, "Request Terminated"));
-            callerGone(one);
+    private void callerLeft(TrackedContact contact) {
+        if (contact.isOpen) {
+            isAwaitingAnswerFrom.sendToCaller(
+                    contact.callerConnectionId,
+                    CallerMessages.response(contact.setUpRequest.invite(), 487, "Request Terminated"));
+            callerGone(contact);
         }
     }
 
-    private void callerGone(TrackedContact one) {
+    private void callerGone(TrackedContact contact) {
         counters.callerGone++;
-        closed(one);
-        notifyController(to -> to.callerGone(wheel.now(), one.id));
-    }
-
-    public void byeReceived(long line, Request bye) {
-        TrackedContact early = byTag.get(bye.callId());
-        boolean open = early != null && early.open && early.line == line;
-        boolean stands = early != null && early.stands;
-        out.sendToCaller(
-                line,
-                open || stands
-                        ? CallerMessages.response(bye, 200, "OK")
-                        : CallerMessages.response(bye, 481, "Call/Transaction Does Not Exist"));
-        if (stands) {
-            establishedCount.releasedByCaller(early);
-        } else if (open) {
+        closeSetUp(contact);
+        notifyController(controller -> controller.callerGone(wheel.now(), contact.id));
+    }
+
+    public void byeReceived(long connectionId, Request request) {
+        TrackedContact contact = contactsByTag.get(request.callId());
+        boolean isOpen = contact != null && contact.isOpen && contact.callerConnectionId == connectionId;
+        boolean isEstablished = contact != null && contact.isEstablished;
+        isAwaitingAnswerFrom.sendToCaller(
+                connectionId,
+                isOpen || isEstablished
+                        ? CallerMessages.response(request, 200, "OK")
+                        : CallerMessages.response(request, 481, "Call/Transaction Does Not Exist"));
+        if (isEstablished) {
+            establishedContacts.releasedByCaller(contact);
+        } else if (isOpen) {
             // RFC 3261 15.1.2: what is pending is still answered.
-            leaves(early);
+            callerLeft(contact);
         }
     }
 
     /** The caller has the good answer. */
     public void ackReceived(String tag) {
-        establishedCount.acknowledged(tag);
+        establishedContacts.acknowledged(tag);
     }
 
     /** The caller has taken a release, or knows nothing of it. */
     public void releaseAcknowledged(String tag) {
-        releases.heard(tag);
+        releaseSender.acknowledged(tag);
     }
 
-    public void callerConnectionEnded(long line) {
-        releases.lineOver(line);
-        for (TrackedContact one : List.copyOf(byId.values())) {
-            if (one.line == line) {
-                callerGone(one);
+    public void callerConnectionEnded(long connectionId) {
+        releaseSender.callerConnectionEnded(connectionId);
+        for (TrackedContact contact : List.copyOf(openContactsById.values())) {
+            if (contact.callerConnectionId == connectionId) {
+                callerGone(contact);
             }
         }
-        establishedCount.connectionOver(line);
+        establishedContacts.callerConnectionEnded(connectionId);
     }
 
     // ---- what switches say
 
-    public void started(long target, long connection, String tag, String description) {
-        TrackedContact one = byTag.get(tag);
-        if (one == null || one.stands || !out(one, target)) {
+    public void started(long switchId, long switchConnectionId, String tag, String description) {
+        TrackedContact contact = contactsByTag.get(tag);
+        if (contact == null || contact.isEstablished || !isAwaitingAnswerFrom(contact, switchId)) {
             return;
         }
-        if (one.open && one.asked.cancellation().isCancelled()) {
+        if (contact.isOpen && contact.setUpRequest.cancellation().isCancelled()) {
             // Known to have gone, though the news of it is still on its way: it takes no answer as good any more.
-            leaves(one);
+            callerLeft(contact);
         }
-        if (one.attempt == null || one.attempt.givenUp) {
+        if (contact.attempt == null || contact.attempt.isCancelled) {
             // Its end is on its way to the switch, by the module's order or by the desk's.
             return;
         }
-        if (description == null || !one.open) {
-            giveUp(one, description == null ? RingEndCause.CUT : RingEndCause.CALLED_OFF);
+        if (description == null || !contact.isOpen) {
+            cancelAttempt(contact, description == null ? RingEndCause.CUT : RingEndCause.CALLED_OFF);
             return;
         }
-        Request invite = one.asked.invite();
-        int number = one.attempt.number;
-        Span took = wheel.now().since(one.attempt.begun);
-        one.attempt.limit.cancel();
-        underWay.remove(one.id);
-        closed(one);
-        establishedCount.add(one, wheel.now());
-        counters.stood++;
-        boolean said =
-                out.sendToCaller(one.line, CallerMessages.stands(invite, description.getBytes(StandardCharsets.UTF_8)));
-        notifyController(to -> to.established(wheel.now(), one.id, number, target, took));
-        if (!said) {
-            callerConnectionEnded(one.line);
-        }
-    }
-
-    public void ended(long target, long connection, String tag, int cause, String note, float[] report) {
-        out.sendFinished(target, connection, tag);
-        TrackedContact one = byTag.get(tag);
-        if (one == null || !out(one, target)) {
+        Request inviteRequest = contact.setUpRequest.invite();
+        int ringNumber = contact.attempt.ringNumber;
+        Span elapsed = wheel.now().since(contact.attempt.startedAt);
+        contact.attempt.timeLimitTimer.cancel();
+        inFlightById.remove(contact.id);
+        closeSetUp(contact);
+        establishedContacts.add(contact, wheel.now());
+        counters.established++;
+        boolean delivered = isAwaitingAnswerFrom.sendToCaller(
+                contact.callerConnectionId,
+                CallerMessages.established(inviteRequest, description.getBytes(StandardCharsets.UTF_8)));
+        notifyController(controller -> controller.established(wheel.now(), contact.id, ringNumber, switchId, elapsed));
+        if (!delivered) {
+            callerConnectionEnded(contact.callerConnectionId);
+        }
+    }
+
+    public void ended(long switchId, long switchConnectionId, String tag, int cause, String note, float[] report) {
+        isAwaitingAnswerFrom.sendFinished(switchId, switchConnectionId, tag);
+        TrackedContact contact = contactsByTag.get(tag);
+        if (contact == null || !isAwaitingAnswerFrom(contact, switchId)) {
             return;
         }
-        if (one.attempt.givenUp && !one.stands) {
+        if (contact.attempt.isCancelled && !contact.isEstablished) {
             // It crossed the end that is on its way there, which counts; what it says of circuits is true all the same.
             if (report.length > 0) {
-                loadReported(target, report);
+                loadReported(switchId, report);
             }
             return;
         }
-        if (one.stands) {
-            establishedCount.releasedBySwitch(one, cause, report);
+        if (contact.isEstablished) {
+            establishedContacts.releasedBySwitch(contact, cause, report);
         } else {
-            EndCause end = EndCause.ofRing(cause, note);
-            told(target, report);
-            attemptOver(one, end.cause(), end.blame(), state(one, end, report));
+            EndCause endCause = EndCause.ofRingEnd(cause, note);
+            rememberGroupSize(switchId, report);
+            attemptEnded(
+                    contact,
+                    endCause.cause(),
+                    endCause.rejectionReason(),
+                    reportOrGroupState(contact, endCause, report));
         }
     }
 
     /** An answer counts for the attempt that is out; to one that was never written there is none. */
-    private static boolean out(TrackedContact one, long target) {
-        return one.attempt != null
-                && one.attempt.target == target
-                && (one.attempt.queued == null || one.attempt.queued.message().isWritten());
+    private static boolean isAwaitingAnswerFrom(TrackedContact contact, long switchId) {
+        return contact.attempt != null
+                && contact.attempt.switchId == switchId
+                && (contact.attempt.queuedStart == null
+                        || contact.attempt.queuedStart.message().isWritten());
     }
 
-    public void loadReported(long target, float[] report) {
-        told(target, report);
-        notifyController(to -> to.switchReported(wheel.now(), target, true, Span.ZERO, report));
+    public void loadReported(long switchId, float[] report) {
+        rememberGroupSize(switchId, report);
+        notifyController(controller -> controller.switchReported(wheel.now(), switchId, true, Span.ZERO, report));
     }
 
-    private void told(long target, float[] report) {
+    private void rememberGroupSize(long switchId, float[] report) {
         if (report.length >= 2 && report[1] >= 0) {
-            sizes.put(target, (int) report[1]);
+            groupSizes.put(switchId, (int) report[1]);
         }
     }
 
@@ -321,25 +339,28 @@
      * A set-up that found too few circuits says so without a report: that few are free is a state of the group all
      * the same, and where the switch told none when they were taken, it is the only word of it.
      */
-    private float[] state(TrackedContact one, EndCause end, float[] report) {
-        boolean full = end.cause() == RingEndCause.NOT_SENT && end.blame() == RejectionReason.NO_CIRCUIT;
-        Integer size = sizes.get(one.attempt.target);
-        return full && report.length == 0 && size != null ? new float[] {one.asked.width() - 1, size} : report;
+    private float[] reportOrGroupState(TrackedContact contact, EndCause endCause, float[] report) {
+        boolean hasNoCircuit =
+                endCause.cause() == RingEndCause.NOT_SENT && endCause.rejectionReason() == RejectionReason.NO_CIRCUIT;
+        Integer groupSize = groupSizes.get(contact.attempt.switchId);
+        return hasNoCircuit && report.length == 0 && groupSize != null
+                ? new float[] {contact.setUpRequest.width() - 1, groupSize}
+                : report;
     }
 
     /** A switch that has left the list for good; its number does not come again. */
-    public void switchRemoved(long target) {
-        sizes.remove(target);
+    public void switchRemoved(long switchId) {
+        groupSizes.remove(switchId);
     }
 
     /** A connection is over; the rings that went by it are given up, what stands is not touched. */
-    public void switchConnectionEnded(long target, long connection, boolean everUp) {
-        for (TrackedContact one : List.copyOf(underWay.values())) {
-            if (one.attempt.connection() == connection) {
-                boolean never = one.attempt.revoked();
-                attemptOver(
-                        one,
-                        !everUp ? RingEndCause.UNREACHABLE : never ? RingEndCause.NOT_SENT : RingEndCause.CUT,
+    public void switchConnectionEnded(long switchId, long switchConnectionId, boolean everUp) {
+        for (TrackedContact contact : List.copyOf(inFlightById.values())) {
+            if (contact.attempt.switchConnectionId() == switchConnectionId) {
+                boolean neverWritten = contact.attempt.revoke();
+                attemptEnded(
+                        contact,
+                        !everUp ? RingEndCause.UNREACHABLE : neverWritten ? RingEndCause.NOT_SENT : RingEndCause.CUT,
                         RejectionReason.NONE,
                         NO_REPORT);
             }
@@ -347,149 +368,170 @@
     }
 
     /** The process behind a switch has ended: what stood there before a moment is over, and no release will come. */
-    public void switchProcessEnded(long target, Moment before) {
-        establishedCount.processOver(target, before);
+    public void switchProcessEnded(long switchId, Moment establishedBefore) {
+        establishedContacts.switchProcessEnded(switchId, establishedBefore);
     }
 
     // ---- ends
 
-    private void closed(TrackedContact one) {
-        one.open = false;
-        one.lastWord.cancel();
-        byId.remove(one.id);
-        out.contactAnswered(one.line, one.tag);
-        if (one.attempt == null) {
-            byTag.remove(one.tag);
+    private void closeSetUp(TrackedContact contact) {
+        contact.isOpen = false;
+        contact.answerDeadlineTimer.cancel();
+        openContactsById.remove(contact.id);
+        isAwaitingAnswerFrom.contactAnswered(contact.callerConnectionId, contact.tag);
+        if (contact.attempt == null) {
+            contactsByTag.remove(contact.tag);
         }
     }
 
-    private void standingOver(TrackedContact one, RingEndCause cause, float[] report) {
-        byTag.remove(one.tag);
-        TrackedContact.Attempt was = one.attempt;
-        if (was.number < 0) {
+    private void establishedContactEnded(TrackedContact contact, RingEndCause cause, float[] report) {
+        contactsByTag.remove(contact.tag);
+        TrackedContact.Attempt attempt = contact.attempt;
+        if (attempt.ringNumber < 0) {
             // The module never knew it: the report still tells of circuits.
             if (report.length > 0) {
-                loadReported(was.target, report);
+                loadReported(attempt.switchId, report);
             }
             return;
         }
-        Span took = wheel.now().since(was.begun);
-        notifyController(to -> to.ringEnded(
+        Span elapsed = wheel.now().since(attempt.startedAt);
+        notifyController(controller -> controller.ringEnded(
                 wheel.now(),
-                new RingEnd(one.id, was.number, was.target, cause, RejectionReason.NONE, took, true, report)));
+                new RingEnd(
+                        contact.id,
+                        attempt.ringNumber,
+                        attempt.switchId,
+                        cause,
+                        RejectionReason.NONE,
+                        elapsed,
+                        true,
+                        report)));
     }
 
     /**
      * Gives an attempt up toward its switch. One whose write has not begun is taken back: it was never sent, and the
      * switch hears nothing of it. Of one that was, the end counts once it is written, as the release after it does.
      */
-    private void giveUp(TrackedContact one, RingEndCause cause) {
-        TrackedContact.Attempt attempt = one.attempt;
-        if (attempt.revoked()) {
-            attemptOver(one, RingEndCause.NOT_SENT, RejectionReason.NONE, NO_REPORT);
+    private void cancelAttempt(TrackedContact contact, RingEndCause cause) {
+        TrackedContact.Attempt attempt = contact.attempt;
+        if (attempt.revoke()) {
+            attemptEnded(contact, RingEndCause.NOT_SENT, RejectionReason.NONE, NO_REPORT);
             return;
         }
-        attempt.limit.cancel();
-        attempt.givenUp = true;
-        out.sendFinish(attempt.target, attempt.connection(), one.tag, EndCause.NORMAL, () -> {
-            if (one.attempt == attempt) {
-                attemptOver(one, cause, RejectionReason.NONE, NO_REPORT);
-            }
-        });
-    }
-
-    private void attemptOver(TrackedContact one, RingEndCause cause, RejectionReason blame, float[] report) {
-        TrackedContact.Attempt attempt = one.attempt;
-        attempt.limit.cancel();
-        underWay.remove(one.id);
-        one.attempt = null;
-        if (!one.open) {
-            byTag.remove(one.tag);
-        }
-        counters.ended(cause, blame);
-        Span took = wheel.now().since(attempt.begun);
-        notifyController(to -> to.ringEnded(
+        attempt.timeLimitTimer.cancel();
+        attempt.isCancelled = true;
+        isAwaitingAnswerFrom.sendFinish(
+                attempt.switchId, attempt.switchConnectionId(), contact.tag, EndCause.NORMAL_CLEARING, () -> {
+                    if (contact.attempt == attempt) {
+                        attemptEnded(contact, cause, RejectionReason.NONE, NO_REPORT);
+                    }
+                });
+    }
+
+    private void attemptEnded(
+            TrackedContact contact, RingEndCause cause, RejectionReason rejectionReason, float[] report) {
+        TrackedContact.Attempt attempt = contact.attempt;
+        attempt.timeLimitTimer.cancel();
+        inFlightById.remove(contact.id);
+        contact.attempt = null;
+        if (!contact.isOpen) {
+            contactsByTag.remove(contact.tag);
+        }
+        counters.countRingEnd(cause, rejectionReason);
+        Span elapsed = wheel.now().since(attempt.startedAt);
+        notifyController(controller -> controller.ringEnded(
                 wheel.now(),
-                new RingEnd(one.id, attempt.number, attempt.target, cause, blame, took, !one.open, report)));
-    }
-
-    private void lastWord(TrackedContact one) {
-        if (!one.open) {
+                new RingEnd(
+                        contact.id,
+                        attempt.ringNumber,
+                        attempt.switchId,
+                        cause,
+                        rejectionReason,
+                        elapsed,
+                        !contact.isOpen,
+                        report)));
+    }
+
+    private void answerDeadlineExpired(TrackedContact contact) {
+        if (!contact.isOpen) {
             return;
         }
-        out.log("last-word", "the module left a contact without an answer");
-        out.sendToCaller(one.line, CallerMessages.response(one.asked.invite(), 500, "Server Internal Error"));
-        callerGone(one);
+        isAwaitingAnswerFrom.log("last-word", "the module left a contact without an answer");
+        isAwaitingAnswerFrom.sendToCaller(
+                contact.callerConnectionId,
+                CallerMessages.response(contact.setUpRequest.invite(), 500, "Server Internal Error"));
+        callerGone(contact);
     }
 
     // ---- what the module orders
 
     @Override
-    public void ring(long contact, long target, Span limit) {
-        TrackedContact one = byId.get(contact);
-        if (one == null || one.attempt != null) {
-            out.log("fault", "an attempt for a contact that is over or has one out");
+    public void ring(long contactId, long switchId, Span limit) {
+        TrackedContact contact = openContactsById.get(contactId);
+        if (contact == null || contact.attempt != null) {
+            isAwaitingAnswerFrom.log("fault", "an attempt for a contact that is over or has one out");
             return;
         }
-        int number = one.attempts++;
+        int ringNumber = contact.attemptCount++;
         counters.rings++;
-        SetUpRequest asked = one.asked;
-        Moment until = wheel.now().plus(limit);
-        QueuedMessage queued = asked.cancellation().isCancelled()
+        SetUpRequest request = contact.setUpRequest;
+        Moment deadline = wheel.now().plus(limit);
+        QueuedMessage queued = request.cancellation().isCancelled()
                 ? null
-                : out.sendStart(
-                        target,
+                : isAwaitingAnswerFrom.sendStart(
+                        switchId,
                         new SwitchStartRequest(
-                                one.tag,
-                                terms.skills().get(asked.skill()),
-                                one.key,
-                                asked.description(),
-                                until,
-                                asked.cancellation()),
-                        () -> unsent(one, number));
-        TrackedContact.Attempt attempt = new TrackedContact.Attempt(number, target, queued, wheel.now());
-        one.attempt = attempt;
-        underWay.put(one.id, one);
-        attempt.limit = wheel.scheduleAt(until, () -> {
-            if (one.attempt == attempt) {
-                giveUp(one, RingEndCause.TIMED_OUT);
+                                contact.tag,
+                                settings.skills().get(request.skill()),
+                                contact.calledNumber,
+                                request.description(),
+                                deadline,
+                                request.cancellation()),
+                        () -> attemptNotSent(contact, ringNumber));
+        TrackedContact.Attempt attempt = new TrackedContact.Attempt(ringNumber, switchId, queued, wheel.now());
+        contact.attempt = attempt;
+        inFlightById.put(contact.id, contact);
+        attempt.timeLimitTimer = wheel.scheduleAt(deadline, () -> {
+            if (contact.attempt == attempt) {
+                cancelAttempt(contact, RingEndCause.TIMED_OUT);
             }
         });
-        if (asked.cancellation().isCancelled()) {
-            news.add(to -> leaves(one));
+        if (request.cancellation().isCancelled()) {
+            pendingNotifications.add(controller -> callerLeft(contact));
         } else if (queued == null) {
-            news.add(to -> {
-                if (one.attempt == attempt) {
-                    attemptOver(one, RingEndCause.UNREACHABLE, RejectionReason.NONE, NO_REPORT);
+            pendingNotifications.add(controller -> {
+                if (contact.attempt == attempt) {
+                    attemptEnded(contact, RingEndCause.UNREACHABLE, RejectionReason.NONE, NO_REPORT);
                 }
             });
         }
     }
 
     /** An attempt's reason no longer held when its turn to be written came. */
-    private void unsent(TrackedContact one, int number) {
-        if (one.attempt != null && one.attempt.number == number) {
-            attemptOver(one, RingEndCause.NOT_SENT, RejectionReason.NONE, NO_REPORT);
+    private void attemptNotSent(TrackedContact contact, int ringNumber) {
+        if (contact.attempt != null && contact.attempt.ringNumber == ringNumber) {
+            attemptEnded(contact, RingEndCause.NOT_SENT, RejectionReason.NONE, NO_REPORT);
         }
     }
 
     @Override
-    public void cancel(long contact, int number) {
-        TrackedContact one = underWay.get(contact);
-        if (one == null || one.attempt.number != number || one.attempt.givenUp) {
+    public void cancel(long contactId, int ringNumber) {
+        TrackedContact contact = inFlightById.get(contactId);
+        if (contact == null || contact.attempt.ringNumber != ringNumber || contact.attempt.isCancelled) {
             return;
         }
-        TrackedContact.Attempt attempt = one.attempt;
-        if (!attempt.revoked()) {
-            out.sendFinish(attempt.target, attempt.connection(), one.tag, EndCause.NORMAL, () -> {});
+        TrackedContact.Attempt attempt = contact.attempt;
+        if (!attempt.revoke()) {
+            isAwaitingAnswerFrom.sendFinish(
+                    attempt.switchId, attempt.switchConnectionId(), contact.tag, EndCause.NORMAL_CLEARING, () -> {});
         }
-        attempt.givenUp = true;
+        attempt.isCancelled = true;
         // Called within the module: how it ended is told after, when it is known whether the contact is over.
-        news.add(to -> {
-            if (one.attempt == attempt) {
-                attemptOver(
-                        one,
-                        attempt.revoked() ? RingEndCause.NOT_SENT : RingEndCause.CALLED_OFF,
+        pendingNotifications.add(controller -> {
+            if (contact.attempt == attempt) {
+                attemptEnded(
+                        contact,
+                        attempt.revoke() ? RingEndCause.NOT_SENT : RingEndCause.CALLED_OFF,
                         RejectionReason.NONE,
                         NO_REPORT);
             }
@@ -497,52 +539,55 @@
     }
 
     @Override
-    public void defer(long contact, Span comeBack) {
-        TrackedContact one = byId.get(contact);
-        if (one != null) {
+    public void defer(long contactId, Span retryDelay) {
+        TrackedContact contact = openContactsById.get(contactId);
+        if (contact != null) {
             counters.deferred++;
-            out.sendToCaller(one.line, CallerMessages.deferred(one.asked.invite(), comeBack));
-            closed(one);
+            isAwaitingAnswerFrom.sendToCaller(
+                    contact.callerConnectionId, CallerMessages.deferred(contact.setUpRequest.invite(), retryDelay));
+            closeSetUp(contact);
         }
     }
 
     @Override
-    public void abandon(long contact) {
-        TrackedContact one = byId.get(contact);
-        if (one != null) {
+    public void abandon(long contactId) {
+        TrackedContact contact = openContactsById.get(contactId);
+        if (contact != null) {
             counters.abandoned++;
-            out.sendToCaller(one.line, CallerMessages.response(one.asked.invite(), 500, "Server Internal Error"));
-            closed(one);
+            isAwaitingAnswerFrom.sendToCaller(
+                    contact.callerConnectionId,
+                    CallerMessages.response(contact.setUpRequest.invite(), 500, "Server Internal Error"));
+            closeSetUp(contact);
         }
     }
 
     @Override
     public void startTimer(Span delay, long token) {
-        wheel.scheduleAfter(delay, () -> notifyController(to -> to.timerExpired(wheel.now(), token)));
+        wheel.scheduleAfter(delay, () -> notifyController(controller -> controller.timerExpired(wheel.now(), token)));
     }
 
     @Override
-    public void probe(long target) {
-        out.log("probe", "probes are not allowed on this platform");
+    public void probe(long switchId) {
+        isAwaitingAnswerFrom.log("probe", "probes are not allowed on this platform");
     }
 
     @Override
     public void sendNote(int peer, byte[] note) {
-        out.sendNote(peer, note);
+        isAwaitingAnswerFrom.sendNote(peer, note);
     }
 
     @Override
-    public void watchSwitchList(boolean on) {
+    public void watchSwitchList(boolean enabled) {
         // The journal service tells unasked; there is nothing to subscribe to.
     }
 
     @Override
-    public void log(String line) {
-        out.log("module", line);
+    public void log(String message) {
+        isAwaitingAnswerFrom.log("module", message);
     }
 
     /** For checks: contacts that this desk still knows. */
-    public Collection<String> known() {
-        return List.copyOf(byTag.keySet());
+    public Collection<String> knownTags() {
+        return List.copyOf(contactsByTag.keySet());
     }
 }
--- a/src/main/java/martenslip/platform/contact/EstablishedContacts.java
+++ b/src/main/java/martenslip/platform/contact/EstablishedContacts.java
@@ -17,92 +17,99 @@
 
     /** Hears of each end once the contact is no longer here. */
     interface EndListener {
-        void over(TrackedContact one, RingEndCause cause, float[] report);
+        void contactEnded(TrackedContact contact, RingEndCause cause, float[] report);
     }
 
-    private final OutboundMessages out;
-    private final ReleaseSender releases;
-    private final EndListener ends;
-    private final Map<String, TrackedContact> all = new LinkedHashMap<>();
+    private final OutboundMessages outbound;
+    private final ReleaseSender releaseSender;
+    private final EndListener endListener;
+    private final Map<String, TrackedContact> contactsByTag = new LinkedHashMap<>();
 
-    EstablishedContacts(OutboundMessages out, ReleaseSender releases, EndListener ends) {
-        this.out = out;
-        this.releases = releases;
-        this.ends = ends;
+    EstablishedContacts(OutboundMessages outbound, ReleaseSender releaseSender, EndListener endListener) {
+        this.outbound = outbound;
+        this.releaseSender = releaseSender;
+        this.endListener = endListener;
     }
 
     int count() {
-        return all.size();
+        return contactsByTag.size();
     }
 
-    boolean at(long target) {
-        return all.values().stream().anyMatch(one -> one.attempt.target == target);
+    boolean hasContactsAt(long switchId) {
+        return contactsByTag.values().stream().anyMatch(contact -> contact.attempt.switchId == switchId);
     }
 
-    void add(TrackedContact one, Moment now) {
-        one.stands = true;
-        one.stoodAt = now;
-        one.asked = null;
-        all.put(one.tag, one);
+    void add(TrackedContact contact, Moment now) {
+        contact.isEstablished = true;
+        contact.establishedAt = now;
+        contact.setUpRequest = null;
+        contactsByTag.put(contact.tag, contact);
     }
 
     void acknowledged(String tag) {
-        TrackedContact one = all.get(tag);
-        if (one != null) {
-            one.acknowledged = true;
+        TrackedContact contact = contactsByTag.get(tag);
+        if (contact != null) {
+            contact.isAcknowledged = true;
         }
     }
 
-    void releasedByCaller(TrackedContact one) {
-        finish(one);
-        over(one, RingEndCause.CALLED_OFF, NO_REPORT);
+    void releasedByCaller(TrackedContact contact) {
+        sendFinish(contact);
+        contactEnded(contact, RingEndCause.CALLED_OFF, NO_REPORT);
     }
 
-    void releasedBySwitch(TrackedContact one, int cause, float[] report) {
-        release(one, cause == EndCause.NORMAL ? EndCause.NORMAL : EndCause.CUT);
-        over(one, EndCause.ofStanding(cause), report);
+    void releasedBySwitch(TrackedContact contact, int q850Cause, float[] report) {
+        sendRelease(
+                contact, q850Cause == EndCause.NORMAL_CLEARING ? EndCause.NORMAL_CLEARING : EndCause.TEMPORARY_FAILURE);
+        contactEnded(contact, EndCause.ofEstablishedEnd(q850Cause), report);
     }
 
     /** Good answers that were not acknowledged may not have come through, and nobody else would ever release these. */
-    void connectionOver(long line) {
-        List<TrackedContact> unsure = those(one -> !one.acknowledged && one.line == line);
-        if (!unsure.isEmpty()) {
-            out.log("unsure", unsure.size() + " good answers not acknowledged on a connection that ended");
+    void callerConnectionEnded(long connectionId) {
+        List<TrackedContact> unacknowledged =
+                contactsMatching(contact -> !contact.isAcknowledged && contact.callerConnectionId == connectionId);
+        if (!unacknowledged.isEmpty()) {
+            outbound.log("unsure", unacknowledged.size() + " good answers not acknowledged on a connection that ended");
         }
-        for (TrackedContact one : unsure) {
-            finish(one);
-            release(one, EndCause.CUT);
-            over(one, RingEndCause.CALLED_OFF, NO_REPORT);
+        for (TrackedContact contact : unacknowledged) {
+            sendFinish(contact);
+            sendRelease(contact, EndCause.TEMPORARY_FAILURE);
+            contactEnded(contact, RingEndCause.CALLED_OFF, NO_REPORT);
         }
     }
 
     /** What stood there before a moment, or at any, is over, and no release will come. */
-    void processOver(long target, Moment before) {
-        List<TrackedContact> over =
-                those(one -> one.attempt.target == target && (before == null || one.stoodAt.before(before)));
-        for (TrackedContact one : over) {
-            release(one, EndCause.CUT);
-            over(one, RingEndCause.CUT, NO_REPORT);
+    void switchProcessEnded(long switchId, Moment establishedBefore) {
+        List<TrackedContact> ended = contactsMatching(contact -> contact.attempt.switchId == switchId
+                && (establishedBefore == null || contact.establishedAt.before(establishedBefore)));
+        for (TrackedContact contact : ended) {
+            sendRelease(contact, EndCause.TEMPORARY_FAILURE);
+            contactEnded(contact, RingEndCause.CUT, NO_REPORT);
         }
-        if (!over.isEmpty()) {
-            out.log("switch-over", over.size() + " contacts stood at switch " + target);
+        if (!ended.isEmpty()) {
+            outbound.log("switch-over", ended.size() + " contacts stood at switch " + switchId);
         }
     }
 
-    private List<TrackedContact> those(Predicate<TrackedContact> which) {
-        return all.values().stream().filter(which).toList();
+    private List<TrackedContact> contactsMatching(Predicate<TrackedContact> predicate) {
+        return contactsByTag.values().stream().filter(predicate).toList();
     }
 
-    private void finish(TrackedContact one) {
-        out.sendFinish(one.attempt.target, one.attempt.connection(), one.tag, EndCause.NORMAL, () -> {});
+    private void sendFinish(TrackedContact contact) {
+        outbound.sendFinish(
+                contact.attempt.switchId,
+                contact.attempt.switchConnectionId(),
+                contact.tag,
+                EndCause.NORMAL_CLEARING,
+                () -> {});
     }
 
-    private void release(TrackedContact one, int cause) {
-        releases.release(one.tag, one.key, cause, one.line);
+    private void sendRelease(TrackedContact contact, int q850Cause) {
+        releaseSender.release(contact.tag, contact.calledNumber, q850Cause, contact.callerConnectionId);
     }
 
-    private void over(TrackedContact one, RingEndCause cause, float[] report) {
-        all.remove(one.tag);
-        ends.over(one, cause, report);
+    private void contactEnded(TrackedContact contact, RingEndCause cause, float[] report) {
+        contactsByTag.remove(contact.tag);
+        endListener.contactEnded(contact, cause, report);
     }
 }
--- a/src/main/java/martenslip/platform/contact/ReleaseSender.java
+++ b/src/main/java/martenslip/platform/contact/ReleaseSender.java
@@ -12,86 +12,89 @@
  */
 final class ReleaseSender {
     /** How often releases are said again to callers who were not heard to take them, and how often at most. */
-    private static final Span AGAIN = Span.ofMillis(400);
+    private static final Span RETRANSMIT_INTERVAL = Span.ofMillis(400);
 
-    private static final int MOST_SAID = 6;
-    private static final int MOST_RELEASES = 4096;
+    private static final int MAX_TRANSMISSIONS = 6;
+    private static final int MAX_PENDING_RELEASES = 4096;
 
     /** A release that a caller has not been heard to take. */
     private static final class PendingRelease {
         final String tag;
         final byte[] message;
         /** The connection that it was said on last; the next time another is taken, where there is one. */
-        long line;
+        long connectionId;
 
-        int said;
+        int transmissions;
 
-        PendingRelease(String tag, byte[] message, long line) {
+        PendingRelease(String tag, byte[] message, long connectionId) {
             this.tag = tag;
             this.message = message;
-            this.line = line;
+            this.connectionId = connectionId;
         }
     }
 
     private final TimerWheel wheel;
-    private final OutboundMessages out;
-    private final Map<String, PendingRelease> unheard = new LinkedHashMap<>();
+    private final OutboundMessages outbound;
+    private final Map<String, PendingRelease> pendingCount = new LinkedHashMap<>();
 
-    ReleaseSender(TimerWheel wheel, OutboundMessages out) {
+    ReleaseSender(TimerWheel wheel, OutboundMessages outbound) {
         this.wheel = wheel;
-        this.out = out;
+        this.outbound = outbound;
     }
 
-    int unheard() {
-        return unheard.size();
+    int pendingCount() {
+        return pendingCount.size();
     }
 
     /** The caller has taken it, or knows nothing of it. */
-    void heard(String tag) {
-        unheard.remove(tag);
+    void acknowledged(String tag) {
+        pendingCount.remove(tag);
     }
 
-    void release(String tag, String key, int cause, long line) {
-        if (unheard.size() >= MOST_RELEASES) {
-            out.log("releases", "too many releases unheard, the oldest is dropped");
-            unheard.remove(unheard.keySet().iterator().next());
+    void release(String tag, String calledNumber, int q850Cause, long connectionId) {
+        if (pendingCount.size() >= MAX_PENDING_RELEASES) {
+            outbound.log("releases", "too many releases unheard, the oldest is dropped");
+            pendingCount.remove(pendingCount.keySet().iterator().next());
         }
-        PendingRelease one = new PendingRelease(tag, CallerMessages.release(tag, key, cause), line);
-        unheard.put(tag, one);
-        say(one);
+        PendingRelease pending =
+                new PendingRelease(tag, CallerMessages.release(tag, calledNumber, q850Cause), connectionId);
+        pendingCount.put(tag, pending);
+        transmitUntilAcknowledged(pending);
     }
 
     /** A connection is over: what was said on it last, and not heard, may never have come through. */
-    void lineOver(long line) {
-        for (PendingRelease one : List.copyOf(unheard.values())) {
-            if (one.line == line && one.said > 0) {
-                again(one);
+    void callerConnectionEnded(long connectionId) {
+        for (PendingRelease pending : List.copyOf(pendingCount.values())) {
+            if (pending.connectionId == connectionId && pending.transmissions > 0) {
+                transmit(pending);
             }
         }
     }
 
-    private void say(PendingRelease one) {
-        if (unheard.get(one.tag) != one) {
+    private void transmitUntilAcknowledged(PendingRelease pending) {
+        if (pendingCount.get(pending.tag) != pending) {
             return;
         }
-        again(one);
-        if (one.said >= MOST_SAID) {
-            out.log("unheard", "the release of " + one.tag + " was said " + one.said + " times and not heard");
-            unheard.remove(one.tag);
+        transmit(pending);
+        if (pending.transmissions >= MAX_TRANSMISSIONS) {
+            outbound.log(
+                    "unheard",
+                    "the release of " + pending.tag + " was said " + pending.transmissions + " times and not heard");
+            pendingCount.remove(pending.tag);
             return;
         }
-        wheel.scheduleAfter(AGAIN, () -> say(one));
+        wheel.scheduleAfter(RETRANSMIT_INTERVAL, () -> transmitUntilAcknowledged(pending));
     }
 
-    private void again(PendingRelease one) {
-        if (one.said == 0 && out.sendToCaller(one.line, one.message)) {
-            one.said++;
+    private void transmit(PendingRelease pending) {
+        if (pending.transmissions == 0 && outbound.sendToCaller(pending.connectionId, pending.message)) {
+            pending.transmissions++;
             return;
         }
-        long other = out.anyConnection(one.line);
-        if (other != 0 && out.sendToCaller(other, one.message)) {
-            one.line = other;
-            one.said++;
+        long otherConnectionId = outbound.otherCallerConnection(pending.connectionId);
+        if (otherConnectionId != 0 && outbound.sendToCaller(otherConnectionId, pending.message)) {
+            pending.connectionId = otherConnectionId;
+            pending.transmissions++;
         }
     }
 }
--- a/src/main/java/martenslip/platform/contact/SetUpRequest.java
+++ b/src/main/java/martenslip/platform/contact/SetUpRequest.java
@@ -25,7 +25,7 @@
         String establishedSwitch,
         String description,
         CallerCancellation cancellation) {
-    long dialled() {
+    long calledNumberValue() {
         return Long.parseUnsignedLong(calledNumber, 16);
     }
 }
--- a/src/main/java/martenslip/platform/contact/TrackedContact.java
+++ b/src/main/java/martenslip/platform/contact/TrackedContact.java
@@ -11,48 +11,48 @@
 final class TrackedContact {
     /** An attempt that is out; {@code queued} is null where no connection could be had, or none is known. */
     static final class Attempt {
-        final int number;
-        final long target;
-        final QueuedMessage queued;
-        final Moment begun;
-        TimerWheel.Timer limit;
-        boolean givenUp;
+        final int ringNumber;
+        final long switchId;
+        final QueuedMessage queuedStart;
+        final Moment startedAt;
+        TimerWheel.Timer timeLimitTimer;
+        boolean isCancelled;
 
-        Attempt(int number, long target, QueuedMessage queued, Moment begun) {
-            this.number = number;
-            this.target = target;
-            this.queued = queued;
-            this.begun = begun;
+        Attempt(int ringNumber, long switchId, QueuedMessage queuedStart, Moment startedAt) {
+            this.ringNumber = ringNumber;
+            this.switchId = switchId;
+            this.queuedStart = queuedStart;
+            this.startedAt = startedAt;
         }
 
-        long connection() {
-            return queued == null ? 0 : queued.connectionId();
+        long switchConnectionId() {
+            return queuedStart == null ? 0 : queuedStart.connectionId();
         }
 
         /** Takes it back; true where not a byte of it has been or will be written. */
-        boolean revoked() {
-            return queued == null || queued.message().revoke();
+        boolean revoke() {
+            return queuedStart == null || queuedStart.message().revoke();
         }
     }
 
     final long id;
     final String tag;
-    final String key;
-    final long line;
-    SetUpRequest asked;
-    TimerWheel.Timer lastWord;
-    int attempts;
+    final String calledNumber;
+    final long callerConnectionId;
+    SetUpRequest setUpRequest;
+    TimerWheel.Timer answerDeadlineTimer;
+    int attemptCount;
     Attempt attempt;
-    boolean open = true;
-    boolean stands;
-    boolean acknowledged;
-    Moment stoodAt;
+    boolean isOpen = true;
+    boolean isEstablished;
+    boolean isAcknowledged;
+    Moment establishedAt;
 
-    TrackedContact(long id, SetUpRequest asked) {
+    TrackedContact(long id, SetUpRequest setUpRequest) {
         this.id = id;
-        this.asked = asked;
-        tag = asked.tag();
-        key = asked.calledNumber();
-        line = asked.connectionId();
+        this.setUpRequest = setUpRequest;
+        tag = setUpRequest.tag();
+        calledNumber = setUpRequest.calledNumber();
+        callerConnectionId = setUpRequest.connectionId();
     }
 }
--- a/src/test/java/martenslip/platform/CdsTrainingRunTest.java
+++ b/src/test/java/martenslip/platform/CdsTrainingRunTest.java
@@ -8,7 +8,7 @@
 
 public class CdsTrainingRunTest {
     @Test
-    public void theControllerServesItsRehearsal() throws IOException {
+    public void theControllerServesTheTrainingRun() throws IOException {
         CdsTrainingRun.run(RoutingPolicy::new);
     }
 
--- a/src/test/java/martenslip/platform/ConfigurationTest.java
+++ b/src/test/java/martenslip/platform/ConfigurationTest.java
@@ -14,10 +14,10 @@
 
 /** Each setting in turn gone, of a wrong type, sign or range: it is taken with its default, or refused by its path. */
 public class ConfigurationTest {
-    private static final String GOOD = PlatformStandIn.configuration(1, PlatformStandIn.event(1, true));
+    private static final String VALID = PlatformStandIn.configuration(1, PlatformStandIn.switchListEvent(1, true));
 
-    private static void read(String text) throws IOException {
-        Path file = PlatformStandIn.written(text);
+    private static void readConfiguration(String text) throws IOException {
+        Path file = PlatformStandIn.writeTemporary(text);
         try {
             Configuration.read(file);
         } finally {
@@ -27,9 +27,9 @@
 
     /** Path as the error names it, the text of the setting as it stands, a wrong one. */
     @DataProvider
-    public Object[][] wrong() {
-        List<Object[]> all = new ArrayList<>();
-        for (Map.Entry<String, String> one : Map.of(
+    public Object[][] wrongSettings() {
+        List<Object[]> cases = new ArrayList<>();
+        for (Map.Entry<String, String> setting : Map.of(
                         "family-info.mean-hold-ns",
                         "\"mean-hold-ns\":[10000000000,5000000000]",
                         "family-info.widths",
@@ -51,33 +51,34 @@
                         "me",
                         "\"me\":0")
                 .entrySet()) {
-            String name = one.getValue().substring(0, one.getValue().indexOf(':') + 1);
-            for (String bad :
+            String settingName =
+                    setting.getValue().substring(0, setting.getValue().indexOf(':') + 1);
+            for (String wrongValue :
                     new String[] {"\"many\"", "-2", "\"NaN\"", "1e300", "{\"a\":1}", "\"Infinity\"", "true"}) {
-                all.add(new Object[] {one.getKey(), one.getValue(), name + bad});
+                cases.add(new Object[] {setting.getKey(), setting.getValue(), settingName + wrongValue});
             }
         }
-        all.add(new Object[] {"policy-limits.cancel", "\"cancel\":true", "\"cancel\":\"yes\""});
-        all.add(new Object[] {"policy-limits.peers", "\"peers\":false", "\"peers\":0"});
-        all.add(new Object[] {"classes.0.worth", "\"worth\":1}", "\"worth\":\"dear\"}"});
-        all.add(new Object[] {
+        cases.add(new Object[] {"policy-limits.cancel", "\"cancel\":true", "\"cancel\":\"yes\""});
+        cases.add(new Object[] {"policy-limits.peers", "\"peers\":false", "\"peers\":0"});
+        cases.add(new Object[] {"classes.0.worth", "\"worth\":1}", "\"worth\":\"dear\"}"});
+        cases.add(new Object[] {
             "classes.1.hard-limit-ns", "\"hard-limit-ns\":9000000000,\"worth\":8", "\"hard-limit-ns\":-1,\"worth\":8"
         });
-        return all.toArray(Object[][]::new);
+        return cases.toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "wrong")
-    public void aWrongSettingIsRefusedByItsPath(String path, String stands, String bad) throws IOException {
-        String text = GOOD.replace(stands, bad);
-        assertTrue(!text.equals(GOOD), stands + " is not there");
+    public void aWrongSettingIsRefusedByItsPath(String path, String validText, String wrongValue) throws IOException {
+        String text = VALID.replace(validText, wrongValue);
+        assertTrue(!text.equals(VALID), validText + " is not there");
         try {
-            read(text);
+            readConfiguration(text);
         } catch (IOException e) {
             assertTrue(e.getMessage().startsWith("settings." + path + " is "), e.getMessage());
             assertEquals(e.getMessage().lines().count(), 1L);
             return;
         }
-        throw new AssertionError(bad + " was taken");
+        throw new AssertionError(wrongValue + " was taken");
     }
 
     /** Whatever else is gone from the file: it is read, or one line names what is missing. */
@@ -85,20 +86,20 @@
     public void withoutAnyOneMemberItIsReadOrRefusedInOneLine() throws IOException {
         int refused = 0;
         int members = 0;
-        for (int at = GOOD.indexOf('"'); at >= 0; at = GOOD.indexOf('"', at + 1)) {
-            int end = GOOD.indexOf('"', at + 1);
-            if (end < 0 || GOOD.charAt(end + 1) != ':') {
+        for (int nameStart = VALID.indexOf('"'); nameStart >= 0; nameStart = VALID.indexOf('"', nameStart + 1)) {
+            int nameEnd = VALID.indexOf('"', nameStart + 1);
+            if (nameEnd < 0 || VALID.charAt(nameEnd + 1) != ':') {
                 continue;
             }
             members++;
             try {
-                read(GOOD.substring(0, at + 1) + "gone-" + GOOD.substring(at + 1));
+                readConfiguration(VALID.substring(0, nameStart + 1) + "gone-" + VALID.substring(nameStart + 1));
             } catch (IOException e) {
                 refused++;
                 assertEquals(e.getMessage().lines().count(), 1L, e.getMessage());
                 assertTrue(e.getMessage().matches(".*(missing|without|null|no address).*"), e.getMessage());
             }
-            at = end;
+            nameStart = nameEnd;
         }
         assertTrue(members > 25 && refused > 5 && refused < members, refused + " of " + members);
     }
--- a/src/test/java/martenslip/platform/ControllerServiceTest.java
+++ b/src/test/java/martenslip/platform/ControllerServiceTest.java
@@ -1,7 +1,7 @@
 package martenslip.platform;
 
-import static martenslip.platform.PlatformStandIn.event;
-import static martenslip.platform.PlatformStandIn.line;
+import static martenslip.platform.PlatformStandIn.instanceJson;
+import static martenslip.platform.PlatformStandIn.switchListEvent;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
@@ -25,173 +25,185 @@
 
 /** The controller in service between a stand-in of the platform's other parties, on loopback. */
 public class ControllerServiceTest {
-    private static final String TAG = "9b1f03aa5c7e2d41";
-    private static final String OTHER = "9b1f03aa5c7e2d42";
-    private static final String BODY = "v=0\r\nc=IN \"\\\u20ac\r\n";
-    private static final PrintStream SILENT = new PrintStream(OutputStream.nullOutputStream());
-    private PlatformStandIn world;
-    private List<SwitchStandIn> machines;
-    private PlatformStandIn.JournalStandIn feed;
-    private Path file;
-    private ControllerService serve;
+    private static final String CALL_ID = "9b1f03aa5c7e2d41";
+    private static final String OTHER_CALL_ID = "9b1f03aa5c7e2d42";
+    private static final String DESCRIPTION = "v=0\r\nc=IN \"\\\u20ac\r\n";
+    private static final PrintStream SILENT_LOG = new PrintStream(OutputStream.nullOutputStream());
+    private PlatformStandIn platform;
+    private List<SwitchStandIn> switches;
+    private PlatformStandIn.JournalStandIn journal;
+    private Path configurationFile;
+    private ControllerService service;
 
     @BeforeMethod
-    public void begin() throws IOException {
-        world = new PlatformStandIn();
-        machines = world.machines(3);
-        feed = world.new JournalStandIn();
-        file = PlatformStandIn.written(PlatformStandIn.configuration(feed.port(), list("up")));
-        feed.tell(list("up"));
-        serve = new ControllerService(file, RoutingPolicy::new, SILENT);
-        serve.startServing();
-    }
-
-    private String list(String state) {
-        return event(
+    public void startService() throws IOException {
+        platform = new PlatformStandIn();
+        switches = platform.startSwitches(3);
+        journal = platform.new JournalStandIn();
+        configurationFile =
+                PlatformStandIn.writeTemporary(PlatformStandIn.configuration(journal.port(), initialSwitchList("up")));
+        journal.addEvent(initialSwitchList("up"));
+        service = new ControllerService(configurationFile, RoutingPolicy::new, SILENT_LOG);
+        service.startServing();
+    }
+
+    private String initialSwitchList(String state) {
+        return switchListEvent(
                 1,
                 true,
-                line("s-0", machines.get(0).port(), 0, "up"),
-                line("s-1", machines.get(1).port(), 1, state),
-                line("s-2", machines.get(2).port(), 2, "up"));
+                instanceJson("s-0", switches.get(0).port(), 0, "up"),
+                instanceJson("s-1", switches.get(1).port(), 1, state),
+                instanceJson("s-2", switches.get(2).port(), 2, "up"));
     }
 
     @AfterMethod
-    public void end() throws Exception {
-        serve.close();
-        world.close();
+    public void stopService() throws Exception {
+        service.close();
+        platform.close();
     }
 
-    private CallerConnection caller() throws IOException {
-        return world.new CallerConnection(serve.listens());
+    private CallerConnection connectCaller() throws IOException {
+        return platform.new CallerConnection(service.listenAddress());
     }
 
     /** Tests until one passes: only then are the states of the groups there. */
-    private CallerConnection ready() throws IOException {
-        return PlatformStandIn.ready(world, serve);
+    private CallerConnection connectReadyCaller() throws IOException {
+        return PlatformStandIn.connectReadyCaller(platform, service);
     }
 
-    private ReceivedMessage stood(CallerConnection line) throws Exception {
-        line.invite(TAG, "dear", 3000, BODY);
-        ReceivedMessage start = machines.get(1).next("START");
+    private ReceivedMessage establish(CallerConnection connection) throws Exception {
+        connection.invite(CALL_ID, "dear", 3000, DESCRIPTION);
+        ReceivedMessage start = switches.get(1).next("START");
         start.started("m=audio");
-        assertTrue(line.next().endsWith("m=audio"));
-        line.say(CallerConnection.message("ACK", TAG, "", ""));
+        assertTrue(connection.next().endsWith("m=audio"));
+        connection.send(CallerConnection.message("ACK", CALL_ID, "", ""));
         return start;
     }
 
     @Test
     public void aContactIsSetUpAndReleased() throws Exception {
-        CallerConnection line = ready();
-        line.invite(TAG, "dear", 3000, BODY);
-        ReceivedMessage start = machines.get(1).next("START");
-        assertEquals(start.description(), BODY);
-        assertEquals(start.tag(), TAG);
+        CallerConnection connection = connectReadyCaller();
+        connection.invite(CALL_ID, "dear", 3000, DESCRIPTION);
+        ReceivedMessage start = switches.get(1).next("START");
+        assertEquals(start.description(), DESCRIPTION);
+        assertEquals(start.tag(), CALL_ID);
         start.started("m=audio 31000");
-        String answer = line.next();
+        String answer = connection.next();
         assertTrue(answer.startsWith("SIP/2.0 200 ") && answer.endsWith("m=audio 31000"), answer);
-        line.say(CallerConnection.message("ACK", TAG, "", ""));
+        connection.send(CallerConnection.message("ACK", CALL_ID, "", ""));
         start.finish(16, "");
-        String bye = line.next();
+        String bye = connection.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16"), bye);
     }
 
     @Test
-    public void aCallersByeFromAnotherLineReachesTheSwitch() throws Exception {
-        stood(ready());
-        CallerConnection other = caller().say(CallerConnection.message("BYE", TAG, "Reason: Q.850;cause=16\r\n", ""));
-        assertTrue(other.next().startsWith("SIP/2.0 200 "));
-        assertEquals(machines.get(1).next("FINISH").tag(), TAG);
+    public void aByeFromAnotherConnectionReachesTheSwitch() throws Exception {
+        establish(connectReadyCaller());
+        CallerConnection otherConnection =
+                connectCaller().send(CallerConnection.message("BYE", CALL_ID, "Reason: Q.850;cause=16\r\n", ""));
+        assertTrue(otherConnection.next().startsWith("SIP/2.0 200 "));
+        assertEquals(switches.get(1).next("FINISH").tag(), CALL_ID);
     }
 
     @Test
-    public void aSpoiltLineCutsTheRingAndNotWhatStands() throws Exception {
-        CallerConnection line = ready();
-        ReceivedMessage standing = stood(line);
-        line.invite(OTHER, "dear", 3000, BODY);
-        ReceivedMessage start = machines.get(1).next("START");
-        start.answer("{\"verb\":\"STARTED\",\"tag\":\"" + OTHER + "\",\"opts\":{},\"blob\":\"half");
+    public void anUnreadableLineCutsTheRingAndNoEstablishedContact() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        ReceivedMessage establishedStart = establish(connection);
+        connection.invite(OTHER_CALL_ID, "dear", 3000, DESCRIPTION);
+        ReceivedMessage start = switches.get(1).next("START");
+        start.reply("{\"verb\":\"STARTED\",\"tag\":\"" + OTHER_CALL_ID + "\",\"opts\":{},\"blob\":\"half");
         // The module tries again after the release, on what connection there is by then.
-        ReceivedMessage again = machines.get(1).next("START");
-        again.started("whole");
-        assertTrue(line.next().endsWith("whole"));
-        standing.by().close();
-        machines.get(1).links.stream()
-                .filter(link -> !link.isClosed())
+        ReceivedMessage secondStart = switches.get(1).next("START");
+        secondStart.started("whole");
+        assertTrue(connection.next().endsWith("whole"));
+        establishedStart.socket().close();
+        switches.get(1).connections.stream()
+                .filter(socket -> !socket.isClosed())
                 .findFirst()
                 .orElseThrow()
                 .getOutputStream()
-                .write(("{\"verb\":\"FINISH\",\"tag\":\"" + TAG + "\",\"opts\":{},\"rc\":16}\n").getBytes());
-        assertTrue(line.next().contains("Call-ID: " + TAG));
+                .write(("{\"verb\":\"FINISH\",\"tag\":\"" + CALL_ID + "\",\"opts\":{},\"rc\":16}\n").getBytes());
+        assertTrue(connection.next().contains("Call-ID: " + CALL_ID));
     }
 
     /** A release by the second connection is read after the state that the first told since: it must not undo it. */
     @Test
-    public void anOldReportDoesNotStandForANewState() throws Exception {
-        CallerConnection line = ready();
-        ReceivedMessage standing = stood(line);
-        SwitchStandIn machine = machines.get(1);
-        java.net.Socket first = standing.by();
-        java.net.Socket second =
-                machine.links.stream().filter(link -> link != first).findFirst().orElseThrow();
-        first.getOutputStream()
+    public void anOldReportDoesNotReplaceANewState() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        ReceivedMessage establishedStart = establish(connection);
+        SwitchStandIn switchStandIn = switches.get(1);
+        java.net.Socket firstSocket = establishedStart.socket();
+        java.net.Socket secondSocket = switchStandIn.connections.stream()
+                .filter(socket -> socket != firstSocket)
+                .findFirst()
+                .orElseThrow();
+        firstSocket
+                .getOutputStream()
                 .write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:0;x1:9\"}}\n".getBytes());
         // Heard by the order of one connection: the switch's release of an unknown id is answered after the state.
-        new ReceivedMessage(first, "", OTHER, "").finish(16, "");
-        machine.next("FINISHED");
-        second.getOutputStream()
-                .write(("{\"verb\":\"FINISH\",\"tag\":\"" + TAG + "\",\"opts\":{\"load\":\"x0:1;x1:9\"},\"rc\":16}\n")
+        new ReceivedMessage(firstSocket, "", OTHER_CALL_ID, "").finish(16, "");
+        switchStandIn.next("FINISHED");
+        secondSocket
+                .getOutputStream()
+                .write(("{\"verb\":\"FINISH\",\"tag\":\"" + CALL_ID
+                                + "\",\"opts\":{\"load\":\"x0:1;x1:9\"},\"rc\":16}\n")
                         .getBytes());
-        assertTrue(line.next().startsWith("BYE "));
-        line.invite(OTHER, "cheap", 400, BODY);
-        assertTrue(line.next().startsWith("SIP/2.0 5"), "it is refused, or goes over the tandem, which says nothing");
-        assertTrue(machine.said.stream().noneMatch(said -> said.verb().equals("START")));
+        assertTrue(connection.next().startsWith("BYE "));
+        connection.invite(OTHER_CALL_ID, "cheap", 400, DESCRIPTION);
+        assertTrue(
+                connection.next().startsWith("SIP/2.0 5"),
+                "it is refused, or goes over the tandem, which says nothing");
+        assertTrue(switchStandIn.receivedMessages.stream()
+                .noneMatch(message -> message.verb().equals("START")));
     }
 
     @Test
-    public void whatStoodOnAMachineThatDiedIsReleased() throws Exception {
-        CallerConnection line = ready();
-        stood(line);
-        machines.get(1).stop();
-        String bye = line.next();
+    public void contactsAtASwitchThatDiedAreReleased() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        establish(connection);
+        switches.get(1).stop();
+        String bye = connection.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=41"), bye);
     }
 
     /** On the churn's day 393 contacts that stood were released as if the process had ended: it only took no more. */
     @Test
-    public void aSwitchThatDrainsMayRefuseConnectionsAndKeepsWhatStands() throws Exception {
-        CallerConnection line = ready();
-        ReceivedMessage standing = stood(line);
-        SwitchStandIn machine = machines.get(1);
-        feed.tell(event(2, false, line("s-1", machine.port(), 1, "draining")));
+    public void aDrainingSwitchMayRefuseConnectionsAndKeepsItsContacts() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        ReceivedMessage establishedStart = establish(connection);
+        SwitchStandIn switchStandIn = switches.get(1);
+        journal.addEvent(switchListEvent(2, false, instanceJson("s-1", switchStandIn.port(), 1, "draining")));
         // The new switch is connected to once the list is taken, and so is known to drain by then.
-        feed.tell(event(3, false, line("s-8", machines.get(2).port(), 3, "up")));
-        for (int i = 0; i < 1000 && machines.get(2).links.size() < 4; i++) {
+        journal.addEvent(
+                switchListEvent(3, false, instanceJson("s-8", switches.get(2).port(), 3, "up")));
+        for (int i = 0; i < 1000 && switches.get(2).connections.size() < 4; i++) {
             Thread.sleep(5);
         }
-        machine.deaf(standing.by());
+        switchStandIn.refuseConnections(establishedStart.socket());
         // Refused by now more than once: the pauses between tries are 0, 50 and 100 ms.
-        line.socket.setSoTimeout(400);
-        assertThrows(java.net.SocketTimeoutException.class, line::next);
-        line.socket.setSoTimeout(10_000);
-        standing.finish(16, "");
-        assertTrue(line.next().contains("cause=16"));
+        connection.socket.setSoTimeout(400);
+        assertThrows(java.net.SocketTimeoutException.class, connection::next);
+        connection.socket.setSoTimeout(10_000);
+        establishedStart.finish(16, "");
+        assertTrue(connection.next().contains("cause=16"));
     }
 
     @Test
-    public void anAddressThatIsUsedAgainIsANewSwitch() throws Exception {
-        CallerConnection line = ready();
-        stood(line);
-        int port = machines.get(1).port();
-        feed.tell(event(2, false, line("s-1", port, 1, "removed"), line("s-9", port, 1, "up")));
+    public void aReusedAddressIsANewSwitch() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        establish(connection);
+        int port = switches.get(1).port();
+        journal.addEvent(
+                switchListEvent(2, false, instanceJson("s-1", port, 1, "removed"), instanceJson("s-9", port, 1, "up")));
         // The old one says nothing any more, so what stood there ends with it.
-        assertTrue(line.next().startsWith("BYE "));
-        line.invite(OTHER, "dear", 3000, BODY);
-        machines.get(1).next("START").started("new");
-        assertTrue(line.next().endsWith("new"));
+        assertTrue(connection.next().startsWith("BYE "));
+        connection.invite(OTHER_CALL_ID, "dear", 3000, DESCRIPTION);
+        switches.get(1).next("START").started("new");
+        assertTrue(connection.next().endsWith("new"));
     }
 
     @DataProvider
-    public Object[][] broken() {
+    public Object[][] brokenEvents() {
         return new Object[][] {
             {"id: 2\ndata: {\"pos\":2,\"hosts\":{\"inst"},
             {"id: 2\ndata: nonsense\n\n"},
@@ -202,228 +214,237 @@
 
     /** The feed breaks off amid an event; it is asked for again from the last whole one, and doubles are skipped. */
     @Test(dataProvider = "broken")
-    public void theFeedGoesOnAfterABreak(String spoilt) throws Exception {
-        CallerConnection line = ready();
-        assertEquals(feed.asked(), 1);
-        feed.broken = spoilt;
-        assertEquals(feed.asked(), 1);
-        feed.tell(event(
+    public void theJournalResumesAfterABreak(String brokenEvent) throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        assertEquals(journal.nextRequestedPosition(), 1);
+        journal.brokenEvent = brokenEvent;
+        assertEquals(journal.nextRequestedPosition(), 1);
+        journal.addEvent(switchListEvent(
                 2,
                 false,
-                line("s-1", machines.get(1).port(), 1, "removed"),
-                line("s-7", machines.get(2).port(), 1, "up")));
+                instanceJson("s-1", switches.get(1).port(), 1, "removed"),
+                instanceJson("s-7", switches.get(2).port(), 1, "up")));
         // Two connections to each switch: four once the new one at the same address is known. That it has told its
         // state
         // is one thing more, and a busy machine may take it up later.
-        PlatformStandIn.awaits(serve, () -> machines.get(2).links.size() >= 4 && serve.groupsTold());
-        line.invite(TAG, "dear", 3000, BODY);
-        machines.get(2).next("START").started("at the new one");
-        assertTrue(line.next().endsWith("at the new one"));
+        PlatformStandIn.awaitCondition(
+                service, () -> switches.get(2).connections.size() >= 4 && service.allGroupStatesReported());
+        connection.invite(CALL_ID, "dear", 3000, DESCRIPTION);
+        switches.get(2).next("START").started("at the new one");
+        assertTrue(connection.next().endsWith("at the new one"));
     }
 
     @Test
-    public void aReloadMovesTheFeedAndPositionsGoOn() throws Exception {
-        ready();
-        assertEquals(feed.asked(), 1);
-        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
-        Files.writeString(file, PlatformStandIn.configuration(moved.port(), list("up")));
-        serve.reload();
-        assertEquals(moved.asked(), 1);
+    public void aReloadMovesTheJournalAndKeepsThePosition() throws Exception {
+        connectReadyCaller();
+        assertEquals(journal.nextRequestedPosition(), 1);
+        PlatformStandIn.JournalStandIn newJournal = platform.new JournalStandIn();
+        Files.writeString(configurationFile, PlatformStandIn.configuration(newJournal.port(), initialSwitchList("up")));
+        service.reload();
+        assertEquals(newJournal.nextRequestedPosition(), 1);
     }
 
-    private void moveTo(PlatformStandIn.JournalStandIn to) throws IOException {
-        Files.writeString(file, PlatformStandIn.configuration(to.port(), list("up")));
-        serve.reload();
+    private void reloadWithJournal(PlatformStandIn.JournalStandIn newJournal) throws IOException {
+        Files.writeString(configurationFile, PlatformStandIn.configuration(newJournal.port(), initialSwitchList("up")));
+        service.reload();
     }
 
     /** The old address still tells for a while; the new one has taken the question and says nothing. */
     @Test
-    public void theOldFeedIsHeardUntilTheNewOneTalks() throws Exception {
-        ready();
-        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
-        moved.silent = true;
-        moveTo(moved);
-        assertEquals(moved.asked(), 1);
-        feed.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
-        PlatformStandIn.awaits(serve, () -> serve.position() == 2);
-        moved.tell(list("up"));
-        moved.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
-        moved.tell(event(3, false, line("s-1", machines.get(1).port(), 1, "removed")));
-        moved.silent = false;
-        PlatformStandIn.awaits(serve, () -> serve.position() == 3);
+    public void theOldJournalIsReadUntilTheNewOneAnswers() throws Exception {
+        connectReadyCaller();
+        PlatformStandIn.JournalStandIn newJournal = platform.new JournalStandIn();
+        newJournal.isSilent = true;
+        reloadWithJournal(newJournal);
+        assertEquals(newJournal.nextRequestedPosition(), 1);
+        journal.addEvent(
+                switchListEvent(2, false, instanceJson("s-1", switches.get(1).port(), 1, "draining")));
+        PlatformStandIn.awaitCondition(service, () -> service.journalPosition() == 2);
+        newJournal.addEvent(initialSwitchList("up"));
+        newJournal.addEvent(
+                switchListEvent(2, false, instanceJson("s-1", switches.get(1).port(), 1, "draining")));
+        newJournal.addEvent(
+                switchListEvent(3, false, instanceJson("s-1", switches.get(1).port(), 1, "removed")));
+        newJournal.isSilent = false;
+        PlatformStandIn.awaitCondition(service, () -> service.journalPosition() == 3);
     }
 
     /** Reload, and at once a drain: what the new address tells counts, and it is the only one left. */
     @Test
-    public void aDrainRightAfterAReloadIsHeard() throws Exception {
-        CallerConnection line = ready();
-        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
-        moved.tell(list("up"));
-        moved.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
-        moveTo(moved);
-        PlatformStandIn.awaits(serve, () -> serve.position() == 2);
-        line.invite(TAG, "dear", 3000, BODY);
-        assertTrue(line.next().startsWith("SIP/2.0 503 "));
+    public void aDrainRightAfterAReloadIsApplied() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        PlatformStandIn.JournalStandIn newJournal = platform.new JournalStandIn();
+        newJournal.addEvent(initialSwitchList("up"));
+        newJournal.addEvent(
+                switchListEvent(2, false, instanceJson("s-1", switches.get(1).port(), 1, "draining")));
+        reloadWithJournal(newJournal);
+        PlatformStandIn.awaitCondition(service, () -> service.journalPosition() == 2);
+        connection.invite(CALL_ID, "dear", 3000, DESCRIPTION);
+        assertTrue(connection.next().startsWith("SIP/2.0 503 "));
     }
 
     @Test
-    public void twoReloadsWhileTheFirstIsNotYetReadEndAtTheSecond() throws Exception {
-        ready();
-        PlatformStandIn.JournalStandIn nowhere = world.new JournalStandIn();
-        nowhere.silent = true;
-        moveTo(nowhere);
-        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
-        moved.tell(list("up"));
-        moved.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
-        moveTo(moved);
-        PlatformStandIn.awaits(serve, () -> serve.position() == 2);
-        nowhere.tell(list("up"));
-        nowhere.tell(list("up"));
-        nowhere.tell(event(3, true));
-        nowhere.silent = false;
-        moved.tell(event(3, false, line("s-1", machines.get(1).port(), 1, "up")));
-        PlatformStandIn.awaits(serve, () -> serve.position() == 3);
-        assertTrue(serve.groupsTold());
+    public void twoReloadsInARowEndAtTheSecondJournal() throws Exception {
+        connectReadyCaller();
+        PlatformStandIn.JournalStandIn silentJournal = platform.new JournalStandIn();
+        silentJournal.isSilent = true;
+        reloadWithJournal(silentJournal);
+        PlatformStandIn.JournalStandIn newJournal = platform.new JournalStandIn();
+        newJournal.addEvent(initialSwitchList("up"));
+        newJournal.addEvent(
+                switchListEvent(2, false, instanceJson("s-1", switches.get(1).port(), 1, "draining")));
+        reloadWithJournal(newJournal);
+        PlatformStandIn.awaitCondition(service, () -> service.journalPosition() == 2);
+        silentJournal.addEvent(initialSwitchList("up"));
+        silentJournal.addEvent(initialSwitchList("up"));
+        silentJournal.addEvent(switchListEvent(3, true));
+        silentJournal.isSilent = false;
+        newJournal.addEvent(
+                switchListEvent(3, false, instanceJson("s-1", switches.get(1).port(), 1, "up")));
+        PlatformStandIn.awaitCondition(service, () -> service.journalPosition() == 3);
+        assertTrue(service.allGroupStatesReported());
     }
 
     /** A restart finds contacts that stand, and is killed while it takes them: the next one takes them all the same. */
     @Test
-    public void takenOverAgainAfterAKillAmidSetUpsThatStandAlready() throws Exception {
-        CallerConnection line = ready();
-        line.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
-        line.say("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
-        line.next();
+    public void establishedContactsAreTakenOverAgainAfterAKill() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        connection.send(CallerConnection.message("INVITE", CALL_ID, "Routing-Data: at:s-1\r\n", ""));
+        connection.send("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
+        connection.next();
         // Killed: what it knew is gone with it, and nobody was told a thing.
-        serve.close();
-        machines.get(1).said.clear();
-        serve = new ControllerService(file, RoutingPolicy::new, SILENT);
-        serve.startServing();
-        CallerConnection again = ready();
-        again.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
-        again.say(CallerConnection.message("INVITE", OTHER, "Routing-Data: at:s-none\r\n", ""));
-        String over = again.next();
-        assertTrue(over.startsWith("BYE ") && over.contains(OTHER), over);
-        java.net.Socket link = machines.get(1).links.get(machines.get(1).links.size() - 1);
-        new ReceivedMessage(link, "", TAG, "").finish(16, "");
-        String bye = again.next();
-        assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(TAG), bye);
+        service.close();
+        switches.get(1).receivedMessages.clear();
+        service = new ControllerService(configurationFile, RoutingPolicy::new, SILENT_LOG);
+        service.startServing();
+        CallerConnection newConnection = connectReadyCaller();
+        newConnection.send(CallerConnection.message("INVITE", CALL_ID, "Routing-Data: at:s-1\r\n", ""));
+        newConnection.send(CallerConnection.message("INVITE", OTHER_CALL_ID, "Routing-Data: at:s-none\r\n", ""));
+        String firstBye = newConnection.next();
+        assertTrue(firstBye.startsWith("BYE ") && firstBye.contains(OTHER_CALL_ID), firstBye);
+        java.net.Socket socket =
+                switches.get(1).connections.get(switches.get(1).connections.size() - 1);
+        new ReceivedMessage(socket, "", CALL_ID, "").finish(16, "");
+        String bye = newConnection.next();
+        assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(CALL_ID), bye);
     }
 
     @Test
-    public void aBrokenConfigurationAtAReloadChangesNothing() throws Exception {
-        CallerConnection line = ready();
-        Files.writeString(file, "{\"name\":");
-        serve.reload();
-        stood(line);
+    public void anInvalidConfigurationAtAReloadChangesNothing() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        Files.writeString(configurationFile, "{\"name\":");
+        service.reload();
+        establish(connection);
     }
 
     @DataProvider
     public Object[][] configurations() {
-        String good = PlatformStandIn.configuration(1, event(1, true));
+        String valid = PlatformStandIn.configuration(1, switchListEvent(1, true));
         return new Object[][] {
             {"{", "end-of-input"},
             {"[]", "no object"},
-            {good.replace("\"seed\"", "\"sead\""), "seed is missing"},
-            {good.replace("00000000000000aa", "x"), "seed is no number"},
-            {good.replace("127.0.0.1:1\"", "somewhere:1\""), "journal: somewhere:1 is no address"},
-            {good.replace("\"sockets\":64", "\"sockets\":\"many\""), "limits.sockets is missing or no number"},
-            {good.replace("\"settings\"", "\"sittings\""), "settings is missing"},
-            {good.replace("\"hosts\"", "\"guests\""), "an event without hosts"},
-            {good.replace("\"classes\":[", "\"classes\":[],\"others\":["), "settings.classes is missing"},
+            {valid.replace("\"seed\"", "\"sead\""), "seed is missing"},
+            {valid.replace("00000000000000aa", "x"), "seed is no number"},
+            {valid.replace("127.0.0.1:1\"", "somewhere:1\""), "journal: somewhere:1 is no address"},
+            {valid.replace("\"sockets\":64", "\"sockets\":\"many\""), "limits.sockets is missing or no number"},
+            {valid.replace("\"settings\"", "\"sittings\""), "settings is missing"},
+            {valid.replace("\"hosts\"", "\"guests\""), "an event without hosts"},
+            {valid.replace("\"classes\":[", "\"classes\":[],\"others\":["), "settings.classes is missing"},
         };
     }
 
     @Test(dataProvider = "configurations")
-    public void aConfigurationThatIsNoneSaysWhereAndWhy(String text, String expected) throws IOException {
-        Path bad = PlatformStandIn.written(text);
-        try (ControllerService never = new ControllerService(bad, RoutingPolicy::new, SILENT)) {
-            throw new AssertionError("it was taken: " + never);
+    public void anInvalidConfigurationIsRefusedWithPathAndReason(String text, String expected) throws IOException {
+        Path invalidFile = PlatformStandIn.writeTemporary(text);
+        try (ControllerService service = new ControllerService(invalidFile, RoutingPolicy::new, SILENT_LOG)) {
+            throw new AssertionError("it was taken: " + service);
         } catch (IOException e) {
             assertTrue(e.getMessage().contains(expected), e.getMessage());
         }
     }
 
     @Test
-    public void termAmidASetUpAnswersItAndEnds() throws Exception {
-        CallerConnection line = ready();
-        line.invite(TAG, "dear", 3000, BODY);
-        ReceivedMessage start = machines.get(1).next("START");
-        serve.requestShutdown();
-        CallerConnection late = caller();
-        late.invite(OTHER, "dear", 3000, BODY);
-        machines.get(1).next("START").started("late");
-        assertTrue(late.next().endsWith("late"));
+    public void shutdownDuringASetUpAnswersItAndEnds() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        connection.invite(CALL_ID, "dear", 3000, DESCRIPTION);
+        ReceivedMessage start = switches.get(1).next("START");
+        service.requestShutdown();
+        CallerConnection lateConnection = connectCaller();
+        lateConnection.invite(OTHER_CALL_ID, "dear", 3000, DESCRIPTION);
+        switches.get(1).next("START").started("late");
+        assertTrue(lateConnection.next().endsWith("late"));
         start.started("in time");
-        assertTrue(line.next().endsWith("in time"));
-        serve.await();
+        assertTrue(connection.next().endsWith("in time"));
+        service.await();
     }
 
     /** What bad callers send: each gets a word or an end, and never a good answer. */
     @DataProvider
-    public Object[][] bad() {
-        String fit = "Call-Kind: dear\r\nAnswer-Within: 900\r\nRouting-Data: dest:1;width:1;via:-1\r\n";
-        String head = "INVITE sip:00000000000000bb@net SIP/2.0\r\nCall-ID: " + TAG + "\r\nCSeq: 1 INVITE\r\n" + fit;
+    public Object[][] badRequests() {
+        String validHeaders = "Call-Kind: dear\r\nAnswer-Within: 900\r\nRouting-Data: dest:1;width:1;via:-1\r\n";
+        String validHead = "INVITE sip:00000000000000bb@net SIP/2.0\r\nCall-ID: " + CALL_ID + "\r\nCSeq: 1 INVITE\r\n"
+                + validHeaders;
         return new Object[][] {
             {""},
             {"\u0000\u0001\u0002\u0003\r\n\r\n"},
             {"GET / HTTP/1.1\r\n\r\n"},
-            {head + "Content-Length: 60000000\r\n\r\n"},
-            {head + "Content-Length: -1\r\n\r\n"},
-            {head + "Content-Length: 99999999999999999999\r\n\r\n"},
-            {head + "Content-Length: many\r\n\r\n"},
-            {head + "Content-Length: 10\r\n\r\nhalf"},
-            {head + "X: " + "y".repeat(40_000)},
-            {head + "\r\nno length"},
-            {head + "Content-Length: 4\r\nContent-Length: 9\r\n\r\nbody"},
-            {head + "Content-Length: 4\r\n\r\nbody which is longer\r\n"},
-            {head.replace(TAG, "short") + "Content-Length: 0\r\n\r\n"},
-            {head.replace("dear", "unknown") + "Content-Length: 0\r\n\r\n"},
-            {head.replace("900", "NaN") + "Content-Length: 0\r\n\r\n"},
-            {head.replace("Call-ID: " + TAG + "\r\n", "") + "Content-Length: 0\r\n\r\n"},
-            {head.replace("INVITE ", "JUMP ") + "Content-Length: 0\r\n\r\n"},
-            {(head + "Content-Length: 0\r\n\r\n").repeat(2)},
-            {CallerConnection.message("BYE", TAG, "", "")},
-            {CallerConnection.message("CANCEL", TAG, "", "")},
+            {validHead + "Content-Length: 60000000\r\n\r\n"},
+            {validHead + "Content-Length: -1\r\n\r\n"},
+            {validHead + "Content-Length: 99999999999999999999\r\n\r\n"},
+            {validHead + "Content-Length: many\r\n\r\n"},
+            {validHead + "Content-Length: 10\r\n\r\nhalf"},
+            {validHead + "X: " + "y".repeat(40_000)},
+            {validHead + "\r\nno length"},
+            {validHead + "Content-Length: 4\r\nContent-Length: 9\r\n\r\nbody"},
+            {validHead + "Content-Length: 4\r\n\r\nbody which is longer\r\n"},
+            {validHead.replace(CALL_ID, "short") + "Content-Length: 0\r\n\r\n"},
+            {validHead.replace("dear", "unknown") + "Content-Length: 0\r\n\r\n"},
+            {validHead.replace("900", "NaN") + "Content-Length: 0\r\n\r\n"},
+            {validHead.replace("Call-ID: " + CALL_ID + "\r\n", "") + "Content-Length: 0\r\n\r\n"},
+            {validHead.replace("INVITE ", "JUMP ") + "Content-Length: 0\r\n\r\n"},
+            {(validHead + "Content-Length: 0\r\n\r\n").repeat(2)},
+            {CallerConnection.message("BYE", CALL_ID, "", "")},
+            {CallerConnection.message("CANCEL", CALL_ID, "", "")},
         };
     }
 
     @Test(dataProvider = "bad")
-    public void badCallersGetAWordOrAnEndInTime(String text) throws Exception {
-        ready();
-        CallerConnection line = caller();
-        long begun = System.nanoTime();
-        line.say(text);
-        String answer = line.next();
-        assertTrue(System.nanoTime() - begun < 3_000_000_000L, "too late");
+    public void badRequestsAreAnsweredOrDisconnectedInTime(String text) throws Exception {
+        connectReadyCaller();
+        CallerConnection connection = connectCaller();
+        long startedNs = System.nanoTime();
+        connection.send(text);
+        String answer = connection.next();
+        assertTrue(System.nanoTime() - startedNs < 3_000_000_000L, "too late");
         assertTrue(answer == null || !answer.startsWith("SIP/2.0 200") && !answer.startsWith("SIP/2.0 1"), answer);
     }
 
     @Test
-    public void afterBadOnesTheUsualCallersAreServed() throws Exception {
-        CallerConnection usual = ready();
+    public void callersAreServedAfterBadRequests() throws Exception {
+        CallerConnection regular = connectReadyCaller();
         for (int i = 0; i < 60; i++) {
-            caller().say("nonsense" + i + "\r\n\r\n");
+            connectCaller().send("nonsense" + i + "\r\n\r\n");
         }
-        stood(usual);
+        establish(regular);
     }
 
     /** What a controller that starts from nothing learns of contacts that stand: no answer, and a release like others. */
     @Test
-    public void aContactThatStandsAlreadyIsReleasedByItsSwitch() throws Exception {
-        CallerConnection line = ready();
-        line.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
-        line.say("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
-        assertTrue(line.next().contains("CSeq: 1 OPTIONS"), "a set-up with at is not answered");
-        new ReceivedMessage(machines.get(1).links.get(0), "", TAG, "").finish(16, "");
-        String bye = line.next();
-        assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(TAG), bye);
+    public void aContactEstablishedEarlierIsReleasedByItsSwitch() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        connection.send(CallerConnection.message("INVITE", CALL_ID, "Routing-Data: at:s-1\r\n", ""));
+        connection.send("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
+        assertTrue(connection.next().contains("CSeq: 1 OPTIONS"), "a set-up with at is not answered");
+        new ReceivedMessage(switches.get(1).connections.get(0), "", CALL_ID, "").finish(16, "");
+        String bye = connection.next();
+        assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(CALL_ID), bye);
     }
 
     @Test
-    public void oneThatStandsAtASwitchThatIsNowhereIsOver() throws Exception {
-        CallerConnection line = ready();
-        line.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-none\r\n", ""));
-        String bye = line.next();
+    public void aContactAtAnUnknownSwitchIsReleased() throws Exception {
+        CallerConnection connection = connectReadyCaller();
+        connection.send(CallerConnection.message("INVITE", CALL_ID, "Routing-Data: at:s-none\r\n", ""));
+        String bye = connection.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=41"), bye);
     }
 
@@ -431,10 +452,10 @@
     @Test(timeOut = 30_000)
     public void theDecidingThreadNeverWaitsForItself() throws Exception {
         CountDownLatch done = new CountDownLatch(10_000);
-        serve.turn(() -> {
+        service.runOnDecisionThread(() -> {
             for (int i = 0; i < 10_000; i++) {
                 try {
-                    serve.turn(done::countDown);
+                    service.runOnDecisionThread(done::countDown);
                 } catch (InterruptedException e) {
                     return;
                 }
@@ -444,9 +465,9 @@
     }
 
     @Test
-    public void aConfigurationThatIsNotThereIsTold() {
+    public void aMissingConfigurationIsRefused() {
         assertThrows(
                 IOException.class,
-                () -> new ControllerService(Path.of("/nowhere/at/all.json"), RoutingPolicy::new, SILENT));
+                () -> new ControllerService(Path.of("/nowhere/at/all.json"), RoutingPolicy::new, SILENT_LOG));
     }
 }
--- a/src/test/java/martenslip/platform/GatedSockets.java
+++ b/src/test/java/martenslip/platform/GatedSockets.java
@@ -12,52 +12,52 @@
 final class GatedSockets implements Supplier<Socket> {
     /** One gate; who comes while it is shut waits. */
     static final class Gate {
-        private boolean shut;
-        private int waiting;
+        private boolean isShut;
+        private int waitingCount;
 
-        synchronized void shut() {
-            shut = true;
+        synchronized void isShut() {
+            isShut = true;
         }
 
         synchronized void open() {
-            shut = false;
+            isShut = false;
             notifyAll();
         }
 
         /** Waits until as many stand before it. */
-        synchronized void awaits(int count) throws InterruptedException {
-            long until = System.nanoTime() + 10_000_000_000L;
-            while (waiting < count) {
-                long left = (until - System.nanoTime()) / 1_000_000;
-                if (left <= 0) {
-                    throw new AssertionError("only " + waiting + " came to the gate");
+        synchronized void awaitWaiting(int count) throws InterruptedException {
+            long deadlineNs = System.nanoTime() + 10_000_000_000L;
+            while (waitingCount < count) {
+                long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+                if (remainingMs <= 0) {
+                    throw new AssertionError("only " + waitingCount + " came to the gate");
                 }
-                wait(left);
+                wait(remainingMs);
             }
         }
 
         private synchronized void pass() throws IOException {
-            waiting++;
+            waitingCount++;
             notifyAll();
             try {
-                while (shut) {
+                while (isShut) {
                     wait();
                 }
             } catch (InterruptedException e) {
                 throw new IOException(e);
             } finally {
-                waiting--;
+                waitingCount--;
             }
         }
     }
 
     final Gate connect = new Gate();
     final Gate write = new Gate();
-    final AtomicInteger made = new AtomicInteger();
+    final AtomicInteger createdCount = new AtomicInteger();
 
     @Override
     public Socket get() {
-        made.incrementAndGet();
+        createdCount.incrementAndGet();
         return new Socket() {
             @Override
             public void connect(SocketAddress to, int atMost) throws IOException {
@@ -78,7 +78,7 @@
         };
     }
 
-    void open() {
+    void openAll() {
         connect.open();
         write.open();
     }
--- a/src/test/java/martenslip/platform/PlatformStandIn.java
+++ b/src/test/java/martenslip/platform/PlatformStandIn.java
@@ -23,81 +23,83 @@
 
 /** A small platform on loopback, written from the protocol's page: switches, a journal service, callers' lines. */
 final class PlatformStandIn implements AutoCloseable {
-    private static final int WAIT_S = 10;
-    private final List<AutoCloseable> open = new CopyOnWriteArrayList<>();
+    private static final int TIMEOUT_SECONDS = 10;
+    private final List<AutoCloseable> closeables = new CopyOnWriteArrayList<>();
 
     static InetSocketAddress loopback(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    private static <T> T within(LinkedBlockingQueue<T> queue, String what) throws InterruptedException {
-        T next = queue.poll(WAIT_S, TimeUnit.SECONDS);
-        if (next == null) {
-            throw new AssertionError("nothing came: " + what);
+    private static <T> T pollOrFail(LinkedBlockingQueue<T> queue, String expectation) throws InterruptedException {
+        T received = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        if (received == null) {
+            throw new AssertionError("nothing came: " + expectation);
         }
-        return next;
+        return received;
     }
 
-    private ServerSocket serve(int port, CdsTrainingRun.ConnectionHandler served) throws IOException {
+    private ServerSocket listen(int port, CdsTrainingRun.ConnectionHandler connectionHandler) throws IOException {
         ServerSocket listener = new ServerSocket();
         listener.setReuseAddress(true);
         listener.bind(loopback(port), 64);
-        open.add(listener);
-        CdsTrainingRun.each(listener, socket -> {
-            open.add(socket);
-            served.by(socket);
+        closeables.add(listener);
+        CdsTrainingRun.acceptConnections(listener, socket -> {
+            closeables.add(socket);
+            connectionHandler.handle(socket);
         });
         return listener;
     }
 
     /** A line of a switch with the socket it came by. */
-    record ReceivedMessage(Socket by, String verb, String tag, String description, long left) {
+    record ReceivedMessage(Socket socket, String verb, String tag, String description, long remainingMs) {
         ReceivedMessage(Socket by, String verb, String tag, String description) {
             this(by, verb, tag, description, -1);
         }
 
-        void answer(String line) throws IOException {
-            by.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+        void reply(String line) throws IOException {
+            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         }
 
         void started(String description) throws IOException {
-            answer("{\"verb\":\"STARTED\",\"tag\":\"" + tag + "\",\"opts\":{},\"blob\":\"" + description + "\"}");
+            reply("{\"verb\":\"STARTED\",\"tag\":\"" + tag + "\",\"opts\":{},\"blob\":\"" + description + "\"}");
         }
 
         void finish(int cause, String note) throws IOException {
-            answer("{\"verb\":\"FINISH\",\"tag\":\"" + tag + "\",\"opts\":{\"note\":\"" + note + "\"},\"rc\":" + cause
+            reply("{\"verb\":\"FINISH\",\"tag\":\"" + tag + "\",\"opts\":{\"note\":\"" + note + "\"},\"rc\":" + cause
                     + "}");
         }
     }
 
     final class SwitchStandIn {
-        final LinkedBlockingQueue<ReceivedMessage> said = new LinkedBlockingQueue<>();
-        final List<Socket> links = new CopyOnWriteArrayList<>();
+        final LinkedBlockingQueue<ReceivedMessage> receivedMessages = new LinkedBlockingQueue<>();
+        final List<Socket> connections = new CopyOnWriteArrayList<>();
         private final ServerSocket listener;
 
         SwitchStandIn(int port) throws IOException {
-            listener = serve(port, socket -> {
-                links.add(socket);
+            listener = listen(port, socket -> {
+                connections.add(socket);
                 socket.getOutputStream()
                         .write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:9;x1:9\"}}\n"
                                 .getBytes(StandardCharsets.UTF_8));
-                BufferedReader in =
+                BufferedReader reader =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
-                for (String line = in.readLine(); line != null; line = in.readLine()) {
-                    java.util.Map<?, ?> map = (java.util.Map<?, ?>) Json.read(line.getBytes(StandardCharsets.UTF_8));
-                    said.add(new ReceivedMessage(
+                for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+                    java.util.Map<?, ?> message =
+                            (java.util.Map<?, ?>) Json.read(line.getBytes(StandardCharsets.UTF_8));
+                    receivedMessages.add(new ReceivedMessage(
                             socket,
-                            (String) map.get("verb"),
-                            (String) map.get("tag"),
-                            (String) map.get("blob"),
-                            left(map)));
+                            (String) message.get("verb"),
+                            (String) message.get("tag"),
+                            (String) message.get("blob"),
+                            remainingMs(message)));
                 }
             });
         }
 
-        private static long left(java.util.Map<?, ?> line) {
-            return line.get("opts") instanceof java.util.Map<?, ?> opts && opts.get("left") instanceof String left
-                    ? Long.parseLong(left)
+        private static long remainingMs(java.util.Map<?, ?> message) {
+            return message.get("opts") instanceof java.util.Map<?, ?> opts
+                            && opts.get("left") instanceof String remainingMs
+                    ? Long.parseLong(remainingMs)
                     : -1;
         }
 
@@ -107,48 +109,48 @@
 
         /** The next line of this type; others are passed over. */
         ReceivedMessage next(String verb) throws InterruptedException {
-            ReceivedMessage next = within(said, verb);
+            ReceivedMessage next = pollOrFail(receivedMessages, verb);
             return next.verb.equals(verb) ? next : next(verb);
         }
 
         /** Takes no further connection and ends all but one. */
-        void deaf(Socket but) throws IOException {
+        void refuseConnections(Socket keptConnection) throws IOException {
             listener.close();
-            for (Socket link : links) {
-                if (link != but) {
-                    link.close();
+            for (Socket connection : connections) {
+                if (connection != keptConnection) {
+                    connection.close();
                 }
             }
         }
 
         void stop() throws IOException {
             listener.close();
-            for (Socket link : links) {
-                link.setSoLinger(true, 0);
-                link.close();
+            for (Socket connection : connections) {
+                connection.setSoLinger(true, 0);
+                connection.close();
             }
         }
     }
 
     final class JournalStandIn {
-        final LinkedBlockingQueue<Long> askedFrom = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<Long> requestedPositions = new LinkedBlockingQueue<>();
         private final List<String> events = new CopyOnWriteArrayList<>();
         private final ServerSocket listener;
-        volatile String broken;
+        volatile String brokenEvent;
         /** It takes the question and says nothing, not even that. */
-        volatile boolean silent;
+        volatile boolean isSilent;
 
         JournalStandIn() throws IOException {
-            listener = serve(0, socket -> {
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
-                long from = -1;
-                for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
+            listener = listen(0, socket -> {
+                BufferedReader reader = new BufferedReader(new InputStreamReader(socket.getInputStream()));
+                long position = -1;
+                for (String line = reader.readLine(); line != null && !line.isEmpty(); line = reader.readLine()) {
                     if (line.startsWith("Last-Event-ID: ")) {
-                        from = Long.parseLong(line.substring(15));
+                        position = Long.parseLong(line.substring(15));
                     }
                 }
-                askedFrom.add(from);
-                while (silent) {
+                requestedPositions.add(position);
+                while (isSilent) {
                     try {
                         Thread.sleep(5);
                     } catch (InterruptedException e) {
@@ -156,14 +158,14 @@
                     }
                 }
                 write(socket, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n");
-                for (int at = 0; !socket.isClosed(); ) {
-                    for (; at < events.size(); at++) {
-                        write(socket, "id: " + (at + 1) + "\ndata: " + events.get(at) + "\n\n");
+                for (int eventIndex = 0; !socket.isClosed(); ) {
+                    for (; eventIndex < events.size(); eventIndex++) {
+                        write(socket, "id: " + (eventIndex + 1) + "\ndata: " + events.get(eventIndex) + "\n\n");
                     }
-                    String spoilt = broken;
-                    if (spoilt != null) {
-                        broken = null;
-                        write(socket, spoilt);
+                    String brokenEventText = brokenEvent;
+                    if (brokenEventText != null) {
+                        brokenEvent = null;
+                        write(socket, brokenEventText);
                         return;
                     }
                     write(socket, ": still here\n\n");
@@ -182,7 +184,7 @@
         }
 
         /** Tells the list from now on; the number of the event is its place. */
-        void tell(String data) {
+        void addEvent(String data) {
             events.add(data);
         }
 
@@ -190,26 +192,26 @@
             return listener.getLocalPort();
         }
 
-        long asked() throws InterruptedException {
-            return within(askedFrom, "the feed was asked for");
+        long nextRequestedPosition() throws InterruptedException {
+            return pollOrFail(requestedPositions, "the feed was asked for");
         }
     }
 
-    static String event(long position, boolean whole, String... lines) {
-        return "{\"pos\":" + position + ",\"hosts\":{\"generation\":1,\"reset\":" + whole + ",\"instances\":["
-                + String.join(",", lines) + "]}}";
+    static String switchListEvent(long position, boolean reset, String... instances) {
+        return "{\"pos\":" + position + ",\"hosts\":{\"generation\":1,\"reset\":" + reset + ",\"instances\":["
+                + String.join(",", instances) + "]}}";
     }
 
-    static String line(String id, int port, int number, String state) {
+    static String instanceJson(String id, int port, int cell, String lifecycle) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:" + port
-                + "\",\"zone\":\"east\",\"machineType\":" + "\"std\",\"cell\":" + number + ",\"lifecycle\":\"" + state
+                + "\",\"zone\":\"east\",\"machineType\":" + "\"std\",\"cell\":" + cell + ",\"lifecycle\":\"" + lifecycle
                 + "\",\"weight\":1,\"startedAtMs\":0}";
     }
 
-    static String configuration(int journal, String... events) {
+    static String configuration(int journalPort, String... switchListEvents) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"seed\":\"00000000000000aa\",\"limits\":{\"cores\":1.0,"
-                + "\"memory_mb\":192,\"sockets\":64},\"journal\":\"127.0.0.1:" + journal + "\",\"known\":{\"pos\":"
-                + events.length + ",\"entries\":[" + String.join(",", events)
+                + "\"memory_mb\":192,\"sockets\":64},\"journal\":\"127.0.0.1:" + journalPort + "\",\"known\":{\"pos\":"
+                + switchListEvents.length + ",\"entries\":[" + String.join(",", switchListEvents)
                 + "]},\"settings\":{\"classes\":[{\"name\":"
                 + "\"cheap\",\"aim-ns\":1000000000,\"hard-limit-ns\":9000000000,\"worth\":1},{\"name\":\"dear\","
                 + "\"aim-ns\":1000000000,\"hard-limit-ns\":9000000000,\"worth\":8}],\"zones\":[\"east\"],\"me\":0,"
@@ -220,7 +222,7 @@
                 + "\"report\":{\"fields\":[\"spare\",\"total\",\"allowed\"]},\"round-ns\":5000000}}";
     }
 
-    static Path written(String configuration) throws IOException {
+    static Path writeTemporary(String configuration) throws IOException {
         Path file = Files.createTempFile("configuration", ".json");
         file.toFile().deleteOnExit();
         Files.writeString(file, configuration);
@@ -230,33 +232,33 @@
     /** A caller's line. */
     final class CallerConnection {
         final Socket socket = new Socket();
-        private final InputStream in;
+        private final InputStream input;
 
-        CallerConnection(InetSocketAddress at) throws IOException {
-            socket.connect(at, 5000);
-            socket.setSoTimeout(WAIT_S * 1000);
+        CallerConnection(InetSocketAddress address) throws IOException {
+            socket.connect(address, 5000);
+            socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
             socket.setTcpNoDelay(true);
-            in = socket.getInputStream();
-            open.add(socket);
+            input = socket.getInputStream();
+            closeables.add(socket);
         }
 
-        CallerConnection say(String text) throws IOException {
+        CallerConnection send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return this;
         }
 
-        CallerConnection invite(String tag, String kind, int withinMs, String body) throws IOException {
-            return say(message(
+        CallerConnection invite(String callId, String skill, int patienceMs, String body) throws IOException {
+            return send(message(
                     "INVITE",
-                    tag,
-                    "Call-Kind: " + kind + "\r\nAnswer-Within: " + withinMs
+                    callId,
+                    "Call-Kind: " + skill + "\r\nAnswer-Within: " + patienceMs
                             + "\r\nRouting-Data: dest:1;width:1;via:-1\r\n",
                     body));
         }
 
-        static String message(String method, String tag, String more, String body) {
-            return method + " sip:00000000000000bb@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: " + tag
-                    + "\r\nCSeq: 1 " + method + "\r\n" + more + "Content-Length: "
+        static String message(String method, String callId, String extraHeaders, String body) {
+            return method + " sip:00000000000000bb@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: " + callId
+                    + "\r\nCSeq: 1 " + method + "\r\n" + extraHeaders + "Content-Length: "
                     + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
         }
 
@@ -265,18 +267,18 @@
             StringBuilder head = new StringBuilder();
             try {
                 while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
-                    int one = in.read();
-                    if (one < 0) {
+                    int character = input.read();
+                    if (character < 0) {
                         return null;
                     }
-                    head.append((char) one);
+                    head.append((char) character);
                 }
             } catch (java.net.SocketException e) {
                 return null;
             }
-            int at = head.indexOf("Content-Length: ") + 16;
-            int length = Integer.parseInt(head.substring(at, head.indexOf("\r\n", at)));
-            return head + new String(in.readNBytes(length), StandardCharsets.UTF_8);
+            int lengthStart = head.indexOf("Content-Length: ") + 16;
+            int length = Integer.parseInt(head.substring(lengthStart, head.indexOf("\r\n", lengthStart)));
+            return head + new String(input.readNBytes(length), StandardCharsets.UTF_8);
         }
     }
 
@@ -284,52 +286,54 @@
      * Looks until it holds, each time on the deciding thread, and once more has everything that was queued before it
      * held go first: a position is known as soon as its event is queued, not when it is decided about.
      */
-    static void awaits(ControllerService serve, BooleanSupplier held) throws InterruptedException {
-        long begun = System.nanoTime();
-        while (!looked(serve, held)) {
-            if (System.nanoTime() - begun > WAIT_S * 1_000_000_000L) {
+    static void awaitCondition(ControllerService service, BooleanSupplier condition) throws InterruptedException {
+        long startedNs = System.nanoTime();
+        while (!isTrueOnDecisionThread(service, condition)) {
+            if (System.nanoTime() - startedNs > TIMEOUT_SECONDS * 1_000_000_000L) {
                 throw new IllegalStateException("it never held");
             }
         }
-        looked(serve, () -> true);
+        isTrueOnDecisionThread(service, () -> true);
     }
 
-    private static boolean looked(ControllerService serve, BooleanSupplier held) throws InterruptedException {
-        AtomicBoolean holds = new AtomicBoolean();
-        CountDownLatch looked = new CountDownLatch(1);
-        serve.turn(() -> {
-            holds.set(held.getAsBoolean());
-            looked.countDown();
+    private static boolean isTrueOnDecisionThread(ControllerService service, BooleanSupplier condition)
+            throws InterruptedException {
+        AtomicBoolean result = new AtomicBoolean();
+        CountDownLatch evaluated = new CountDownLatch(1);
+        service.runOnDecisionThread(() -> {
+            result.set(condition.getAsBoolean());
+            evaluated.countDown();
         });
-        looked.await();
-        return holds.get();
+        evaluated.await();
+        return result.get();
     }
 
     /** A caller's line on which a test has passed: only then are the states of the groups there. */
-    static CallerConnection ready(PlatformStandIn world, ControllerService serve) throws IOException {
-        CallerConnection line = world.new CallerConnection(serve.listens());
+    static CallerConnection connectReadyCaller(PlatformStandIn platform, ControllerService service) throws IOException {
+        CallerConnection connection = platform.new CallerConnection(service.listenAddress());
         // By the clock: two thousand tests were over in half a second on a busy machine, before the threads had begun.
-        for (long begun = System.nanoTime(); System.nanoTime() - begun < 10_000_000_000L; ) {
-            line.say("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
-            if (line.next().startsWith("SIP/2.0 200")) {
-                return line;
+        for (long startedNs = System.nanoTime(); System.nanoTime() - startedNs < 10_000_000_000L; ) {
+            connection.send(
+                    "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
+            if (connection.next().startsWith("SIP/2.0 200")) {
+                return connection;
             }
         }
         throw new AssertionError("never ready");
     }
 
-    List<SwitchStandIn> machines(int count) throws IOException {
-        List<SwitchStandIn> all = new ArrayList<>();
+    List<SwitchStandIn> startSwitches(int count) throws IOException {
+        List<SwitchStandIn> switches = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(new SwitchStandIn(0));
+            switches.add(new SwitchStandIn(0));
         }
-        return all;
+        return switches;
     }
 
     @Override
     public void close() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable closeable : closeables) {
+            closeable.close();
         }
     }
 }
--- a/src/test/java/martenslip/platform/ProcessSignalsTest.java
+++ b/src/test/java/martenslip/platform/ProcessSignalsTest.java
@@ -1,7 +1,7 @@
 package martenslip.platform;
 
-import static martenslip.platform.PlatformStandIn.event;
-import static martenslip.platform.PlatformStandIn.line;
+import static martenslip.platform.PlatformStandIn.instanceJson;
+import static martenslip.platform.PlatformStandIn.switchListEvent;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -24,41 +24,42 @@
 
 /** The program as the platform starts it, a process of its own, under real signals. */
 public class ProcessSignalsTest {
-    private static final String TAG = "9b1f03aa5c7e2d41";
-    private PlatformStandIn world;
-    private List<SwitchStandIn> machines;
-    private PlatformStandIn.JournalStandIn feed;
-    private Path file;
+    private static final String CALL_ID = "9b1f03aa5c7e2d41";
+    private PlatformStandIn platform;
+    private List<SwitchStandIn> switches;
+    private PlatformStandIn.JournalStandIn journal;
+    private Path configurationFile;
     private int port;
     private Process process;
-    private BufferedReader said;
+    private BufferedReader processOutput;
 
     @BeforeMethod
-    public void begin() throws Exception {
-        world = new PlatformStandIn();
-        machines = world.machines(2);
-        feed = world.new JournalStandIn();
-        feed.tell(list());
-        try (ServerSocket free = new ServerSocket(0)) {
-            port = free.getLocalPort();
+    public void startProcess() throws Exception {
+        platform = new PlatformStandIn();
+        switches = platform.startSwitches(2);
+        journal = platform.new JournalStandIn();
+        journal.addEvent(initialSwitchList());
+        try (ServerSocket freeSocket = new ServerSocket(0)) {
+            port = freeSocket.getLocalPort();
         }
-        file = PlatformStandIn.written(configuration(feed));
-        start();
+        configurationFile = PlatformStandIn.writeTemporary(configuration(journal));
+        launch();
     }
 
-    private String list() {
-        return event(
+    private String initialSwitchList() {
+        return switchListEvent(
                 1,
                 true,
-                line("s-0", machines.get(0).port(), 0, "up"),
-                line("s-1", machines.get(1).port(), 1, "up"));
+                instanceJson("s-0", switches.get(0).port(), 0, "up"),
+                instanceJson("s-1", switches.get(1).port(), 1, "up"));
     }
 
-    private String configuration(PlatformStandIn.JournalStandIn from) {
-        return PlatformStandIn.configuration(from.port(), list()).replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
+    private String configuration(PlatformStandIn.JournalStandIn journal) {
+        return PlatformStandIn.configuration(journal.port(), initialSwitchList())
+                .replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
     }
 
-    private void start() throws IOException {
+    private void launch() throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -66,22 +67,22 @@
                 System.getProperty("java.class.path"),
                 "martenslip.cli.Main",
                 "serve");
-        builder.environment().put("ROUTER_CONFIG", file.toString());
+        builder.environment().put("ROUTER_CONFIG", configurationFile.toString());
         process = builder.redirectErrorStream(true).start();
-        said = new BufferedReader(new InputStreamReader(process.getInputStream()));
+        processOutput = new BufferedReader(new InputStreamReader(process.getInputStream()));
     }
 
     @AfterMethod
-    public void end() throws Exception {
+    public void stopProcess() throws Exception {
         process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
-        world.close();
+        platform.close();
     }
 
     /** Reads its log up to a line of this kind; the time-out of the test ends a wait that is in vain. */
-    private String logged(String kind) throws IOException {
-        String line = said.readLine();
+    private String awaitLogLine(String kind) throws IOException {
+        String line = processOutput.readLine();
         while (line != null && !line.contains(" " + kind + ": ")) {
-            line = said.readLine();
+            line = processOutput.readLine();
         }
         assertTrue(line != null, "it ended without a line " + kind);
         return line;
@@ -95,63 +96,65 @@
                 0);
     }
 
-    private CallerConnection caller() throws IOException {
-        return world.new CallerConnection(new InetSocketAddress("127.0.0.1", port));
+    private CallerConnection connectCaller() throws IOException {
+        return platform.new CallerConnection(new InetSocketAddress("127.0.0.1", port));
     }
 
     @Test(timeOut = 60_000)
-    public void aReloadFollowedAtOnceByADrainOfTheWholeProcess() throws Exception {
-        logged("ready");
-        PlatformStandIn.JournalStandIn moved = world.new JournalStandIn();
-        moved.tell(list());
-        Files.writeString(file, configuration(moved));
-        CallerConnection line = caller().invite(TAG, "dear", 3000, "m=audio");
-        ReceivedMessage start = machines.get(1).next("START");
+    public void aReloadFollowedAtOnceByShutdown() throws Exception {
+        awaitLogLine("ready");
+        PlatformStandIn.JournalStandIn newJournal = platform.new JournalStandIn();
+        newJournal.addEvent(initialSwitchList());
+        Files.writeString(configurationFile, configuration(newJournal));
+        CallerConnection connection = connectCaller().invite(CALL_ID, "dear", 3000, "m=audio");
+        ReceivedMessage start = switches.get(1).next("START");
         signal("HUP");
         signal("TERM");
-        assertEquals(moved.asked(), 1, "what the reload asked for is asked for amid the drain too");
-        logged("term");
+        assertEquals(
+                newJournal.nextRequestedPosition(), 1, "what the reload asked for is asked for amid the drain too");
+        awaitLogLine("term");
         start.started("m=audio 1");
-        assertTrue(line.next().startsWith("SIP/2.0 200 "));
-        line.say(CallerConnection.message("ACK", TAG, "", ""));
-        CallerConnection late = caller().invite("9b1f03aa5c7e2d42", "dear", 3000, "m=audio");
-        machines.get(1).next("START").started("m=audio 2");
-        assertTrue(late.next().startsWith("SIP/2.0 200 "), "still taken right after SIGTERM");
-        logged("end");
+        assertTrue(connection.next().startsWith("SIP/2.0 200 "));
+        connection.send(CallerConnection.message("ACK", CALL_ID, "", ""));
+        CallerConnection lateConnection = connectCaller().invite("9b1f03aa5c7e2d42", "dear", 3000, "m=audio");
+        switches.get(1).next("START").started("m=audio 2");
+        assertTrue(lateConnection.next().startsWith("SIP/2.0 200 "), "still taken right after SIGTERM");
+        awaitLogLine("end");
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(process.exitValue(), 0);
     }
 
     /** Killed right after it accepted, with set-ups that stand already on their way to it; the next one takes them over. */
     @Test(timeOut = 60_000)
-    public void aKillRightAfterAcceptAndTheNextStart() throws Exception {
-        logged("ready");
-        CallerConnection line = caller();
-        line.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
+    public void contactsAreTakenOverAfterAKillRightAfterAccept() throws Exception {
+        awaitLogLine("ready");
+        CallerConnection connection = connectCaller();
+        connection.send(CallerConnection.message("INVITE", CALL_ID, "Routing-Data: at:s-1\r\n", ""));
         signal("KILL");
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-        int links = machines.get(1).links.size();
-        start();
-        logged("ready");
-        CallerConnection again = caller();
-        again.say(CallerConnection.message("INVITE", TAG, "Routing-Data: at:s-1\r\n", ""));
-        again.say("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
-        assertTrue(again.next().contains("CSeq: 1 OPTIONS"), "a set-up with at is not answered");
-        Socket link = machines.get(1).links.get(links);
-        new ReceivedMessage(link, "", TAG, "").finish(16, "");
-        String bye = again.next();
-        assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(TAG), bye);
+        int connectionCount = switches.get(1).connections.size();
+        launch();
+        awaitLogLine("ready");
+        CallerConnection newConnection = connectCaller();
+        newConnection.send(CallerConnection.message("INVITE", CALL_ID, "Routing-Data: at:s-1\r\n", ""));
+        newConnection.send(
+                "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
+        assertTrue(newConnection.next().contains("CSeq: 1 OPTIONS"), "a set-up with at is not answered");
+        Socket socket = switches.get(1).connections.get(connectionCount);
+        new ReceivedMessage(socket, "", CALL_ID, "").finish(16, "");
+        String bye = newConnection.next();
+        assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(CALL_ID), bye);
     }
 
     /** A SIGTERM before its handler is set ends the process as the system does; one after it ends in good order. */
     @Test(timeOut = 60_000)
-    public void aTermBeforeServiceEndsTheProcessToo() throws Exception {
+    public void aTermBeforeServiceEndsTheProcess() throws Exception {
         signal("TERM");
         assertTrue(process.waitFor(20, TimeUnit.SECONDS), "neither ended by the JVM nor by the program");
-        start();
-        logged("ready");
+        launch();
+        awaitLogLine("ready");
         signal("HUP");
-        logged("reload");
+        awaitLogLine("reload");
         signal("TERM");
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(process.exitValue(), 0);
--- a/src/test/java/martenslip/platform/ReloadSignalTest.java
+++ b/src/test/java/martenslip/platform/ReloadSignalTest.java
@@ -9,41 +9,41 @@
 import org.testng.annotations.Test;
 
 public class ReloadSignalTest {
-    private final AtomicInteger done = new AtomicInteger();
+    private final AtomicInteger reloadCount = new AtomicInteger();
 
     @Test
-    public void oneThatComesBeforeServiceIsDoneOnceItBegins() {
-        done.set(0);
-        ReloadSignal reloads = new ReloadSignal();
-        reloads.request();
-        reloads.request();
-        assertEquals(done.get(), 0);
-        reloads.start(done::incrementAndGet);
-        assertEquals(done.get(), 1);
-        reloads.request();
-        assertEquals(done.get(), 2);
+    public void aRequestBeforeServiceReloadsOnceItBegins() {
+        reloadCount.set(0);
+        ReloadSignal reloadSignal = new ReloadSignal();
+        reloadSignal.request();
+        reloadSignal.request();
+        assertEquals(reloadCount.get(), 0);
+        reloadSignal.start(reloadCount::incrementAndGet);
+        assertEquals(reloadCount.get(), 1);
+        reloadSignal.request();
+        assertEquals(reloadCount.get(), 2);
     }
 
     /** The signal and the beginning at once, two thousand times: it is done, whichever comes first. */
     @Test
-    public void oneThatCrossesTheBeginningIsDone() throws Exception {
+    public void aRequestDuringTheStartReloads() throws Exception {
         for (int i = 0; i < 2000; i++) {
-            done.set(0);
-            ReloadSignal reloads = new ReloadSignal();
-            CyclicBarrier both = new CyclicBarrier(2);
-            Thread signal = new Thread(() -> {
+            reloadCount.set(0);
+            ReloadSignal reloadSignal = new ReloadSignal();
+            CyclicBarrier barrier = new CyclicBarrier(2);
+            Thread signalThread = new Thread(() -> {
                 try {
-                    both.await(10, TimeUnit.SECONDS);
+                    barrier.await(10, TimeUnit.SECONDS);
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
-                reloads.request();
+                reloadSignal.request();
             });
-            signal.start();
-            both.await(10, TimeUnit.SECONDS);
-            reloads.start(done::incrementAndGet);
-            signal.join();
-            assertTrue(done.get() >= 1, "lost at " + i);
+            signalThread.start();
+            barrier.await(10, TimeUnit.SECONDS);
+            reloadSignal.start(reloadCount::incrementAndGet);
+            signalThread.join();
+            assertTrue(reloadCount.get() >= 1, "lost at " + i);
         }
     }
 }
