--- a/src/test/java/martenslip/platform/SettingsFlattenerTest.java
+++ b/src/test/java/martenslip/platform/SettingsFlattenerTest.java
@@ -9,18 +9,18 @@
 import org.testng.annotations.Test;
 
 public class SettingsFlattenerTest {
-    private static Map<String, String> flat(String json) throws IOException {
-        return SettingsFlattener.of((Map<?, ?>) Json.read(json.getBytes(StandardCharsets.UTF_8)));
+    private static Map<String, String> flatten(String json) throws IOException {
+        return SettingsFlattener.flatten((Map<?, ?>) Json.read(json.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    public void theModuleGetsThePathsOfTheSimulatorsWire() throws IOException {
-        Map<String, String> flat = flat("""
+    public void settingsAreFlattenedToThePathsOfTheSimulatorProtocol() throws IOException {
+        Map<String, String> flattened = flatten("""
                 {"classes":[{"name":"a b,c","aim-ns":1200000000,"stream":true,"worth":8.0}],"round-ns":5000000,
                  "family-info":{"widths":[1,2],"class-cells":[]},"zones":["x","y z"],"empty":null,
                  "nested":[[1,2],[3]]}""");
         assertEquals(
-                flat,
+                flattened,
                 Map.ofEntries(
                         Map.entry("classes.count", "1"),
                         Map.entry("classes.0.name", "a_b_c"),
@@ -38,12 +38,12 @@
     }
 
     @Test(expectedExceptions = IOException.class)
-    public void whatFollowsTheValueIsAFault() throws IOException {
-        flat("{} {}");
+    public void textAfterTheValueIsRefused() throws IOException {
+        flatten("{} {}");
     }
 
     @Test(expectedExceptions = IOException.class)
-    public void depthHasABound() throws IOException {
-        flat("[".repeat(100));
+    public void tooDeepNestingIsRefused() throws IOException {
+        flatten("[".repeat(100));
     }
 }
--- a/src/test/java/martenslip/platform/WriteRaceTest.java
+++ b/src/test/java/martenslip/platform/WriteRaceTest.java
@@ -1,7 +1,7 @@
 package martenslip.platform;
 
-import static martenslip.platform.PlatformStandIn.event;
-import static martenslip.platform.PlatformStandIn.line;
+import static martenslip.platform.PlatformStandIn.instanceJson;
+import static martenslip.platform.PlatformStandIn.switchListEvent;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -20,175 +20,184 @@
 
 /** Crossings forced over loopback: an order waits at a gate, and something comes before it is written. */
 public class WriteRaceTest {
-    private static final String TAG = "9b1f03aa5c7e2d41";
-    private static final String OTHER = "9b1f03aa5c7e2d42";
-    private static final String LAST = "9b1f03aa5c7e2d43";
+    private static final String CALL_ID = "9b1f03aa5c7e2d41";
+    private static final String OTHER_CALL_ID = "9b1f03aa5c7e2d42";
+    private static final String LAST_CALL_ID = "9b1f03aa5c7e2d43";
     private final GatedSockets sockets = new GatedSockets();
-    private PlatformStandIn world;
-    private List<SwitchStandIn> machines;
-    private PlatformStandIn.JournalStandIn feed;
-    private ControllerService serve;
+    private PlatformStandIn platform;
+    private List<SwitchStandIn> switches;
+    private PlatformStandIn.JournalStandIn journal;
+    private ControllerService service;
 
     @BeforeMethod
-    public void begin() throws IOException {
-        sockets.open();
-        world = new PlatformStandIn();
-        machines = world.machines(2);
-        feed = world.new JournalStandIn();
-        String list = event(
+    public void startService() throws IOException {
+        sockets.openAll();
+        platform = new PlatformStandIn();
+        switches = platform.startSwitches(2);
+        journal = platform.new JournalStandIn();
+        String list = switchListEvent(
                 1,
                 true,
-                line("s-0", machines.get(0).port(), 0, "up"),
-                line("s-1", machines.get(1).port(), 1, "up"));
-        feed.tell(list);
-        serve = new ControllerService(
-                PlatformStandIn.written(PlatformStandIn.configuration(feed.port(), list)),
+                instanceJson("s-0", switches.get(0).port(), 0, "up"),
+                instanceJson("s-1", switches.get(1).port(), 1, "up"));
+        journal.addEvent(list);
+        service = new ControllerService(
+                PlatformStandIn.writeTemporary(PlatformStandIn.configuration(journal.port(), list)),
                 RoutingPolicy::new,
                 new PrintStream(OutputStream.nullOutputStream()),
                 sockets);
-        serve.startServing();
+        service.startServing();
     }
 
     @AfterMethod
-    public void end() throws Exception {
-        sockets.open();
-        serve.close();
-        world.close();
+    public void stopService() throws Exception {
+        sockets.openAll();
+        service.close();
+        platform.close();
     }
 
     /** What ends a set-up for its caller. */
     enum CallerExit {
         CANCEL,
         BYE,
-        END,
+        CLOSE,
         RESET
     }
 
     @DataProvider
-    public Object[][] leaves() {
-        return new Object[][] {{CallerExit.CANCEL}, {CallerExit.BYE}, {CallerExit.END}, {CallerExit.RESET}};
+    public Object[][] callerExits() {
+        return new Object[][] {{CallerExit.CANCEL}, {CallerExit.BYE}, {CallerExit.CLOSE}, {CallerExit.RESET}};
     }
 
-    private void leave(CallerConnection line, CallerExit how) throws IOException {
-        switch (how) {
+    private void endSetUp(CallerConnection connection, CallerExit callerExit) throws IOException {
+        switch (callerExit) {
             case CANCEL, BYE -> {
-                line.say(CallerConnection.message(how.name(), TAG, "", ""));
-                assertTrue(line.next().contains(" 200 "));
-                assertTrue(line.next().contains(" 487 "));
+                connection.send(CallerConnection.message(callerExit.name(), CALL_ID, "", ""));
+                assertTrue(connection.next().contains(" 200 "));
+                assertTrue(connection.next().contains(" 487 "));
             }
-            case END -> line.socket.close();
+            case CLOSE -> connection.socket.close();
             case RESET -> {
-                line.socket.setSoLinger(true, 0);
-                line.socket.close();
+                connection.socket.setSoLinger(true, 0);
+                connection.socket.close();
             }
         }
     }
 
     /** Waits until the controller knows of no open set-up: then whatever ended it has been decided about. */
-    private void nothingOpen() throws Exception {
-        PlatformStandIn.awaits(serve, () -> serve.openSetUps() == 0);
+    private void awaitNoOpenContact() throws Exception {
+        PlatformStandIn.awaitCondition(service, () -> service.openContactCount() == 0);
     }
 
     /** A set-up for another is the mark: by one connection, what was queued before it is read before it. */
-    private void nextStartIs(String tag) throws Exception {
-        CallerConnection other = world.new CallerConnection(serve.listens());
-        other.invite(tag, "dear", 3000, "m=audio");
-        ReceivedMessage first = machines.get(1).said.poll(10, java.util.concurrent.TimeUnit.SECONDS);
-        assertTrue(first != null, "no START came");
-        assertEquals(first.verb() + " " + first.tag(), "START " + tag, "something went out for a caller who has gone");
-        first.started("m=audio 1");
-        assertTrue(other.next().startsWith("SIP/2.0 200 "));
+    private void assertNextStartIs(String callId) throws Exception {
+        CallerConnection otherConnection = platform.new CallerConnection(service.listenAddress());
+        otherConnection.invite(callId, "dear", 3000, "m=audio");
+        ReceivedMessage firstStart = switches.get(1).receivedMessages.poll(10, java.util.concurrent.TimeUnit.SECONDS);
+        assertTrue(firstStart != null, "no START came");
+        assertEquals(
+                firstStart.verb() + " " + firstStart.tag(),
+                "START " + callId,
+                "something went out for a caller who has gone");
+        firstStart.started("m=audio 1");
+        assertTrue(otherConnection.next().startsWith("SIP/2.0 200 "));
     }
 
     /**
      * Asks on this connection for a set-up that waits to be written. The writer is held by another's START, which has
      * begun and so is an attempt like any other; the connection of its caller is returned.
      */
-    private CallerConnection behindAHeldWriter(CallerConnection line) throws Exception {
-        CallerConnection first = world.new CallerConnection(serve.listens());
-        sockets.write.shut();
-        first.invite(OTHER, "dear", 3000, "m=audio");
-        sockets.write.awaits(1);
-        line.invite(TAG, "dear", 3000, "m=audio");
-        PlatformStandIn.awaits(serve, () -> serve.openSetUps() == 2);
-        return first;
+    private CallerConnection queueBehindAHeldWriter(CallerConnection connection) throws Exception {
+        CallerConnection firstConnection = platform.new CallerConnection(service.listenAddress());
+        sockets.write.isShut();
+        firstConnection.invite(OTHER_CALL_ID, "dear", 3000, "m=audio");
+        sockets.write.awaitWaiting(1);
+        connection.invite(CALL_ID, "dear", 3000, "m=audio");
+        PlatformStandIn.awaitCondition(service, () -> service.openContactCount() == 2);
+        return firstConnection;
     }
 
     @Test(dataProvider = "leaves")
-    public void nothingIsWrittenForACallerWhoLeftWhileTheWriterWasHeld(CallerExit how) throws Exception {
-        CallerConnection line = PlatformStandIn.ready(world, serve);
-        CallerConnection first = behindAHeldWriter(line);
-        leave(line, how);
-        PlatformStandIn.awaits(serve, () -> serve.openSetUps() == 1);
+    public void noStartIsWrittenForACallerWhoLeftWhileTheWriterWasHeld(CallerExit callerExit) throws Exception {
+        CallerConnection connection = PlatformStandIn.connectReadyCaller(platform, service);
+        CallerConnection firstConnection = queueBehindAHeldWriter(connection);
+        endSetUp(connection, callerExit);
+        PlatformStandIn.awaitCondition(service, () -> service.openContactCount() == 1);
         sockets.write.open();
-        ReceivedMessage begun = machines.get(1).next("START");
-        assertEquals(begun.tag(), OTHER);
-        begun.started("m=audio 0");
-        assertTrue(first.next().startsWith("SIP/2.0 200 "));
-        nextStartIs(LAST);
+        ReceivedMessage firstStart = switches.get(1).next("START");
+        assertEquals(firstStart.tag(), OTHER_CALL_ID);
+        firstStart.started("m=audio 0");
+        assertTrue(firstConnection.next().startsWith("SIP/2.0 200 "));
+        assertNextStartIs(LAST_CALL_ID);
     }
 
     @Test(dataProvider = "leaves")
-    public void nothingIsWrittenForACallerWhoLeftBeforeTheConnectionCameUp(CallerExit how) throws Exception {
-        CallerConnection line = PlatformStandIn.ready(world, serve);
-        PlatformStandIn.awaits(serve, () -> machines.get(1).links.size() == 2);
-        sockets.connect.shut();
-        int before = sockets.made.get();
-        for (java.net.Socket link : machines.get(1).links) {
-            link.close();
+    public void noStartIsWrittenForACallerWhoLeftBeforeTheConnectionCameUp(CallerExit callerExit) throws Exception {
+        CallerConnection connection = PlatformStandIn.connectReadyCaller(platform, service);
+        PlatformStandIn.awaitCondition(
+                service, () -> switches.get(1).connections.size() == 2);
+        sockets.connect.isShut();
+        int createdBefore = sockets.createdCount.get();
+        for (java.net.Socket socket : switches.get(1).connections) {
+            socket.close();
         }
         // Its two connections are asked for anew, and stand before the gate.
-        sockets.connect.awaits(1);
-        PlatformStandIn.awaits(serve, () -> sockets.made.get() >= before + 2);
-        line.invite(TAG, "dear", 3000, "m=audio");
-        PlatformStandIn.awaits(serve, () -> serve.openSetUps() == 1);
-        leave(line, how);
-        nothingOpen();
+        sockets.connect.awaitWaiting(1);
+        PlatformStandIn.awaitCondition(service, () -> sockets.createdCount.get() >= createdBefore + 2);
+        connection.invite(CALL_ID, "dear", 3000, "m=audio");
+        PlatformStandIn.awaitCondition(service, () -> service.openContactCount() == 1);
+        endSetUp(connection, callerExit);
+        awaitNoOpenContact();
         sockets.connect.open();
-        PlatformStandIn.ready(world, serve);
-        nextStartIs(LAST);
+        PlatformStandIn.connectReadyCaller(platform, service);
+        assertNextStartIs(LAST_CALL_ID);
     }
 
     /** A writer that is held takes the time that its caller gave: what is left says so, and at its end there is none. */
     @Test
-    public void whatIsLeftIsTrueWhenItIsWritten() throws Exception {
-        PlatformStandIn.ready(world, serve);
-        CallerConnection first = world.new CallerConnection(serve.listens());
-        sockets.write.shut();
-        first.invite(OTHER, "dear", 3000, "m=audio");
-        sockets.write.awaits(1);
-        long queued = System.nanoTime();
-        CallerConnection second = world.new CallerConnection(serve.listens()).invite(TAG, "dear", 3000, "m=audio");
-        CallerConnection third = world.new CallerConnection(serve.listens()).invite(LAST, "dear", 300, "m=audio");
-        assertTrue(third.next().startsWith("SIP/2.0 50"), "its time is over");
-        long held = (System.nanoTime() - queued) / 1_000_000;
+    public void theRemainingTimeIsExactWhenItIsWritten() throws Exception {
+        PlatformStandIn.connectReadyCaller(platform, service);
+        CallerConnection firstConnection = platform.new CallerConnection(service.listenAddress());
+        sockets.write.isShut();
+        firstConnection.invite(OTHER_CALL_ID, "dear", 3000, "m=audio");
+        sockets.write.awaitWaiting(1);
+        long queuedNs = System.nanoTime();
+        CallerConnection secondConnection =
+                platform.new CallerConnection(service.listenAddress()).invite(CALL_ID, "dear", 3000, "m=audio");
+        CallerConnection thirdConnection =
+                platform.new CallerConnection(service.listenAddress()).invite(LAST_CALL_ID, "dear", 300, "m=audio");
+        assertTrue(thirdConnection.next().startsWith("SIP/2.0 50"), "its time is over");
+        long heldMs = (System.nanoTime() - queuedNs) / 1_000_000;
         sockets.write.open();
-        assertEquals(machines.get(1).next("START").tag(), OTHER);
-        ReceivedMessage said = machines.get(1).next("START");
-        assertEquals(said.tag(), TAG);
-        assertTrue(said.left() <= 3000 - held + 1, said.left() + " ms left after " + held);
-        said.started("m=audio 2");
-        assertTrue(second.next().startsWith("SIP/2.0 200 "));
-        assertTrue(machines.get(1).said.isEmpty(), "one went out past its time");
+        assertEquals(switches.get(1).next("START").tag(), OTHER_CALL_ID);
+        ReceivedMessage start = switches.get(1).next("START");
+        assertEquals(start.tag(), CALL_ID);
+        assertTrue(start.remainingMs() <= 3000 - heldMs + 1, start.remainingMs() + " ms left after " + heldMs);
+        start.started("m=audio 2");
+        assertTrue(secondConnection.next().startsWith("SIP/2.0 200 "));
+        assertTrue(switches.get(1).receivedMessages.isEmpty(), "one went out past its time");
     }
 
     /** Drained while the set-up waits for its connection: it is never sent there, and its caller is answered. */
     @Test
-    public void aSwitchThatDrainsMeanwhileGetsNothingNew() throws Exception {
-        CallerConnection line = PlatformStandIn.ready(world, serve);
-        CallerConnection first = behindAHeldWriter(line);
-        feed.tell(event(2, false, line("s-1", machines.get(1).port(), 1, "draining")));
-        PlatformStandIn.awaits(serve, () -> serve.position() == 2);
+    public void aSwitchThatDrainsMeanwhileGetsNoNewContacts() throws Exception {
+        CallerConnection connection = PlatformStandIn.connectReadyCaller(platform, service);
+        CallerConnection firstConnection = queueBehindAHeldWriter(connection);
+        journal.addEvent(
+                switchListEvent(2, false, instanceJson("s-1", switches.get(1).port(), 1, "draining")));
+        PlatformStandIn.awaitCondition(service, () -> service.journalPosition() == 2);
         sockets.write.open();
-        assertTrue(line.next().startsWith("SIP/2.0 503 "), "there is no other way to it");
-        machines.get(1).next("START").started("m=audio 3");
-        assertTrue(first.next().startsWith("SIP/2.0 200 "));
-        assertTrue(machines.get(1).said.stream().noneMatch(said -> said.tag().equals(TAG)));
+        assertTrue(connection.next().startsWith("SIP/2.0 503 "), "there is no other way to it");
+        switches.get(1).next("START").started("m=audio 3");
+        assertTrue(firstConnection.next().startsWith("SIP/2.0 200 "));
+        assertTrue(switches.get(1).receivedMessages.stream()
+                .noneMatch(start -> start.tag().equals(CALL_ID)));
     }
 
     /** Waits until two connections to the switch are up on both sides. */
-    private void linked(SwitchStandIn machine, int links) throws Exception {
-        PlatformStandIn.awaits(serve, () -> machine.links.size() >= links && serve.groupsTold());
+    private void awaitConnections(SwitchStandIn switchStandIn, int connectionCount) throws Exception {
+        PlatformStandIn.awaitCondition(
+                service, () -> switchStandIn.connections.size() >= connectionCount && service.allGroupStatesReported());
     }
 
     /**
@@ -196,56 +205,60 @@
      * said again there it would end the second attempt, which bears the same id.
      */
     @Test
-    public void theEndOfOneAttemptIsNotSaidAgainOverTheNext() throws Exception {
-        CallerConnection line = PlatformStandIn.ready(world, serve);
-        SwitchStandIn machine = machines.get(1);
-        linked(machine, 2);
-        line.invite(TAG, "dear", 3000, "m=audio");
-        ReceivedMessage first = machine.next("START");
+    public void theFinishOfOneAttemptIsNotResentDuringTheNext() throws Exception {
+        CallerConnection connection = PlatformStandIn.connectReadyCaller(platform, service);
+        SwitchStandIn switchStandIn = switches.get(1);
+        awaitConnections(switchStandIn, 2);
+        connection.invite(CALL_ID, "dear", 3000, "m=audio");
+        ReceivedMessage firstStart = switchStandIn.next("START");
         // Good but for its description: it is given up, and tried again after the release.
-        first.answer("{\"verb\":\"STARTED\",\"tag\":\"" + TAG + "\",\"opts\":{}}");
-        assertEquals(machine.next("FINISH").tag(), TAG);
-        ReceivedMessage second = machine.next("START");
-        assertEquals(second.tag(), TAG);
-        machine.links.stream()
-                .filter(link -> link != second.by())
+        firstStart.reply("{\"verb\":\"STARTED\",\"tag\":\"" + CALL_ID + "\",\"opts\":{}}");
+        assertEquals(switchStandIn.next("FINISH").tag(), CALL_ID);
+        ReceivedMessage secondStart = switchStandIn.next("START");
+        assertEquals(secondStart.tag(), CALL_ID);
+        switchStandIn.connections.stream()
+                .filter(socket -> socket != secondStart.socket())
                 .findFirst()
                 .orElseThrow()
                 .close();
-        linked(machine, 3);
+        awaitConnections(switchStandIn, 3);
         // Asked on the new connection, it answers behind all that it said there by itself.
-        new ReceivedMessage(machine.links.get(2), "", OTHER, "").finish(16, "");
-        for (ReceivedMessage said = machine.said.poll(10, java.util.concurrent.TimeUnit.SECONDS); ; ) {
-            assertTrue(said != null, "nothing came on the new connection");
-            assertTrue(!(said.verb().equals("FINISH") && said.tag().equals(TAG)), "the second attempt was ended");
-            if (said.verb().equals("FINISHED")) {
+        new ReceivedMessage(switchStandIn.connections.get(2), "", OTHER_CALL_ID, "").finish(16, "");
+        for (ReceivedMessage received = switchStandIn.receivedMessages.poll(10, java.util.concurrent.TimeUnit.SECONDS);
+                ; ) {
+            assertTrue(received != null, "nothing came on the new connection");
+            assertTrue(
+                    !(received.verb().equals("FINISH") && received.tag().equals(CALL_ID)),
+                    "the second attempt was ended");
+            if (received.verb().equals("FINISHED")) {
                 break;
             }
-            said = machine.said.poll(10, java.util.concurrent.TimeUnit.SECONDS);
+            received = switchStandIn.receivedMessages.poll(10, java.util.concurrent.TimeUnit.SECONDS);
         }
-        second.started("m=audio 1");
-        assertTrue(line.next().startsWith("SIP/2.0 200 "));
+        secondStart.started("m=audio 1");
+        assertTrue(connection.next().startsWith("SIP/2.0 200 "));
     }
 
     /** A connection that stays open and says nothing while another of the same switch speaks costs its own contact. */
     @Test
-    public void aConnectionThatSaysNothingCostsWhatWentByIt() throws Exception {
-        CallerConnection line = PlatformStandIn.ready(world, serve);
-        SwitchStandIn machine = machines.get(1);
-        linked(machine, 2);
-        CallerConnection silent = world.new CallerConnection(serve.listens()).invite(TAG, "dear", 400, "m=audio");
-        ReceivedMessage swallowed = machine.next("START");
-        for (java.net.Socket other : machine.links) {
-            if (other != swallowed.by()) {
-                other.getOutputStream()
+    public void aSilentConnectionCostsOnlyItsOwnContact() throws Exception {
+        CallerConnection connection = PlatformStandIn.connectReadyCaller(platform, service);
+        SwitchStandIn switchStandIn = switches.get(1);
+        awaitConnections(switchStandIn, 2);
+        CallerConnection silentConnection =
+                platform.new CallerConnection(service.listenAddress()).invite(CALL_ID, "dear", 400, "m=audio");
+        ReceivedMessage lostStart = switchStandIn.next("START");
+        for (java.net.Socket socket : switchStandIn.connections) {
+            if (socket != lostStart.socket()) {
+                socket.getOutputStream()
                         .write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:9;x1:9\"}}\n"
                                 .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             }
         }
-        assertTrue(silent.next().startsWith("SIP/2.0 50"), "answered in its time");
-        assertEquals(machine.next("FINISH").tag(), TAG, "what was written is given up on the wire");
-        line.invite(LAST, "dear", 3000, "m=audio");
-        machine.next("START").started("m=audio 1");
-        assertTrue(line.next().startsWith("SIP/2.0 200 "));
+        assertTrue(silentConnection.next().startsWith("SIP/2.0 50"), "answered in its time");
+        assertEquals(switchStandIn.next("FINISH").tag(), CALL_ID, "what was written is given up on the wire");
+        connection.invite(LAST_CALL_ID, "dear", 3000, "m=audio");
+        switchStandIn.next("START").started("m=audio 1");
+        assertTrue(connection.next().startsWith("SIP/2.0 200 "));
     }
 }
--- a/src/test/java/martenslip/platform/contact/CheckedOutboundMessages.java
+++ b/src/test/java/martenslip/platform/contact/CheckedOutboundMessages.java
@@ -6,11 +6,11 @@
 /** What a desk sends in a world that judges it: nothing but what the rules know of may go out. */
 abstract class CheckedOutboundMessages implements OutboundMessages {
     final RuleChecker rules;
-    private final Set<String> mayLog;
+    private final Set<String> allowedLogKinds;
 
-    CheckedOutboundMessages(RuleChecker rules, String... mayLog) {
+    CheckedOutboundMessages(RuleChecker rules, String... allowedLogKinds) {
         this.rules = rules;
-        this.mayLog = Set.of(mayLog);
+        this.allowedLogKinds = Set.of(allowedLogKinds);
     }
 
     public RuleChecker rules() {
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public long anyConnection(long but) {
+    public long otherCallerConnection(long but) {
         return 1;
     }
 
@@ -44,7 +44,7 @@
 
     @Override
     public void log(String kind, String line) {
-        if (!mayLog.contains(kind)) {
+        if (!allowedLogKinds.contains(kind)) {
             rules.addViolation("log", kind + ": " + line);
         }
     }
--- a/src/test/java/martenslip/platform/contact/ContactTableHarness.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableHarness.java
@@ -22,56 +22,56 @@
 
 /** A desk on driven time. What it sends and what it tells a module that decides nothing is kept as lines of text. */
 final class ContactTableHarness implements OutboundMessages, Controller {
-    static final long SWITCH = 7;
-    static final long LINK = 40;
-    static final ContactSettings TERMS =
+    static final long SWITCH_ID = 7;
+    static final long SWITCH_CONNECTION_ID = 40;
+    static final ContactSettings SETTINGS =
             new ContactSettings(List.of("cheap", "dear"), 3, Span.ofMillis(9000), Span.ofMillis(20));
     final TimerWheel wheel = new TimerWheel(new Moment(0));
-    final List<String> sent = new ArrayList<>();
-    final List<String> told = new ArrayList<>();
-    final Set<Long> closed = new HashSet<>();
-    final ContactTable desk = new ContactTable(wheel, TERMS, this);
-    boolean unreachable;
-    /** What is queued stays so until {@link #write}, ends until {@link #written}. */
-    boolean held;
-
-    boolean heldEnds;
-    private final List<RevocableMessage> waiting = new ArrayList<>();
-    private final List<Runnable> ends = new ArrayList<>();
-    long any = 1;
+    final List<String> takeSent = new ArrayList<>();
+    final List<String> takeNotifications = new ArrayList<>();
+    final Set<Long> closedConnections = new HashSet<>();
+    final ContactTable contactTable = new ContactTable(wheel, SETTINGS, this);
+    boolean isUnreachable;
+    /** What is queued stays so until {@link #writeStarts}, ends until {@link #completeFinishes}. */
+    boolean holdsStarts;
+
+    boolean holdsFinishes;
+    private final List<RevocableMessage> queuedStarts = new ArrayList<>();
+    private final List<Runnable> finishCallbacks = new ArrayList<>();
+    long otherCallerConnection = 1;
 
     ContactTableHarness() {
-        desk.setController(this);
+        contactTable.controller(this);
     }
 
-    static String tag(int number) {
-        return String.format("%016x", number);
+    static String tag(int contactNumber) {
+        return String.format("%016x", contactNumber);
     }
 
-    static Request request(String method, int number) {
+    static Request request(String method, int contactNumber) {
         Headers headers = new Headers();
-        headers.add("Call-ID", tag(number)).add("CSeq", "1 " + method);
+        headers.add("Call-ID", tag(contactNumber)).add("CSeq", "1 " + method);
         return new Request(method, "sip:00000000000000aa@net", headers);
     }
 
     /** Whether callers have gone, of the set-up that was asked for last. */
-    CallerCancellation caller;
+    CallerCancellation lastCancellation;
 
-    SetUpRequest asked(long line, int number, double ms) {
-        SetUpRequest asked = ask(line, number, ms);
-        caller = asked.cancellation();
-        return asked;
+    SetUpRequest setUpRequestWithCancellation(long connectionId, int contactNumber, double patienceMs) {
+        SetUpRequest request = setUpRequest(connectionId, contactNumber, patienceMs);
+        lastCancellation = request.cancellation();
+        return request;
     }
 
-    static SetUpRequest ask(long line, int number, double ms) {
+    static SetUpRequest setUpRequest(long connectionId, int contactNumber, double patienceMs) {
         return new SetUpRequest(
-                line,
-                request("INVITE", number),
-                tag(number),
+                connectionId,
+                request("INVITE", contactNumber),
+                tag(contactNumber),
                 "00000000000000aa",
                 1,
                 new Moment(0),
-                Span.ofMillis(ms),
+                Span.ofMillis(patienceMs),
                 2,
                 -1,
                 1,
@@ -82,167 +82,168 @@
                 new CallerCancellation());
     }
 
-    ContactTableHarness at(double ms) {
-        wheel.advanceTo(new Moment(Span.ofMillis(ms).ns()));
+    ContactTableHarness advanceToMs(double timeMs) {
+        wheel.advanceTo(new Moment(Span.ofMillis(timeMs).ns()));
         return this;
     }
 
     /** What was sent since the last look. */
-    List<String> sent() {
-        List<String> all = List.copyOf(sent);
-        sent.clear();
-        return all;
+    List<String> takeSent() {
+        List<String> taken = List.copyOf(takeSent);
+        takeSent.clear();
+        return taken;
     }
 
-    List<String> told() {
-        List<String> all = List.copyOf(told);
-        told.clear();
-        return all;
+    List<String> takeNotifications() {
+        List<String> taken = List.copyOf(takeNotifications);
+        takeNotifications.clear();
+        return taken;
     }
 
-    private static String plain(byte[] message) {
+    private static String describe(byte[] message) {
         ParseResult parsed = MessageParser.parseMinimal(message, message.length);
-        if (parsed.message() instanceof Response answer) {
-            String away = answer.headers().first("Come-Back-Ms");
-            return answer.status() + " " + answer.headers().first("CSeq").substring(2)
-                    + (away == null ? "" : " away " + away)
-                    + (answer.body().length == 0 ? "" : " " + new String(answer.body(), StandardCharsets.UTF_8));
+        if (parsed.message() instanceof Response response) {
+            String retryDelayMs = response.headers().first("Come-Back-Ms");
+            return response.status() + " " + response.headers().first("CSeq").substring(2)
+                    + (retryDelayMs == null ? "" : " away " + retryDelayMs)
+                    + (response.body().length == 0 ? "" : " " + new String(response.body(), StandardCharsets.UTF_8));
         }
         Request request = (Request) parsed.message();
         return request.method() + " " + request.headers().first("Reason");
     }
 
     @Override
-    public boolean sendToCaller(long line, byte[] message) {
-        if (closed.contains(line)) {
+    public boolean sendToCaller(long connectionId, byte[] message) {
+        if (closedConnections.contains(connectionId)) {
             return false;
         }
-        sent.add(line + ": " + plain(message));
+        takeSent.add(connectionId + ": " + describe(message));
         return true;
     }
 
     @Override
-    public long anyConnection(long but) {
-        return any;
+    public long otherCallerConnection(long but) {
+        return otherCallerConnection;
     }
 
     @Override
-    public void contactAnswered(long line, String tag) {
+    public void contactAnswered(long connectionId, String tag) {
         // Counted by the lines; nothing that the desk is judged by.
     }
 
     @Override
-    public void disconnect(long line, String why) {
-        sent.add(line + ": dropped");
-        desk.callerConnectionEnded(line);
+    public void disconnect(long connectionId, String why) {
+        takeSent.add(connectionId + ": dropped");
+        contactTable.callerConnectionEnded(connectionId);
     }
 
     @Override
-    public QueuedMessage sendStart(long target, SwitchStartRequest start, Runnable unsent) {
-        caller = start.cancellation();
-        long left = start.deadline().since(wheel.now()).ns() / 1_000_000;
+    public QueuedMessage sendStart(long switchId, SwitchStartRequest start, Runnable unsent) {
+        lastCancellation = start.cancellation();
+        long remainingMs = start.deadline().since(wheel.now()).ns() / 1_000_000;
         RevocableMessage message = new RevocableMessage(
                 0,
                 () -> {
                     if (start.cancellation().isCancelled()) {
                         return null;
                     }
-                    sent.add("START " + target + " " + Long.parseLong(start.tag(), 16) + " " + start.skill() + " "
-                            + left + " " + start.description());
+                    takeSent.add("START " + switchId + " " + Long.parseLong(start.tag(), 16) + " " + start.skill() + " "
+                            + remainingMs + " " + start.description());
                     return new byte[0];
                 },
                 unsent);
-        if (unreachable) {
+        if (isUnreachable) {
             return null;
         }
-        waiting.add(message);
-        if (!held) {
-            write();
+        queuedStarts.add(message);
+        if (!holdsStarts) {
+            writeStarts();
         }
-        return new QueuedMessage(LINK, message);
+        return new QueuedMessage(SWITCH_CONNECTION_ID, message);
     }
 
     /** The connection's writer comes to all that was queued. */
-    void write() {
-        List<RevocableMessage> now = List.copyOf(waiting);
-        waiting.clear();
-        now.forEach(RevocableMessage::bytes);
+    void writeStarts() {
+        List<RevocableMessage> pending = List.copyOf(queuedStarts);
+        queuedStarts.clear();
+        pending.forEach(RevocableMessage::bytes);
     }
 
     @Override
-    public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
-        sent.add("FINISH " + target + " " + connection + " " + Long.parseLong(tag, 16) + " " + cause);
-        ends.add(written);
-        if (!heldEnds) {
-            written();
+    public void sendFinish(long switchId, long connection, String tag, int cause, Runnable written) {
+        takeSent.add("FINISH " + switchId + " " + connection + " " + Long.parseLong(tag, 16) + " " + cause);
+        finishCallbacks.add(written);
+        if (!holdsFinishes) {
+            completeFinishes();
         }
     }
 
-    void written() {
-        List<Runnable> now = List.copyOf(ends);
-        ends.clear();
-        now.forEach(Runnable::run);
+    void completeFinishes() {
+        List<Runnable> pending = List.copyOf(finishCallbacks);
+        finishCallbacks.clear();
+        pending.forEach(Runnable::run);
     }
 
     @Override
-    public void sendFinished(long target, long connection, String tag) {
+    public void sendFinished(long switchId, long connection, String tag) {
         // Free on the platform: nothing is judged by it.
     }
 
     @Override
     public void sendNote(int peer, byte[] note) {
-        sent.add("note " + peer);
+        takeSent.add("note " + peer);
     }
 
     @Override
-    public void log(String kind, String line) {
-        sent.add("log " + kind);
+    public void log(String kind, String message) {
+        takeSent.add("log " + kind);
     }
 
     @Override
-    public void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> lines) {
-        told.add("listed " + kind);
+    public void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> entries) {
+        takeNotifications.add("listed " + kind);
     }
 
     @Override
     public void contactOffered(Moment now, Contact contact) {
-        told.add("offered " + contact.id() + " " + contact.skill() + " to " + contact.destination() + " patience "
-                + contact.patience().ns() / 1_000_000);
+        takeNotifications.add("offered " + contact.id() + " " + contact.skill() + " to " + contact.destination()
+                + " patience " + contact.patience().ns() / 1_000_000);
     }
 
     @Override
-    public void established(Moment now, long contact, int ring, long target, Span took) {
-        told.add("stands " + contact + " " + ring + " " + target);
+    public void established(Moment now, long contact, int ring, long switchId, Span elapsed) {
+        takeNotifications.add("stands " + contact + " " + ring + " " + switchId);
     }
 
     @Override
     public void ringEnded(Moment now, RingEnd end) {
-        told.add("end " + end.contact() + " " + end.ring() + " " + end.cause() + " " + end.rejectionReason() + " "
-                + end.answered() + (end.report().length == 0 ? "" : " " + java.util.Arrays.toString(end.report())));
+        takeNotifications.add("end " + end.contact() + " " + end.ring() + " " + end.cause() + " "
+                + end.rejectionReason() + " " + end.answered()
+                + (end.report().length == 0 ? "" : " " + java.util.Arrays.toString(end.report())));
     }
 
     @Override
     public void callerGone(Moment now, long contact) {
-        told.add("gone " + contact);
+        takeNotifications.add("gone " + contact);
     }
 
     @Override
     public void timerExpired(Moment now, long token) {
-        told.add("clock " + token);
+        takeNotifications.add("clock " + token);
     }
 
     @Override
-    public void switchReported(Moment now, long target, boolean reached, Span took, float[] report) {
-        told.add("report " + target + " " + report.length);
+    public void switchReported(Moment now, long switchId, boolean reached, Span elapsed, float[] report) {
+        takeNotifications.add("report " + switchId + " " + report.length);
     }
 
     @Override
     public void peerNoteReceived(Moment now, int peer, byte[] note) {
-        told.add("note " + peer);
+        takeNotifications.add("note " + peer);
     }
 
     @Override
     public void stopped(Moment now) {
-        told.add("stopped");
+        takeNotifications.add("stopped");
     }
 }
--- a/src/test/java/martenslip/platform/contact/ContactTableInterleavingTest.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableInterleavingTest.java
@@ -12,15 +12,15 @@
 
 /** The desk with the very module through every order of what callers, switches and connections may do. */
 public class ContactTableInterleavingTest {
-    private static final Span RELEASE = Span.ofMillis(300);
+    private static final Span RELEASE_TIME = Span.ofMillis(300);
 
-    private static SearchResult search(Scenario plan, int depth, Span release) {
-        return InterleavingExplorer.search(() -> new ContactTableModel(plan, release), depth);
+    private static SearchResult search(Scenario scenario, int depth, Span releaseTime) {
+        return InterleavingExplorer.search(() -> new ContactTableModel(scenario, releaseTime), depth);
     }
 
     /** Name, plan (offers, circuits, refusals, a caller leaves, a connection breaks, a process dies), choices. */
     @DataProvider
-    public Object[][] worlds() {
+    public Object[][] scenarios() {
         return new Object[][] {
             {"one caller, refused and reset", new Scenario(1, 2, 2, true, false, false), 12},
             {"two callers, one circuit", new Scenario(2, 1, 1, true, false, false), 7},
@@ -31,15 +31,15 @@
     }
 
     @Test(dataProvider = "worlds")
-    public void rulesHoldInEveryOrder(String name, Scenario plan, int depth) {
-        SearchResult found = search(plan, depth, RELEASE);
-        assertEquals(found.fault(), null, name);
-        assertTrue(found.sequences() > 400, name + ": only " + found.sequences());
+    public void rulesHoldInEveryOrder(String name, Scenario scenario, int depth) {
+        SearchResult result = search(scenario, depth, RELEASE_TIME);
+        assertEquals(result.fault(), null, name);
+        assertTrue(result.sequences() > 400, name + ": only " + result.sequences());
     }
 
     /** The check itself: held to a longer release than the module knows, the same world must be found wanting. */
     @Test
-    public void aReleaseThatIsTooShortIsFound() {
+    public void aTooShortReleaseTimeIsFound() {
         assertTrue(search(new Scenario(1, 2, 2, true, false, false), 6, Span.ofMillis(400))
                         .fault()
                 != null);
--- a/src/test/java/martenslip/platform/contact/ContactTableModel.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableModel.java
@@ -26,117 +26,128 @@
  */
 final class ContactTableModel extends CheckedOutboundMessages implements InterleavingExplorer.Simulation {
     private static final Span PATIENCE = Span.ofMillis(1500);
-    private static final Span SLACK = Span.ofMillis(50);
-    private static final Span STEP = Span.ofMillis(60);
-    private static final long LINK = 9;
-
-    record Scenario(int offers, int circuits, int refusals, boolean cancels, boolean breaks, boolean dies) {}
-
-    private final Scenario plan;
+    private static final Span ANSWER_SLACK = Span.ofMillis(50);
+    private static final Span TIME_STEP = Span.ofMillis(60);
+    private static final long SWITCH_CONNECTION_ID = 9;
+
+    record Scenario(
+            int offers,
+            int circuits,
+            int refusals,
+            boolean callerCancels,
+            boolean connectionBreaks,
+            boolean processEnds) {}
+
+    private final Scenario scenario;
     private final TimerWheel wheel = new TimerWheel(new Moment(0));
-    private final ContactTable desk;
+    private final ContactTable contactTable;
     /** By tag: the switch where the ring is out, or where the contact stands. */
-    private final Map<String, Long> ringing = new LinkedHashMap<>();
+    private final Map<String, Long> ringsInFlight = new LinkedHashMap<>();
 
-    private final Map<String, Long> standing = new LinkedHashMap<>();
-    private final Map<String, Boolean> callers = new LinkedHashMap<>();
-    private int offered;
-    private int refused;
-    private int cancelled;
-    private int broken;
-    private int died;
+    private final Map<String, Long> establishedContacts = new LinkedHashMap<>();
+    private final Map<String, Boolean> waitingCallers = new LinkedHashMap<>();
+    private int offeredCount;
+    private int refusedCount;
+    private int cancelledCount;
+    private int brokenConnectionCount;
+    private int endedProcessCount;
 
     /** {@code release} is what the rules hold the program to; the module is told 300 ms. */
-    ContactTableModel(Scenario plan, Span release) {
-        super(new RuleChecker(Span.ofMillis(2000), release, Span.ofMillis(10_000)), "switch-over");
-        this.plan = plan;
-        desk = new ContactTable(
+    ContactTableModel(Scenario scenario, Span releaseTime) {
+        super(new RuleChecker(Span.ofMillis(2000), releaseTime, Span.ofMillis(10_000)), "switch-over");
+        this.scenario = scenario;
+        contactTable = new ContactTable(
                 wheel,
                 new ContactSettings(List.of("cheap", "dear"), 100, Span.ofMillis(9000), Span.ofMillis(20)),
                 this);
-        RoutingPolicy logic = new RoutingPolicy(settings(), 7, wheel.now(), desk);
-        desk.setController(logic);
-        List<SwitchEntry> lines = new ArrayList<>();
+        RoutingPolicy routingPolicy = new RoutingPolicy(settings(), 7, wheel.now(), contactTable);
+        contactTable.controller(routingPolicy);
+        List<SwitchEntry> entries = new ArrayList<>();
         for (int number = 0; number < 3; number++) {
-            lines.add(new SwitchEntry(100 + number, number, SwitchEntry.State.READY, null, 0));
+            entries.add(new SwitchEntry(100 + number, number, SwitchEntry.State.READY, null, 0));
         }
-        desk.notifyController(to -> to.switchListReceived(wheel.now(), ListKind.CACHED, lines));
-        desk.loadReported(101, new float[] {plan.circuits, Math.max(1, plan.circuits), -1});
-        desk.loadReported(102, new float[] {9, 9, -1});
+        contactTable.notifyController(
+                controller -> controller.switchListReceived(wheel.now(), ListKind.CACHED, entries));
+        contactTable.loadReported(101, new float[] {scenario.circuits, Math.max(1, scenario.circuits), -1});
+        contactTable.loadReported(102, new float[] {9, 9, -1});
     }
 
     static Map<String, String> settings() {
-        Map<String, String> all = new LinkedHashMap<>();
-        for (String one : ("classes.count=2 classes.0.worth=1 classes.1.worth=8 classes.0.aim-ns=1000000000 "
+        Map<String, String> settings = new LinkedHashMap<>();
+        for (String setting : ("classes.count=2 classes.0.worth=1 classes.1.worth=8 classes.0.aim-ns=1000000000 "
                         + "classes.1.aim-ns=1000000000 family-info.mean-hold-ns=10000000000,5000000000 family-info.widths=1,1 "
                         + "family-info.home-no=0 family-info.release-ns=300000000 guarantees.warm-within-ns=10000000000 "
                         + "guarantees.cold-share=0.3 policy-limits.send-cap=5 policy-limits.cancel=true "
                         + "report.fields=spare,total,cut_by round-ns=5000000")
                 .split(" ")) {
-            all.put(one.substring(0, one.indexOf('=')), one.substring(one.indexOf('=') + 1));
+            settings.put(setting.substring(0, setting.indexOf('=')), setting.substring(setting.indexOf('=') + 1));
         }
-        return all;
+        return settings;
     }
 
     @Override
     public List<Event> enabledEvents() {
-        List<Event> all = new ArrayList<>();
-        if (!callers.isEmpty() || !ringing.isEmpty() || desk.unacknowledgedReleaseCount() > 0) {
-            all.add(new Event("time", this::time));
+        List<Event> events = new ArrayList<>();
+        if (!waitingCallers.isEmpty() || !ringsInFlight.isEmpty() || contactTable.unacknowledgedReleaseCount() > 0) {
+            events.add(new Event("time", this::advanceTime));
         }
-        if (offered < plan.offers) {
-            all.add(new Event("offer", this::offer));
+        if (offeredCount < scenario.offers) {
+            events.add(new Event("offer", this::offer));
         }
-        for (Map.Entry<String, Long> ring : List.copyOf(ringing.entrySet())) {
+        for (Map.Entry<String, Long> ring : List.copyOf(ringsInFlight.entrySet())) {
             String tag = ring.getKey();
-            all.add(new Event("stands " + tag, () -> stands(tag, ring.getValue())));
-            if (refused < plan.refusals) {
-                all.add(new Event("full " + tag, () -> refuse(tag, ring.getValue(), 34)));
-                all.add(new Event("reset " + tag, () -> refuse(tag, ring.getValue(), 41)));
+            events.add(new Event("stands " + tag, () -> establish(tag, ring.getValue())));
+            if (refusedCount < scenario.refusals) {
+                events.add(new Event("full " + tag, () -> refuseRing(tag, ring.getValue(), 34)));
+                events.add(new Event("reset " + tag, () -> refuseRing(tag, ring.getValue(), 41)));
             }
         }
-        for (String tag : List.copyOf(callers.keySet())) {
-            if (plan.cancels && cancelled < 1) {
-                all.add(new Event("cancel " + tag, () -> cancel(tag)));
+        for (String tag : List.copyOf(waitingCallers.keySet())) {
+            if (scenario.callerCancels && cancelledCount < 1) {
+                events.add(new Event("cancel " + tag, () -> cancel(tag)));
             }
         }
-        for (Map.Entry<String, Long> one : List.copyOf(standing.entrySet())) {
-            all.add(new Event("release " + one.getKey(), () -> released(one.getKey(), one.getValue())));
+        for (Map.Entry<String, Long> contact : List.copyOf(establishedContacts.entrySet())) {
+            events.add(new Event("release " + contact.getKey(), () -> release(contact.getKey(), contact.getValue())));
         }
-        if (plan.breaks && broken < 1 && !ringing.isEmpty()) {
-            all.add(new Event("break", this::breaks));
+        if (scenario.connectionBreaks && brokenConnectionCount < 1 && !ringsInFlight.isEmpty()) {
+            events.add(new Event("break", this::breakConnection));
         }
-        if (plan.dies && died < 1 && !standing.isEmpty()) {
-            all.add(new Event("dies", this::dies));
+        if (scenario.processEnds && endedProcessCount < 1 && !establishedContacts.isEmpty()) {
+            events.add(new Event("dies", this::endProcess));
         }
-        return all;
+        return events;
     }
 
     @Override
     public void checkQuiescent() {
-        if (!desk.known().isEmpty() || desk.openCount() != 0 || desk.establishedCount() != 0) {
+        if (!contactTable.knownTags().isEmpty()
+                || contactTable.openCount() != 0
+                || contactTable.establishedContacts() != 0) {
             rules.addViolation(
-                    "kept", "left over: " + desk.known() + " " + desk.openCount() + " " + desk.establishedCount());
+                    "kept",
+                    "left over: " + contactTable.knownTags() + " " + contactTable.openCount() + " "
+                            + contactTable.establishedContacts());
         }
     }
 
-    private void time() {
-        Moment now = wheel.now().plus(STEP);
+    private void advanceTime() {
+        Moment now = wheel.now().plus(TIME_STEP);
         wheel.advanceTo(now);
         rules.checkDeadlines(now);
     }
 
     private void offer() {
-        int number = ++offered;
-        String tag = ContactTableHarness.tag(number);
-        callers.put(tag, true);
-        rules.contactTaken(tag, wheel.now().plus(PATIENCE).plus(SLACK));
-        desk.setUpReceived(new SetUpRequest(
+        int contactNumber = ++offeredCount;
+        String tag = ContactTableHarness.tag(contactNumber);
+        waitingCallers.put(tag, true);
+        rules.contactTaken(tag, wheel.now().plus(PATIENCE).plus(ANSWER_SLACK));
+        contactTable.setUpReceived(new SetUpRequest(
                 1,
-                ContactTableHarness.request("INVITE", number),
+                ContactTableHarness.request("INVITE", contactNumber),
                 tag,
                 "00000000000000aa",
-                number % 2,
+                contactNumber % 2,
                 wheel.now(),
                 PATIENCE,
                 1,
@@ -149,46 +160,46 @@
                 new CallerCancellation()));
     }
 
-    private void stands(String tag, long target) {
-        ringing.remove(tag);
+    private void establish(String tag, long switchId) {
+        ringsInFlight.remove(tag);
         rules.ringEnded(wheel.now(), tag, false);
-        standing.put(tag, target);
-        desk.started(target, LINK, tag, "c=" + tag);
+        establishedContacts.put(tag, switchId);
+        contactTable.started(switchId, SWITCH_CONNECTION_ID, tag, "c=" + tag);
     }
 
-    private void refuse(String tag, long target, int cause) {
-        refused++;
-        ringing.remove(tag);
+    private void refuseRing(String tag, long switchId, int cause) {
+        refusedCount++;
+        ringsInFlight.remove(tag);
         rules.ringEnded(wheel.now(), tag, cause == 41);
-        desk.ended(target, LINK, tag, cause, cause == 34 ? "no_circuit" : null, new float[0]);
+        contactTable.ended(switchId, SWITCH_CONNECTION_ID, tag, cause, cause == 34 ? "no_circuit" : null, new float[0]);
     }
 
     private void cancel(String tag) {
-        cancelled++;
-        callers.remove(tag);
+        cancelledCount++;
+        waitingCallers.remove(tag);
         rules.callerGone(tag);
         Headers headers = new Headers();
         headers.add("Call-ID", tag).add("CSeq", "1 CANCEL");
-        desk.cancelReceived(1, new Request("CANCEL", "sip:00000000000000aa@net", headers));
+        contactTable.cancelReceived(1, new Request("CANCEL", "sip:00000000000000aa@net", headers));
     }
 
-    private void released(String tag, long target) {
-        standing.remove(tag);
-        desk.ended(target, LINK, tag, 16, null, new float[0]);
+    private void release(String tag, long switchId) {
+        establishedContacts.remove(tag);
+        contactTable.ended(switchId, SWITCH_CONNECTION_ID, tag, 16, null, new float[0]);
     }
 
-    private void breaks() {
-        broken++;
-        List<String> all = List.copyOf(ringing.keySet());
-        all.forEach(tag -> rules.ringEnded(wheel.now(), tag, true));
-        ringing.clear();
-        desk.switchConnectionEnded(101, LINK, true);
+    private void breakConnection() {
+        brokenConnectionCount++;
+        List<String> tags = List.copyOf(ringsInFlight.keySet());
+        tags.forEach(tag -> rules.ringEnded(wheel.now(), tag, true));
+        ringsInFlight.clear();
+        contactTable.switchConnectionEnded(101, SWITCH_CONNECTION_ID, true);
     }
 
-    private void dies() {
-        died++;
-        standing.values().removeIf(target -> target == 101);
-        desk.switchProcessEnded(101, null);
+    private void endProcess() {
+        endedProcessCount++;
+        establishedContacts.values().removeIf(switchId -> switchId == 101);
+        contactTable.switchProcessEnded(101, null);
     }
 
     @Override
@@ -196,43 +207,43 @@
         var message = MessageParser.parseMinimal(bytes, bytes.length).message();
         String tag = message.callId();
         if (message instanceof Request) {
-            if (callers.containsKey(tag)) {
+            if (waitingCallers.containsKey(tag)) {
                 rules.addViolation(1, tag + " was released before its answer");
             }
-            desk.notifyController(to -> desk.releaseAcknowledged(tag));
+            contactTable.notifyController(controller -> contactTable.releaseAcknowledged(tag));
             return true;
         }
-        Response answer = (Response) message;
-        if (!answer.headers().first("CSeq").endsWith("INVITE") || answer.status() == 487) {
+        Response response = (Response) message;
+        if (!response.headers().first("CSeq").endsWith("INVITE") || response.status() == 487) {
             return true;
         }
-        callers.remove(tag);
+        waitingCallers.remove(tag);
         rules.contactAnswered(wheel.now(), tag);
-        if (answer.isSuccess()) {
-            if (!new String(answer.body()).equals("c=" + tag) || !standing.containsKey(tag)) {
+        if (response.isSuccess()) {
+            if (!new String(response.body()).equals("c=" + tag) || !establishedContacts.containsKey(tag)) {
                 rules.addViolation(1, tag + " was served with what no switch made for it");
             }
             // The caller's own acknowledgement comes after the desk is done with this.
-            desk.notifyController(to -> desk.ackReceived(tag));
+            contactTable.notifyController(controller -> contactTable.ackReceived(tag));
         }
         return true;
     }
 
     @Override
-    public QueuedMessage sendStart(long target, SwitchStartRequest start, Runnable unsent) {
-        rules.ringSent(wheel.now(), "0", start.tag(), target);
-        ringing.put(start.tag(), target);
+    public QueuedMessage sendStart(long switchId, SwitchStartRequest start, Runnable unsent) {
+        rules.ringSent(wheel.now(), "0", start.tag(), switchId);
+        ringsInFlight.put(start.tag(), switchId);
         RevocableMessage message = new RevocableMessage(0, () -> new byte[0], unsent);
         message.bytes();
-        return new QueuedMessage(LINK, message);
+        return new QueuedMessage(SWITCH_CONNECTION_ID, message);
     }
 
     @Override
-    public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
-        if (ringing.remove(tag) != null) {
+    public void sendFinish(long switchId, long connection, String tag, int cause, Runnable written) {
+        if (ringsInFlight.remove(tag) != null) {
             rules.ringEnded(wheel.now(), tag, true);
         }
-        standing.remove(tag);
+        establishedContacts.remove(tag);
         written.run();
     }
 }
--- a/src/test/java/martenslip/platform/contact/EndCauseTest.java
+++ b/src/test/java/martenslip/platform/contact/EndCauseTest.java
@@ -10,7 +10,7 @@
 public class EndCauseTest {
     /** Cause and note as the platform writes them, what the module is told. */
     @DataProvider
-    public Object[][] rows() {
+    public Object[][] causes() {
         return new Object[][] {
             {34, "no_circuit", RingEndCause.TURNED_BACK, RejectionReason.NO_CIRCUIT},
             {34, "turned_back", RingEndCause.TURNED_BACK, RejectionReason.TANDEM},
@@ -28,14 +28,14 @@
     }
 
     @Test(dataProvider = "rows")
-    public void ofARing(int cause, String note, RingEndCause expected, RejectionReason blame) {
-        assertEquals(EndCause.ofRing(cause, note), new EndCause(expected, blame));
+    public void ofRingEnd(int q850Cause, String note, RingEndCause expected, RejectionReason rejectionReason) {
+        assertEquals(EndCause.ofRingEnd(q850Cause, note), new EndCause(expected, rejectionReason));
     }
 
     @Test
-    public void ofWhatStood() {
-        assertEquals(EndCause.ofStanding(16), RingEndCause.CONCLUDED);
-        assertEquals(EndCause.ofStanding(41), RingEndCause.CUT);
-        assertEquals(EndCause.ofStanding(0), RingEndCause.CUT);
+    public void ofEstablishedEnd() {
+        assertEquals(EndCause.ofEstablishedEnd(16), RingEndCause.CONCLUDED);
+        assertEquals(EndCause.ofEstablishedEnd(41), RingEndCause.CUT);
+        assertEquals(EndCause.ofEstablishedEnd(0), RingEndCause.CUT);
     }
 }
--- a/src/test/java/martenslip/platform/contact/WriteQueueInterleavingTest.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueInterleavingTest.java
@@ -15,13 +15,13 @@
  * has left.
  */
 public class WriteQueueInterleavingTest {
-    private static SearchResult search(Scenario plan, InjectedFault plant, int depth) {
-        return InterleavingExplorer.search(() -> new WriteQueueModel(plan, plant), depth);
+    private static SearchResult search(Scenario scenario, InjectedFault injectedFault, int depth) {
+        return InterleavingExplorer.search(() -> new WriteQueueModel(scenario, injectedFault), depth);
     }
 
     /** Name, plan (offers, circuits, connection up from the start), choices. */
     @DataProvider
-    public Object[][] worlds() {
+    public Object[][] scenarios() {
         return new Object[][] {
             {"one caller", new Scenario(1, 2, true), 6},
             {"one caller, a connection that comes late", new Scenario(1, 2, false), 6},
@@ -31,31 +31,31 @@
     }
 
     @Test(dataProvider = "worlds")
-    public void rulesHoldInEveryOrder(String name, Scenario plan, int depth) {
-        long begun = System.nanoTime();
-        SearchResult found = search(plan, InjectedFault.NONE, depth);
+    public void rulesHoldInEveryOrder(String name, Scenario scenario, int depth) {
+        long startedNs = System.nanoTime();
+        SearchResult result = search(scenario, InjectedFault.NONE, depth);
         System.out.printf(
                 "every order: %s, depth %d: %d orders in %d ms%n",
-                name, depth, found.sequences(), (System.nanoTime() - begun) / 1_000_000);
-        assertEquals(found.fault(), null, name);
-        assertTrue(found.sequences() > 1000, name + ": only " + found.sequences());
+                name, depth, result.sequences(), (System.nanoTime() - startedNs) / 1_000_000);
+        assertEquals(result.fault(), null, name);
+        assertTrue(result.sequences() > 1000, name + ": only " + result.sequences());
     }
 
     /** The check itself: each of these, planted, must be found. */
     @DataProvider
-    public Object[][] plants() {
+    public Object[][] injectedFaults() {
         return new Object[][] {
-            {InjectedFault.DEPARTED},
-            {InjectedFault.DRAINED},
-            {InjectedFault.END_NOT_WRITTEN},
-            {InjectedFault.NOT_REVOKED}
+            {InjectedFault.CANCELLATION_IGNORED},
+            {InjectedFault.DRAINING_IGNORED},
+            {InjectedFault.FINISH_REPORTED_BEFORE_WRITE},
+            {InjectedFault.WRITTEN_AFTER_REVOCATION}
         };
     }
 
     @Test(dataProvider = "plants")
-    public void aPlantedFaultIsFound(InjectedFault plant) {
-        SearchResult found = search(new Scenario(1, 2, true), plant, 5);
-        assertTrue(found.fault() != null, plant + " was not found in " + found.sequences() + " orders");
-        System.out.println("planted " + plant + ": " + found.fault());
+    public void anInjectedFaultIsFound(InjectedFault injectedFault) {
+        SearchResult result = search(new Scenario(1, 2, true), injectedFault, 5);
+        assertTrue(result.fault() != null, injectedFault + " was not found in " + result.sequences() + " orders");
+        System.out.println("planted " + injectedFault + ": " + result.fault());
     }
 }
--- a/src/test/java/martenslip/platform/contact/WriteQueueModel.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueModel.java
@@ -32,138 +32,144 @@
     /** A fault planted to see that the check finds it. */
     enum InjectedFault {
         NONE,
-        DEPARTED,
-        DRAINED,
-        END_NOT_WRITTEN,
-        NOT_REVOKED
+        CANCELLATION_IGNORED,
+        DRAINING_IGNORED,
+        FINISH_REPORTED_BEFORE_WRITE,
+        WRITTEN_AFTER_REVOCATION
     }
 
     private static final Span PATIENCE = Span.ofMillis(1500);
-    private static final Span SLACK = Span.ofMillis(50);
+    private static final Span ANSWER_SLACK = Span.ofMillis(50);
     /** Over the release of 300 ms and a round. */
-    private static final Span STEP = Span.ofMillis(350);
+    private static final Span TIME_STEP = Span.ofMillis(350);
 
-    private static final Span PROCESS_ENDS = Span.ofMillis(1000);
-    private static final Span TURN = Span.ofMillis(25);
-    private static final long TARGET = 101;
+    private static final Span PROCESS_END_DELAY = Span.ofMillis(1000);
+    private static final Span TIMER_TICK = Span.ofMillis(25);
+    private static final long SWITCH_ID = 101;
 
-    record Scenario(int offers, int circuits, boolean up) {}
+    record Scenario(int offers, int circuits, boolean connectedAtStart) {}
 
-    private final Scenario plan;
-    private final InjectedFault plant;
+    private final Scenario scenario;
+    private final InjectedFault injectedFault;
     private final TimerWheel wheel = new TimerWheel(new Moment(0));
-    private final ContactTable desk;
+    private final ContactTable contactTable;
     private final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
-    private final ArrayDeque<OutgoingMessage> unsent = new ArrayDeque<>();
-    private final Set<String> callers = new LinkedHashSet<>();
-    private final Map<String, CallerCancellation> marks = new LinkedHashMap<>();
-    private final Set<String> written = new LinkedHashSet<>();
-    private final Set<String> standing = new LinkedHashSet<>();
-    private final Set<String> done = new LinkedHashSet<>();
-    private long link = 40;
-    private boolean up;
-    private boolean writerHeld;
-    private boolean deciderHeld;
-    private boolean takesNew = true;
-    private int offered;
+    private final ArrayDeque<OutgoingMessage> outgoingMessages = new ArrayDeque<>();
+    private final Set<String> waitingCallers = new LinkedHashSet<>();
+    private final Map<String, CallerCancellation> cancellationsByTag = new LinkedHashMap<>();
+    private final Set<String> startsAtSwitch = new LinkedHashSet<>();
+    private final Set<String> establishedContacts = new LinkedHashSet<>();
+    private final Set<String> usedEvents = new LinkedHashSet<>();
+    private long switchConnectionId = 40;
+    private boolean isConnected;
+    private boolean isWriterHeld;
+    private boolean isDeciderHeld;
+    private boolean acceptsNewContacts = true;
+    private int offeredCount;
 
-    WriteQueueModel(Scenario plan, InjectedFault plant) {
+    WriteQueueModel(Scenario scenario, InjectedFault injectedFault) {
         super(new RuleChecker(Span.ZERO, Span.ofMillis(300), Span.ofMillis(10_000)), "switch-over", "unsure");
-        this.plan = plan;
-        this.plant = plant;
-        up = plan.up;
-        desk = new ContactTable(
+        this.scenario = scenario;
+        this.injectedFault = injectedFault;
+        isConnected = scenario.connectedAtStart;
+        contactTable = new ContactTable(
                 wheel,
                 new ContactSettings(List.of("cheap", "dear"), 100, Span.ofMillis(9000), Span.ofMillis(20)),
                 this);
-        desk.setController(new RoutingPolicy(ContactTableModel.settings(), 7, wheel.now(), desk));
-        list(SwitchEntry.State.READY);
-        desk.loadReported(TARGET, new float[] {plan.circuits, plan.circuits, -1});
+        contactTable.controller(new RoutingPolicy(ContactTableModel.settings(), 7, wheel.now(), contactTable));
+        notifySwitchList(SwitchEntry.State.READY);
+        contactTable.loadReported(SWITCH_ID, new float[] {scenario.circuits, scenario.circuits, -1});
     }
 
-    private void list(SwitchEntry.State state) {
-        desk.notifyController(to -> to.switchListReceived(
+    private void notifySwitchList(SwitchEntry.State state) {
+        contactTable.notifyController(controller -> controller.switchListReceived(
                 wheel.now(),
                 ListKind.CHANGES,
                 List.of(
                         new SwitchEntry(100, 0, SwitchEntry.State.READY, null, 0),
-                        new SwitchEntry(TARGET, 1, state, null, 0))));
+                        new SwitchEntry(SWITCH_ID, 1, state, null, 0))));
     }
 
     @Override
     public List<Event> enabledEvents() {
-        List<Event> all = new ArrayList<>();
-        if (deciderHeld) {
-            all.add(event("decider goes on", () -> deciderHeld = false));
+        List<Event> events = new ArrayList<>();
+        if (isDeciderHeld) {
+            events.add(eventThenSettle("decider goes on", () -> isDeciderHeld = false));
         }
-        if (writerHeld) {
-            all.add(event("writer goes on", () -> writerHeld = false));
+        if (isWriterHeld) {
+            events.add(eventThenSettle("writer goes on", () -> isWriterHeld = false));
         }
-        if (!up) {
-            all.add(event("up", () -> up = true));
-            once(all, "never up", () -> lost(false));
+        if (!isConnected) {
+            events.add(eventThenSettle("up", () -> isConnected = true));
+            addOnce(events, "never up", () -> loseConnection(false));
         }
         // A deciding thread that is held turns no wheel either: what is held there waits, it is not late.
-        if (!deciderHeld
-                && (!callers.isEmpty()
-                        || !written.isEmpty()
-                        || !unsent.isEmpty()
-                        || desk.unacknowledgedReleaseCount() > 0
-                        || !desk.known().isEmpty() && standing.isEmpty())) {
-            all.add(event("time", this::time));
+        if (!isDeciderHeld
+                && (!waitingCallers.isEmpty()
+                        || !startsAtSwitch.isEmpty()
+                        || !outgoingMessages.isEmpty()
+                        || contactTable.unacknowledgedReleaseCount() > 0
+                        || !contactTable.knownTags().isEmpty() && establishedContacts.isEmpty())) {
+            events.add(eventThenSettle("time", this::advanceTime));
         }
-        if (offered < plan.offers) {
-            all.add(event("offer", this::offer));
+        if (offeredCount < scenario.offers) {
+            events.add(eventThenSettle("offer", this::offer));
         }
-        for (String tag : List.copyOf(callers)) {
-            once(all, "cancel " + tag, () -> cancel(tag));
-            once(all, "end " + tag, () -> ends(tag));
+        for (String tag : List.copyOf(waitingCallers)) {
+            addOnce(events, "cancel " + tag, () -> cancel(tag));
+            addOnce(events, "end " + tag, () -> endCallerConnection(tag));
         }
-        for (String tag : List.copyOf(written)) {
-            all.add(event("answer " + tag, () -> answer(tag)));
-            once(all, "spoilt " + tag, () -> inbox.add(() -> desk.started(TARGET, link, tag, null)));
-            once(all, "full " + tag, () -> over(tag, 34, false));
+        for (String tag : List.copyOf(startsAtSwitch)) {
+            events.add(eventThenSettle("answer " + tag, () -> answerRing(tag)));
+            addOnce(
+                    events,
+                    "spoilt " + tag,
+                    () -> inbox.add(() -> contactTable.started(SWITCH_ID, switchConnectionId, tag, null)));
+            addOnce(events, "full " + tag, () -> endContact(tag, 34, false));
         }
-        for (String tag : List.copyOf(standing)) {
-            once(all, "second " + tag, () -> inbox.add(() -> desk.started(TARGET, link, tag, "c=second")));
-            all.add(event("release " + tag, () -> over(tag, 16, false)));
+        for (String tag : List.copyOf(establishedContacts)) {
+            addOnce(
+                    events,
+                    "second " + tag,
+                    () -> inbox.add(() -> contactTable.started(SWITCH_ID, switchConnectionId, tag, "c=second")));
+            events.add(eventThenSettle("release " + tag, () -> endContact(tag, 16, false)));
         }
-        if (up && (!unsent.isEmpty() || !written.isEmpty())) {
-            once(all, "reset", () -> lost(true));
+        if (isConnected && (!outgoingMessages.isEmpty() || !startsAtSwitch.isEmpty())) {
+            addOnce(events, "reset", () -> loseConnection(true));
         }
-        once(all, "writer held", () -> writerHeld = true);
-        once(all, "decider held", () -> deciderHeld = true);
-        if (offered > 0) {
-            once(all, "drain", () -> inbox.add(this::drain));
-            once(all, "remove", () -> inbox.add(this::remove));
-            once(all, "term", () -> inbox.add(desk::refuseNewContacts));
+        addOnce(events, "writer held", () -> isWriterHeld = true);
+        addOnce(events, "decider held", () -> isDeciderHeld = true);
+        if (offeredCount > 0) {
+            addOnce(events, "drain", () -> inbox.add(this::drain));
+            addOnce(events, "remove", () -> inbox.add(this::remove));
+            addOnce(events, "term", () -> inbox.add(contactTable::isRefusingNewContacts));
         }
-        return all;
+        return events;
     }
 
-    private void once(List<Event> all, String name, Runnable what) {
-        if (!done.contains(name)) {
-            all.add(event(name, () -> {
-                done.add(name);
-                what.run();
+    private void addOnce(List<Event> events, String name, Runnable action) {
+        if (!usedEvents.contains(name)) {
+            events.add(eventThenSettle(name, () -> {
+                usedEvents.add(name);
+                action.run();
             }));
         }
     }
 
     /** After each, whatever is not held goes on. */
-    private Event event(String name, Runnable what) {
+    private Event eventThenSettle(String name, Runnable action) {
         return new Event(name, () -> {
-            what.run();
-            settle();
+            action.run();
+            runUntilBlocked();
         });
     }
 
-    private void settle() {
-        while (!deciderHeld && !inbox.isEmpty() || !writerHeld && up && !unsent.isEmpty()) {
-            if (!deciderHeld && !inbox.isEmpty()) {
+    private void runUntilBlocked() {
+        while (!isDeciderHeld && !inbox.isEmpty() || !isWriterHeld && isConnected && !outgoingMessages.isEmpty()) {
+            if (!isDeciderHeld && !inbox.isEmpty()) {
                 inbox.poll().run();
             } else {
-                OutgoingMessage next = unsent.poll();
+                OutgoingMessage next = outgoingMessages.poll();
                 next.bytes();
                 next.completed();
             }
@@ -172,35 +178,40 @@
 
     @Override
     public void checkQuiescent() {
-        if (!desk.known().isEmpty() || desk.openCount() != 0 || desk.establishedCount() != 0 || !inbox.isEmpty()) {
+        if (!contactTable.knownTags().isEmpty()
+                || contactTable.openCount() != 0
+                || contactTable.establishedContacts() != 0
+                || !inbox.isEmpty()) {
             rules.addViolation(
-                    "kept", "left over: " + desk.known() + " " + desk.openCount() + " " + desk.establishedCount());
+                    "kept",
+                    "left over: " + contactTable.knownTags() + " " + contactTable.openCount() + " "
+                            + contactTable.establishedContacts());
         }
-        if (!written.isEmpty()) {
-            rules.addViolation("kept", "still held at the switch: " + written);
+        if (!startsAtSwitch.isEmpty()) {
+            rules.addViolation("kept", "still held at the switch: " + startsAtSwitch);
         }
     }
 
-    private void time() {
-        for (Moment until = wheel.now().plus(STEP); wheel.now().before(until); settle()) {
-            wheel.advanceTo(wheel.now().plus(TURN));
+    private void advanceTime() {
+        for (Moment until = wheel.now().plus(TIME_STEP); wheel.now().before(until); runUntilBlocked()) {
+            wheel.advanceTo(wheel.now().plus(TIMER_TICK));
             rules.checkDeadlines(wheel.now());
         }
     }
 
     private void offer() {
-        int number = ++offered;
-        String tag = ContactTableHarness.tag(number);
-        CallerCancellation caller = new CallerCancellation();
-        callers.add(tag);
-        marks.put(tag, caller);
-        rules.contactTaken(tag, wheel.now().plus(PATIENCE).plus(SLACK));
-        SetUpRequest asked = new SetUpRequest(
-                number,
-                ContactTableHarness.request("INVITE", number),
+        int contactNumber = ++offeredCount;
+        String tag = ContactTableHarness.tag(contactNumber);
+        CallerCancellation cancellation = new CallerCancellation();
+        waitingCallers.add(tag);
+        cancellationsByTag.put(tag, cancellation);
+        rules.contactTaken(tag, wheel.now().plus(PATIENCE).plus(ANSWER_SLACK));
+        SetUpRequest request = new SetUpRequest(
+                contactNumber,
+                ContactTableHarness.request("INVITE", contactNumber),
                 tag,
                 "00000000000000aa",
-                number % 2,
+                contactNumber % 2,
                 wheel.now(),
                 PATIENCE,
                 1,
@@ -210,118 +221,120 @@
                 false,
                 null,
                 "v=0",
-                caller);
-        inbox.add(() -> desk.setUpReceived(asked));
+                cancellation);
+        inbox.add(() -> contactTable.setUpReceived(request));
     }
 
-    private void leaves(String tag) {
-        callers.remove(tag);
+    private void callerLeaves(String tag) {
+        waitingCallers.remove(tag);
         rules.callerGone(tag);
-        marks.get(tag).cancel();
+        cancellationsByTag.get(tag).cancel();
     }
 
     private void cancel(String tag) {
-        leaves(tag);
-        int number = (int) Long.parseLong(tag, 16);
-        inbox.add(() -> desk.cancelReceived(number, ContactTableHarness.request("CANCEL", number)));
+        callerLeaves(tag);
+        int contactNumber = (int) Long.parseLong(tag, 16);
+        inbox.add(
+                () -> contactTable.cancelReceived(contactNumber, ContactTableHarness.request("CANCEL", contactNumber)));
     }
 
-    private void ends(String tag) {
-        leaves(tag);
-        inbox.add(() -> desk.callerConnectionEnded(Long.parseLong(tag, 16)));
+    private void endCallerConnection(String tag) {
+        callerLeaves(tag);
+        inbox.add(() -> contactTable.callerConnectionEnded(Long.parseLong(tag, 16)));
     }
 
-    private void answer(String tag) {
-        written.remove(tag);
+    private void answerRing(String tag) {
+        startsAtSwitch.remove(tag);
         rules.ringEnded(wheel.now(), tag, false);
-        standing.add(tag);
-        long by = link;
-        inbox.add(() -> desk.started(TARGET, by, tag, "c=" + tag));
+        establishedContacts.add(tag);
+        long connectionId = switchConnectionId;
+        inbox.add(() -> contactTable.started(SWITCH_ID, connectionId, tag, "c=" + tag));
     }
 
-    private void over(String tag, int cause, boolean held) {
-        if (written.remove(tag)) {
-            rules.ringEnded(wheel.now(), tag, held);
+    private void endContact(String tag, int cause, boolean circuitsHeld) {
+        if (startsAtSwitch.remove(tag)) {
+            rules.ringEnded(wheel.now(), tag, circuitsHeld);
         }
-        standing.remove(tag);
-        long by = link;
-        inbox.add(() -> desk.ended(TARGET, by, tag, cause, cause == 34 ? "no_circuit" : null, new float[0]));
+        establishedContacts.remove(tag);
+        long connectionId = switchConnectionId;
+        inbox.add(() -> contactTable.ended(
+                SWITCH_ID, connectionId, tag, cause, cause == 34 ? "no_circuit" : null, new float[0]));
     }
 
     /** Its connection is over and another is asked for, which is up at once where the first was. */
-    private void lost(boolean everUp) {
-        long by = link++;
-        List<OutgoingMessage> never = List.copyOf(unsent);
-        unsent.clear();
-        written.forEach(tag -> rules.ringEnded(wheel.now(), tag, true));
-        written.clear();
-        never.forEach(OutgoingMessage::completed);
-        inbox.add(() -> desk.switchConnectionEnded(TARGET, by, everUp));
+    private void loseConnection(boolean everUp) {
+        long connectionId = switchConnectionId++;
+        List<OutgoingMessage> lostMessages = List.copyOf(outgoingMessages);
+        outgoingMessages.clear();
+        startsAtSwitch.forEach(tag -> rules.ringEnded(wheel.now(), tag, true));
+        startsAtSwitch.clear();
+        lostMessages.forEach(OutgoingMessage::completed);
+        inbox.add(() -> contactTable.switchConnectionEnded(SWITCH_ID, connectionId, everUp));
     }
 
     private void drain() {
-        takesNew = false;
-        rules.setDraining(wheel.now(), "0", TARGET, true);
-        list(SwitchEntry.State.DRAINING);
+        acceptsNewContacts = false;
+        rules.setDraining(wheel.now(), "0", SWITCH_ID, true);
+        notifySwitchList(SwitchEntry.State.DRAINING);
     }
 
     private void remove() {
-        takesNew = false;
-        rules.setDraining(wheel.now(), "0", TARGET, true);
-        list(SwitchEntry.State.GONE);
+        acceptsNewContacts = false;
+        rules.setDraining(wheel.now(), "0", SWITCH_ID, true);
+        notifySwitchList(SwitchEntry.State.GONE);
         // Its process ends some time after; until then it may still say something.
-        wheel.scheduleAfter(PROCESS_ENDS, () -> {
-            standing.clear();
-            lost(true);
-            inbox.add(() -> desk.switchProcessEnded(TARGET, null));
+        wheel.scheduleAfter(PROCESS_END_DELAY, () -> {
+            establishedContacts.clear();
+            loseConnection(true);
+            inbox.add(() -> contactTable.switchProcessEnded(SWITCH_ID, null));
         });
     }
 
     // ---- what the desk sends
 
     @Override
-    public QueuedMessage sendStart(long target, SwitchStartRequest start, Runnable unsaid) {
+    public QueuedMessage sendStart(long switchId, SwitchStartRequest start, Runnable notSent) {
         String tag = start.tag();
-        boolean looks = plant != InjectedFault.DEPARTED;
+        boolean checksCancellation = injectedFault != InjectedFault.CANCELLATION_IGNORED;
         RevocableMessage message = new RevocableMessage(
                 0,
                 () -> {
-                    boolean due = looks
+                    boolean isDue = checksCancellation
                             ? start.isDue(wheel.now())
                             : start.remaining(wheel.now()).longerThan(Span.ZERO);
-                    if (!due || !takesNew && plant != InjectedFault.DRAINED) {
+                    if (!isDue || !acceptsNewContacts && injectedFault != InjectedFault.DRAINING_IGNORED) {
                         return null;
                     }
-                    rules.ringSent(wheel.now(), "0", tag, target);
-                    written.add(tag);
+                    rules.ringSent(wheel.now(), "0", tag, switchId);
+                    startsAtSwitch.add(tag);
                     return new byte[0];
                 },
-                () -> inbox.add(unsaid));
-        if (plant == InjectedFault.NOT_REVOKED) {
+                () -> inbox.add(notSent));
+        if (injectedFault == InjectedFault.WRITTEN_AFTER_REVOCATION) {
             // Written whatever became of it, as it was before: the sender's word comes too late.
-            unsent.add(OutgoingMessage.of(new byte[0], () -> {
-                rules.ringSent(wheel.now(), "0", tag, target);
-                written.add(tag);
+            outgoingMessages.add(OutgoingMessage.of(new byte[0], () -> {
+                rules.ringSent(wheel.now(), "0", tag, switchId);
+                startsAtSwitch.add(tag);
             }));
             message.bytes();
-            return new QueuedMessage(link, message);
+            return new QueuedMessage(switchConnectionId, message);
         }
-        unsent.add(message);
-        return new QueuedMessage(link, message);
+        outgoingMessages.add(message);
+        return new QueuedMessage(switchConnectionId, message);
     }
 
     @Override
-    public void sendFinish(long target, long connection, String tag, int cause, Runnable told) {
-        if (plant == InjectedFault.END_NOT_WRITTEN) {
-            inbox.add(told);
+    public void sendFinish(long switchId, long connection, String tag, int cause, Runnable written) {
+        if (injectedFault == InjectedFault.FINISH_REPORTED_BEFORE_WRITE) {
+            inbox.add(written);
         }
-        Runnable end = () -> {
-            if (written.remove(tag)) {
+        Runnable finish = () -> {
+            if (startsAtSwitch.remove(tag)) {
                 rules.ringEnded(wheel.now(), tag, true);
             }
-            standing.remove(tag);
+            establishedContacts.remove(tag);
         };
-        unsent.add(new OutgoingMessage() {
+        outgoingMessages.add(new OutgoingMessage() {
             @Override
             public int size() {
                 return 0;
@@ -329,16 +342,16 @@
 
             @Override
             public byte[] bytes() {
-                end.run();
+                finish.run();
                 return new byte[0];
             }
 
             @Override
             public void completed() {
                 // Lost with its connection, the switch gives up by itself what went by it.
-                end.run();
-                if (plant != InjectedFault.END_NOT_WRITTEN) {
-                    inbox.add(told);
+                finish.run();
+                if (injectedFault != InjectedFault.FINISH_REPORTED_BEFORE_WRITE) {
+                    inbox.add(written);
                 }
             }
         });
@@ -349,30 +362,30 @@
         var message = MessageParser.parseMinimal(bytes, bytes.length).message();
         String tag = message.callId();
         if (message instanceof Request) {
-            if (callers.contains(tag)) {
+            if (waitingCallers.contains(tag)) {
                 rules.addViolation(1, tag + " was released before its answer");
             }
-            inbox.add(() -> desk.releaseAcknowledged(tag));
+            inbox.add(() -> contactTable.releaseAcknowledged(tag));
             return true;
         }
-        Response answer = (Response) message;
-        if (!answer.headers().first("CSeq").endsWith("INVITE") || answer.status() == 487) {
+        Response response = (Response) message;
+        if (!response.headers().first("CSeq").endsWith("INVITE") || response.status() == 487) {
             return true;
         }
-        if (marks.get(tag).isCancelled()) {
+        if (cancellationsByTag.get(tag).isCancelled()) {
             // A refusal may cross its leaving, and nobody waits for it; a good answer holds a circuit for nobody.
-            if (answer.isSuccess()) {
+            if (response.isSuccess()) {
                 rules.addViolation("departed", tag + " was served after it had left");
             }
             return true;
         }
-        callers.remove(tag);
+        waitingCallers.remove(tag);
         rules.contactAnswered(wheel.now(), tag);
-        if (answer.isSuccess()) {
-            if (!new String(answer.body()).equals("c=" + tag)) {
+        if (response.isSuccess()) {
+            if (!new String(response.body()).equals("c=" + tag)) {
                 rules.addViolation(1, tag + " was served with what no switch made for it");
             }
-            inbox.add(() -> desk.ackReceived(tag));
+            inbox.add(() -> contactTable.ackReceived(tag));
         }
         return true;
     }
