--- a/src/main/java/martenslip/platform/Configuration.java
+++ b/src/main/java/martenslip/platform/Configuration.java
@@ -18,7 +18,7 @@
 record Configuration(
         String name,
         InetSocketAddress listenAddress,
-        long parseSeed,
+        long seed,
         int maxSockets,
         String limitsText,
         InetSocketAddress peerListenAddress,
--- a/src/main/java/martenslip/platform/ControllerService.java
+++ b/src/main/java/martenslip/platform/ControllerService.java
@@ -142,8 +142,8 @@
                         (peer, note) -> loop.offer((Runnable) () -> contactTable.notifyController(
                                 controller -> controller.peerNoteReceived(wheel.now(), peer, note))))
                 : null;
-        contactTable.controller(
-                controllerFactory.create(settings, configuration.parseSeed(), wheel.now(), contactTable));
+        contactTable.setController(
+                controllerFactory.create(settings, configuration.seed(), wheel.now(), contactTable));
     }
 
     /** Begins to serve; the port that is listened on is returned. */
@@ -221,7 +221,7 @@
         log.write(
                 "counts",
                 contactTable.counters() + " open=" + contactTable.openCount() + " standing="
-                        + contactTable.establishedContacts() + " unheard="
+                        + contactTable.establishedCount() + " unheard="
                         + contactTable.unacknowledgedReleaseCount() + " lines=" + callerConnections.connectionCount()
                         + " switch-lines="
                         + switchConnections.connectionCount()
@@ -252,8 +252,8 @@
                     isShuttingDown = true;
                     log.write(
                             "term",
-                            "open=" + contactTable.openCount() + " standing=" + contactTable.establishedContacts());
-                    wheel.scheduleAfter(ACCEPT_AFTER_SIGTERM, contactTable::isRefusingNewContacts);
+                            "open=" + contactTable.openCount() + " standing=" + contactTable.establishedCount());
+                    wheel.scheduleAfter(ACCEPT_AFTER_SIGTERM, contactTable::refuseNewContacts);
                     wheel.scheduleAfter(MIN_SHUTDOWN_DELAY, this::shutDownWhenIdle);
                 }
             });
--- a/src/main/java/martenslip/platform/contact/ContactTable.java
+++ b/src/main/java/martenslip/platform/contact/ContactTable.java
@@ -33,7 +33,7 @@
 
     private final TimerWheel wheel;
     private final ContactSettings settings;
-    private final OutboundMessages isAwaitingAnswerFrom;
+    private final OutboundMessages outbound;
     private final Map<String, TrackedContact> contactsByTag = new HashMap<>();
     private final Map<Long, TrackedContact> openContactsById = new LinkedHashMap<>();
     private final Map<Long, TrackedContact> inFlightById = new LinkedHashMap<>();
@@ -52,14 +52,14 @@
     public ContactTable(TimerWheel wheel, ContactSettings settings, OutboundMessages outbound) {
         this.wheel = wheel;
         this.settings = settings;
-        this.isAwaitingAnswerFrom = outbound;
+        this.outbound = outbound;
         releaseSender = new ReleaseSender(wheel, outbound);
         establishedContacts = new EstablishedContacts(outbound, releaseSender, this::establishedContactEnded);
     }
 
     /** The module that was made with this desk as its orders. */
-    public void controller(Controller moduleController) {
-        controller = moduleController;
+    public void setController(Controller module) {
+        controller = module;
     }
 
     public ContactCounters counters() {
@@ -71,7 +71,7 @@
         return openContactsById.size();
     }
 
-    public int establishedContacts() {
+    public int establishedCount() {
         return establishedContacts.count();
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** From now on what comes is refused; what is open is answered in its own time. */
-    public void isRefusingNewContacts() {
+    public void refuseNewContacts() {
         isRefusingNewContacts = true;
     }
 
@@ -103,7 +103,7 @@
                     next.accept(controller);
                 } catch (RuntimeException e) {
                     // It costs this piece of news: contacts it left open have their last word here.
-                    isAwaitingAnswerFrom.log("fault", "the module: " + e);
+                    outbound.log("fault", "the module: " + e);
                 }
             }
         } finally {
@@ -120,14 +120,14 @@
                 && existing.isOpen
                 && existing.callerConnectionId == request.connectionId()) {
             // Which of the two its caller means can't be told, and neither may be answered as good.
-            isAwaitingAnswerFrom.disconnect(request.connectionId(), "two set-ups under one id");
+            outbound.disconnect(request.connectionId(), "two set-ups under one id");
             return;
         }
         if (request.establishedSwitch() == null
                 && (existing != null || isRefusingNewContacts || openContactsById.size() >= settings.maxOpen())) {
             counters.refusedWithoutOffer++;
-            isAwaitingAnswerFrom.contactAnswered(request.connectionId(), request.tag());
-            isAwaitingAnswerFrom.sendToCaller(
+            outbound.contactAnswered(request.connectionId(), request.tag());
+            outbound.sendToCaller(
                     request.connectionId(),
                     existing != null
                             ? CallerMessages.response(request.invite(), 482, "Loop Detected")
@@ -137,8 +137,8 @@
         if (request.cancellation().isCancelled()) {
             // Nobody waits for it any more: what its caller said after it stands behind it in the inbox.
             counters.callerGone++;
-            isAwaitingAnswerFrom.contactAnswered(request.connectionId(), request.tag());
-            isAwaitingAnswerFrom.sendToCaller(
+            outbound.contactAnswered(request.connectionId(), request.tag());
+            outbound.sendToCaller(
                     request.connectionId(), CallerMessages.response(request.invite(), 487, "Request Terminated"));
             return;
         }
@@ -168,7 +168,7 @@
 
     /** A contact that stands already at a switch, as its caller says; no answer is expected. */
     public void establishedContactReported(SetUpRequest request, long switchId) {
-        isAwaitingAnswerFrom.contactAnswered(request.connectionId(), request.tag());
+        outbound.contactAnswered(request.connectionId(), request.tag());
         if (contactsByTag.containsKey(request.tag())) {
             return;
         }
@@ -183,7 +183,7 @@
 
     /** One that names a switch that is nowhere: what it named is over. */
     public void establishedContactReportedAtUnknownSwitch(SetUpRequest request) {
-        isAwaitingAnswerFrom.contactAnswered(request.connectionId(), request.tag());
+        outbound.contactAnswered(request.connectionId(), request.tag());
         if (!contactsByTag.containsKey(request.tag())) {
             releaseSender.release(
                     request.tag(), request.calledNumber(), EndCause.TEMPORARY_FAILURE, request.connectionId());
@@ -193,18 +193,18 @@
     public void cancelReceived(long connectionId, Request request) {
         TrackedContact contact = contactsByTag.get(request.callId());
         if (contact == null || contact.callerConnectionId != connectionId) {
-            isAwaitingAnswerFrom.sendToCaller(
+            outbound.sendToCaller(
                     connectionId, CallerMessages.response(request, 481, "Call/Transaction Does Not Exist"));
             return;
         }
-        isAwaitingAnswerFrom.sendToCaller(connectionId, CallerMessages.response(request, 200, "OK"));
+        outbound.sendToCaller(connectionId, CallerMessages.response(request, 200, "OK"));
         callerLeft(contact);
     }
 
     /** Its caller has cancelled, or is known to have gone before that was told here. */
     private void callerLeft(TrackedContact contact) {
         if (contact.isOpen) {
-            isAwaitingAnswerFrom.sendToCaller(
+            outbound.sendToCaller(
                     contact.callerConnectionId,
                     CallerMessages.response(contact.setUpRequest.invite(), 487, "Request Terminated"));
             callerGone(contact);
@@ -221,7 +221,7 @@
         TrackedContact contact = contactsByTag.get(request.callId());
         boolean isOpen = contact != null && contact.isOpen && contact.callerConnectionId == connectionId;
         boolean isEstablished = contact != null && contact.isEstablished;
-        isAwaitingAnswerFrom.sendToCaller(
+        outbound.sendToCaller(
                 connectionId,
                 isOpen || isEstablished
                         ? CallerMessages.response(request, 200, "OK")
@@ -281,7 +281,7 @@
         closeSetUp(contact);
         establishedContacts.add(contact, wheel.now());
         counters.established++;
-        boolean delivered = isAwaitingAnswerFrom.sendToCaller(
+        boolean delivered = outbound.sendToCaller(
                 contact.callerConnectionId,
                 CallerMessages.established(inviteRequest, description.getBytes(StandardCharsets.UTF_8)));
         notifyController(controller -> controller.established(wheel.now(), contact.id, ringNumber, switchId, elapsed));
@@ -291,7 +291,7 @@
     }
 
     public void ended(long switchId, long switchConnectionId, String tag, int cause, String note, float[] report) {
-        isAwaitingAnswerFrom.sendFinished(switchId, switchConnectionId, tag);
+        outbound.sendFinished(switchId, switchConnectionId, tag);
         TrackedContact contact = contactsByTag.get(tag);
         if (contact == null || !isAwaitingAnswerFrom(contact, switchId)) {
             return;
@@ -378,7 +378,7 @@
         contact.isOpen = false;
         contact.answerDeadlineTimer.cancel();
         openContactsById.remove(contact.id);
-        isAwaitingAnswerFrom.contactAnswered(contact.callerConnectionId, contact.tag);
+        outbound.contactAnswered(contact.callerConnectionId, contact.tag);
         if (contact.attempt == null) {
             contactsByTag.remove(contact.tag);
         }
@@ -420,7 +420,7 @@
         }
         attempt.timeLimitTimer.cancel();
         attempt.isCancelled = true;
-        isAwaitingAnswerFrom.sendFinish(
+        outbound.sendFinish(
                 attempt.switchId, attempt.switchConnectionId(), contact.tag, EndCause.NORMAL_CLEARING, () -> {
                     if (contact.attempt == attempt) {
                         attemptEnded(contact, cause, RejectionReason.NONE, NO_REPORT);
@@ -456,8 +456,8 @@
         if (!contact.isOpen) {
             return;
         }
-        isAwaitingAnswerFrom.log("last-word", "the module left a contact without an answer");
-        isAwaitingAnswerFrom.sendToCaller(
+        outbound.log("last-word", "the module left a contact without an answer");
+        outbound.sendToCaller(
                 contact.callerConnectionId,
                 CallerMessages.response(contact.setUpRequest.invite(), 500, "Server Internal Error"));
         callerGone(contact);
@@ -469,7 +469,7 @@
     public void ring(long contactId, long switchId, Span limit) {
         TrackedContact contact = openContactsById.get(contactId);
         if (contact == null || contact.attempt != null) {
-            isAwaitingAnswerFrom.log("fault", "an attempt for a contact that is over or has one out");
+            outbound.log("fault", "an attempt for a contact that is over or has one out");
             return;
         }
         int ringNumber = contact.attemptCount++;
@@ -478,7 +478,7 @@
         Moment deadline = wheel.now().plus(limit);
         QueuedMessage queued = request.cancellation().isCancelled()
                 ? null
-                : isAwaitingAnswerFrom.sendStart(
+                : outbound.sendStart(
                         switchId,
                         new SwitchStartRequest(
                                 contact.tag,
@@ -522,7 +522,7 @@
         }
         TrackedContact.Attempt attempt = contact.attempt;
         if (!attempt.revoke()) {
-            isAwaitingAnswerFrom.sendFinish(
+            outbound.sendFinish(
                     attempt.switchId, attempt.switchConnectionId(), contact.tag, EndCause.NORMAL_CLEARING, () -> {});
         }
         attempt.isCancelled = true;
@@ -543,7 +543,7 @@
         TrackedContact contact = openContactsById.get(contactId);
         if (contact != null) {
             counters.deferred++;
-            isAwaitingAnswerFrom.sendToCaller(
+            outbound.sendToCaller(
                     contact.callerConnectionId, CallerMessages.deferred(contact.setUpRequest.invite(), retryDelay));
             closeSetUp(contact);
         }
@@ -554,7 +554,7 @@
         TrackedContact contact = openContactsById.get(contactId);
         if (contact != null) {
             counters.abandoned++;
-            isAwaitingAnswerFrom.sendToCaller(
+            outbound.sendToCaller(
                     contact.callerConnectionId,
                     CallerMessages.response(contact.setUpRequest.invite(), 500, "Server Internal Error"));
             closeSetUp(contact);
@@ -568,12 +568,12 @@
 
     @Override
     public void probe(long switchId) {
-        isAwaitingAnswerFrom.log("probe", "probes are not allowed on this platform");
+        outbound.log("probe", "probes are not allowed on this platform");
     }
 
     @Override
     public void sendNote(int peer, byte[] note) {
-        isAwaitingAnswerFrom.sendNote(peer, note);
+        outbound.sendNote(peer, note);
     }
 
     @Override
@@ -583,7 +583,7 @@
 
     @Override
     public void log(String message) {
-        isAwaitingAnswerFrom.log("module", message);
+        outbound.log("module", message);
     }
 
     /** For checks: contacts that this desk still knows. */
--- a/src/main/java/martenslip/platform/contact/ReleaseSender.java
+++ b/src/main/java/martenslip/platform/contact/ReleaseSender.java
@@ -35,7 +35,7 @@
 
     private final TimerWheel wheel;
     private final OutboundMessages outbound;
-    private final Map<String, PendingRelease> pendingCount = new LinkedHashMap<>();
+    private final Map<String, PendingRelease> pendingByTag = new LinkedHashMap<>();
 
     ReleaseSender(TimerWheel wheel, OutboundMessages outbound) {
         this.wheel = wheel;
@@ -43,28 +43,28 @@
     }
 
     int pendingCount() {
-        return pendingCount.size();
+        return pendingByTag.size();
     }
 
     /** The caller has taken it, or knows nothing of it. */
     void acknowledged(String tag) {
-        pendingCount.remove(tag);
+        pendingByTag.remove(tag);
     }
 
     void release(String tag, String calledNumber, int q850Cause, long connectionId) {
-        if (pendingCount.size() >= MAX_PENDING_RELEASES) {
+        if (pendingByTag.size() >= MAX_PENDING_RELEASES) {
             outbound.log("releases", "too many releases unheard, the oldest is dropped");
-            pendingCount.remove(pendingCount.keySet().iterator().next());
+            pendingByTag.remove(pendingByTag.keySet().iterator().next());
         }
         PendingRelease pending =
                 new PendingRelease(tag, CallerMessages.release(tag, calledNumber, q850Cause), connectionId);
-        pendingCount.put(tag, pending);
+        pendingByTag.put(tag, pending);
         transmitUntilAcknowledged(pending);
     }
 
     /** A connection is over: what was said on it last, and not heard, may never have come through. */
     void callerConnectionEnded(long connectionId) {
-        for (PendingRelease pending : List.copyOf(pendingCount.values())) {
+        for (PendingRelease pending : List.copyOf(pendingByTag.values())) {
             if (pending.connectionId == connectionId && pending.transmissions > 0) {
                 transmit(pending);
             }
@@ -72,7 +72,7 @@
     }
 
     private void transmitUntilAcknowledged(PendingRelease pending) {
-        if (pendingCount.get(pending.tag) != pending) {
+        if (pendingByTag.get(pending.tag) != pending) {
             return;
         }
         transmit(pending);
@@ -80,7 +80,7 @@
             outbound.log(
                     "unheard",
                     "the release of " + pending.tag + " was said " + pending.transmissions + " times and not heard");
-            pendingCount.remove(pending.tag);
+            pendingByTag.remove(pending.tag);
             return;
         }
         wheel.scheduleAfter(RETRANSMIT_INTERVAL, () -> transmitUntilAcknowledged(pending));
--- a/src/test/java/martenslip/platform/ConfigurationTest.java
+++ b/src/test/java/martenslip/platform/ConfigurationTest.java
@@ -67,7 +67,7 @@
         return cases.toArray(Object[][]::new);
     }
 
-    @Test(dataProvider = "wrong")
+    @Test(dataProvider = "wrongSettings")
     public void aWrongSettingIsRefusedByItsPath(String path, String validText, String wrongValue) throws IOException {
         String text = VALID.replace(validText, wrongValue);
         assertTrue(!text.equals(VALID), validText + " is not there");
--- a/src/test/java/martenslip/platform/ControllerServiceTest.java
+++ b/src/test/java/martenslip/platform/ControllerServiceTest.java
@@ -213,7 +213,7 @@
     }
 
     /** The feed breaks off amid an event; it is asked for again from the last whole one, and doubles are skipped. */
-    @Test(dataProvider = "broken")
+    @Test(dataProvider = "brokenEvents")
     public void theJournalResumesAfterABreak(String brokenEvent) throws Exception {
         CallerConnection connection = connectReadyCaller();
         assertEquals(journal.nextRequestedPosition(), 1);
@@ -408,7 +408,7 @@
         };
     }
 
-    @Test(dataProvider = "bad")
+    @Test(dataProvider = "badRequests")
     public void badRequestsAreAnsweredOrDisconnectedInTime(String text) throws Exception {
         connectReadyCaller();
         CallerConnection connection = connectCaller();
--- a/src/test/java/martenslip/platform/GatedSockets.java
+++ b/src/test/java/martenslip/platform/GatedSockets.java
@@ -15,7 +15,7 @@
         private boolean isShut;
         private int waitingCount;
 
-        synchronized void isShut() {
+        synchronized void close() {
             isShut = true;
         }
 
--- a/src/test/java/martenslip/platform/WriteRaceTest.java
+++ b/src/test/java/martenslip/platform/WriteRaceTest.java
@@ -109,7 +109,7 @@
      */
     private CallerConnection queueBehindAHeldWriter(CallerConnection connection) throws Exception {
         CallerConnection firstConnection = platform.new CallerConnection(service.listenAddress());
-        sockets.write.isShut();
+        sockets.write.close();
         firstConnection.invite(OTHER_CALL_ID, "dear", 3000, "m=audio");
         sockets.write.awaitWaiting(1);
         connection.invite(CALL_ID, "dear", 3000, "m=audio");
@@ -117,7 +117,7 @@
         return firstConnection;
     }
 
-    @Test(dataProvider = "leaves")
+    @Test(dataProvider = "callerExits")
     public void noStartIsWrittenForACallerWhoLeftWhileTheWriterWasHeld(CallerExit callerExit) throws Exception {
         CallerConnection connection = PlatformStandIn.connectReadyCaller(platform, service);
         CallerConnection firstConnection = queueBehindAHeldWriter(connection);
@@ -131,12 +131,12 @@
         assertNextStartIs(LAST_CALL_ID);
     }
 
-    @Test(dataProvider = "leaves")
+    @Test(dataProvider = "callerExits")
     public void noStartIsWrittenForACallerWhoLeftBeforeTheConnectionCameUp(CallerExit callerExit) throws Exception {
         CallerConnection connection = PlatformStandIn.connectReadyCaller(platform, service);
         PlatformStandIn.awaitCondition(
                 service, () -> switches.get(1).connections.size() == 2);
-        sockets.connect.isShut();
+        sockets.connect.close();
         int createdBefore = sockets.createdCount.get();
         for (java.net.Socket socket : switches.get(1).connections) {
             socket.close();
@@ -158,7 +158,7 @@
     public void theRemainingTimeIsExactWhenItIsWritten() throws Exception {
         PlatformStandIn.connectReadyCaller(platform, service);
         CallerConnection firstConnection = platform.new CallerConnection(service.listenAddress());
-        sockets.write.isShut();
+        sockets.write.close();
         firstConnection.invite(OTHER_CALL_ID, "dear", 3000, "m=audio");
         sockets.write.awaitWaiting(1);
         long queuedNs = System.nanoTime();
--- a/src/test/java/martenslip/platform/contact/ContactTableHarness.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableHarness.java
@@ -27,8 +27,8 @@
     static final ContactSettings SETTINGS =
             new ContactSettings(List.of("cheap", "dear"), 3, Span.ofMillis(9000), Span.ofMillis(20));
     final TimerWheel wheel = new TimerWheel(new Moment(0));
-    final List<String> takeSent = new ArrayList<>();
-    final List<String> takeNotifications = new ArrayList<>();
+    final List<String> sent = new ArrayList<>();
+    final List<String> notifications = new ArrayList<>();
     final Set<Long> closedConnections = new HashSet<>();
     final ContactTable contactTable = new ContactTable(wheel, SETTINGS, this);
     boolean isUnreachable;
@@ -41,7 +41,7 @@
     long otherCallerConnection = 1;
 
     ContactTableHarness() {
-        contactTable.controller(this);
+        contactTable.setController(this);
     }
 
     static String tag(int contactNumber) {
@@ -89,14 +89,14 @@
 
     /** What was sent since the last look. */
     List<String> takeSent() {
-        List<String> taken = List.copyOf(takeSent);
-        takeSent.clear();
+        List<String> taken = List.copyOf(sent);
+        sent.clear();
         return taken;
     }
 
     List<String> takeNotifications() {
-        List<String> taken = List.copyOf(takeNotifications);
-        takeNotifications.clear();
+        List<String> taken = List.copyOf(notifications);
+        notifications.clear();
         return taken;
     }
 
@@ -117,7 +117,7 @@
         if (closedConnections.contains(connectionId)) {
             return false;
         }
-        takeSent.add(connectionId + ": " + describe(message));
+        sent.add(connectionId + ": " + describe(message));
         return true;
     }
 
@@ -133,7 +133,7 @@
 
     @Override
     public void disconnect(long connectionId, String why) {
-        takeSent.add(connectionId + ": dropped");
+        sent.add(connectionId + ": dropped");
         contactTable.callerConnectionEnded(connectionId);
     }
 
@@ -147,7 +147,7 @@
                     if (start.cancellation().isCancelled()) {
                         return null;
                     }
-                    takeSent.add("START " + switchId + " " + Long.parseLong(start.tag(), 16) + " " + start.skill() + " "
+                    sent.add("START " + switchId + " " + Long.parseLong(start.tag(), 16) + " " + start.skill() + " "
                             + remainingMs + " " + start.description());
                     return new byte[0];
                 },
@@ -171,7 +171,7 @@
 
     @Override
     public void sendFinish(long switchId, long connection, String tag, int cause, Runnable written) {
-        takeSent.add("FINISH " + switchId + " " + connection + " " + Long.parseLong(tag, 16) + " " + cause);
+        sent.add("FINISH " + switchId + " " + connection + " " + Long.parseLong(tag, 16) + " " + cause);
         finishCallbacks.add(written);
         if (!holdsFinishes) {
             completeFinishes();
@@ -191,59 +191,59 @@
 
     @Override
     public void sendNote(int peer, byte[] note) {
-        takeSent.add("note " + peer);
+        sent.add("note " + peer);
     }
 
     @Override
     public void log(String kind, String message) {
-        takeSent.add("log " + kind);
+        sent.add("log " + kind);
     }
 
     @Override
     public void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> entries) {
-        takeNotifications.add("listed " + kind);
+        notifications.add("listed " + kind);
     }
 
     @Override
     public void contactOffered(Moment now, Contact contact) {
-        takeNotifications.add("offered " + contact.id() + " " + contact.skill() + " to " + contact.destination()
+        notifications.add("offered " + contact.id() + " " + contact.skill() + " to " + contact.destination()
                 + " patience " + contact.patience().ns() / 1_000_000);
     }
 
     @Override
     public void established(Moment now, long contact, int ring, long switchId, Span elapsed) {
-        takeNotifications.add("stands " + contact + " " + ring + " " + switchId);
+        notifications.add("stands " + contact + " " + ring + " " + switchId);
     }
 
     @Override
     public void ringEnded(Moment now, RingEnd end) {
-        takeNotifications.add("end " + end.contact() + " " + end.ring() + " " + end.cause() + " "
+        notifications.add("end " + end.contact() + " " + end.ring() + " " + end.cause() + " "
                 + end.rejectionReason() + " " + end.answered()
                 + (end.report().length == 0 ? "" : " " + java.util.Arrays.toString(end.report())));
     }
 
     @Override
     public void callerGone(Moment now, long contact) {
-        takeNotifications.add("gone " + contact);
+        notifications.add("gone " + contact);
     }
 
     @Override
     public void timerExpired(Moment now, long token) {
-        takeNotifications.add("clock " + token);
+        notifications.add("clock " + token);
     }
 
     @Override
     public void switchReported(Moment now, long switchId, boolean reached, Span elapsed, float[] report) {
-        takeNotifications.add("report " + switchId + " " + report.length);
+        notifications.add("report " + switchId + " " + report.length);
     }
 
     @Override
     public void peerNoteReceived(Moment now, int peer, byte[] note) {
-        takeNotifications.add("note " + peer);
+        notifications.add("note " + peer);
     }
 
     @Override
     public void stopped(Moment now) {
-        takeNotifications.add("stopped");
+        notifications.add("stopped");
     }
 }
--- a/src/test/java/martenslip/platform/contact/ContactTableInterleavingTest.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableInterleavingTest.java
@@ -30,7 +30,7 @@
         };
     }
 
-    @Test(dataProvider = "worlds")
+    @Test(dataProvider = "scenarios")
     public void rulesHoldInEveryOrder(String name, Scenario scenario, int depth) {
         SearchResult result = search(scenario, depth, RELEASE_TIME);
         assertEquals(result.fault(), null, name);
--- a/src/test/java/martenslip/platform/contact/ContactTableModel.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableModel.java
@@ -61,7 +61,7 @@
                 new ContactSettings(List.of("cheap", "dear"), 100, Span.ofMillis(9000), Span.ofMillis(20)),
                 this);
         RoutingPolicy routingPolicy = new RoutingPolicy(settings(), 7, wheel.now(), contactTable);
-        contactTable.controller(routingPolicy);
+        contactTable.setController(routingPolicy);
         List<SwitchEntry> entries = new ArrayList<>();
         for (int number = 0; number < 3; number++) {
             entries.add(new SwitchEntry(100 + number, number, SwitchEntry.State.READY, null, 0));
@@ -123,11 +123,11 @@
     public void checkQuiescent() {
         if (!contactTable.knownTags().isEmpty()
                 || contactTable.openCount() != 0
-                || contactTable.establishedContacts() != 0) {
+                || contactTable.establishedCount() != 0) {
             rules.addViolation(
                     "kept",
                     "left over: " + contactTable.knownTags() + " " + contactTable.openCount() + " "
-                            + contactTable.establishedContacts());
+                            + contactTable.establishedCount());
         }
     }
 
--- a/src/test/java/martenslip/platform/contact/ContactTableTest.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableTest.java
@@ -369,7 +369,7 @@
         harness.takeNotifications();
         contactTable.switchConnectionEnded(SWITCH_ID, SWITCH_CONNECTION_ID, true);
         assertEquals(harness.takeNotifications(), List.of("end 2 0 CUT NONE false"));
-        assertEquals(contactTable.establishedContacts(), 1);
+        assertEquals(contactTable.establishedCount(), 1);
     }
 
     @Test
@@ -385,7 +385,7 @@
         contactTable.setUpReceived(setUpRequest(1, 1, 3000));
         contactTable.notifyController(controller -> {
             contactTable.ring(1, SWITCH_ID, Span.ofMillis(2990));
-            harness.takeNotifications.add("order given");
+            harness.notifications.add("order given");
         });
         assertEquals(
                 harness.takeNotifications().subList(1, 3), List.of("order given", "end 1 0 UNREACHABLE NONE false"));
@@ -404,7 +404,7 @@
         harness.advanceToMs(1000);
         establish();
         contactTable.switchProcessEnded(SWITCH_ID, new Moment(Span.ofMillis(500).ns()));
-        assertEquals(contactTable.establishedContacts(), 1);
+        assertEquals(contactTable.establishedCount(), 1);
     }
 
     @Test
@@ -427,7 +427,7 @@
                 new CallerCancellation());
         contactTable.establishedContactReported(request, SWITCH_ID);
         contactTable.establishedContactReported(request, SWITCH_ID);
-        assertEquals(contactTable.establishedContacts(), 1);
+        assertEquals(contactTable.establishedCount(), 1);
         assertEquals(harness.takeSent(), List.of());
         contactTable.ended(SWITCH_ID, SWITCH_CONNECTION_ID, tag(4), 16, null, NO_REPORT);
         assertEquals(harness.takeSent(), List.of("3: BYE Q.850;cause=16"));
@@ -457,14 +457,14 @@
     public void anAcknowledgedContactOutlivesItsConnection() {
         establish();
         contactTable.callerConnectionEnded(1);
-        assertEquals(contactTable.establishedContacts(), 1);
+        assertEquals(contactTable.establishedCount(), 1);
         assertEquals(harness.takeSent(), List.of());
     }
 
     @Test
     public void duringShutdownNewContactsAreRefusedAndOpenOnesAnswered() {
         offerAndRing();
-        contactTable.isRefusingNewContacts();
+        contactTable.refuseNewContacts();
         contactTable.setUpReceived(setUpRequest(1, 2, 3000));
         contactTable.started(SWITCH_ID, SWITCH_CONNECTION_ID, tag(1), "c=x\r\n");
         assertEquals(harness.takeSent(), List.of("1: 503 INVITE", "1: 200 INVITE c=x\r\n"));
@@ -492,7 +492,7 @@
         }
         assertEquals(contactTable.knownTags(), List.of());
         assertEquals(
-                contactTable.establishedContacts()
+                contactTable.establishedCount()
                         + contactTable.openCount()
                         + contactTable.unacknowledgedReleaseCount(),
                 0);
--- a/src/test/java/martenslip/platform/contact/EndCauseTest.java
+++ b/src/test/java/martenslip/platform/contact/EndCauseTest.java
@@ -27,7 +27,7 @@
         };
     }
 
-    @Test(dataProvider = "rows")
+    @Test(dataProvider = "causes")
     public void ofRingEnd(int q850Cause, String note, RingEndCause expected, RejectionReason rejectionReason) {
         assertEquals(EndCause.ofRingEnd(q850Cause, note), new EndCause(expected, rejectionReason));
     }
--- a/src/test/java/martenslip/platform/contact/WriteQueueInterleavingTest.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueInterleavingTest.java
@@ -30,7 +30,7 @@
         };
     }
 
-    @Test(dataProvider = "worlds")
+    @Test(dataProvider = "scenarios")
     public void rulesHoldInEveryOrder(String name, Scenario scenario, int depth) {
         long startedNs = System.nanoTime();
         SearchResult result = search(scenario, InjectedFault.NONE, depth);
@@ -52,7 +52,7 @@
         };
     }
 
-    @Test(dataProvider = "plants")
+    @Test(dataProvider = "injectedFaults")
     public void anInjectedFaultIsFound(InjectedFault injectedFault) {
         SearchResult result = search(new Scenario(1, 2, true), injectedFault, 5);
         assertTrue(result.fault() != null, injectedFault + " was not found in " + result.sequences() + " orders");
--- a/src/test/java/martenslip/platform/contact/WriteQueueModel.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueModel.java
@@ -76,7 +76,7 @@
                 wheel,
                 new ContactSettings(List.of("cheap", "dear"), 100, Span.ofMillis(9000), Span.ofMillis(20)),
                 this);
-        contactTable.controller(new RoutingPolicy(ContactTableModel.settings(), 7, wheel.now(), contactTable));
+        contactTable.setController(new RoutingPolicy(ContactTableModel.settings(), 7, wheel.now(), contactTable));
         notifySwitchList(SwitchEntry.State.READY);
         contactTable.loadReported(SWITCH_ID, new float[] {scenario.circuits, scenario.circuits, -1});
     }
@@ -142,7 +142,7 @@
         if (offeredCount > 0) {
             addOnce(events, "drain", () -> inbox.add(this::drain));
             addOnce(events, "remove", () -> inbox.add(this::remove));
-            addOnce(events, "term", () -> inbox.add(contactTable::isRefusingNewContacts));
+            addOnce(events, "term", () -> inbox.add(contactTable::refuseNewContacts));
         }
         return events;
     }
@@ -180,12 +180,12 @@
     public void checkQuiescent() {
         if (!contactTable.knownTags().isEmpty()
                 || contactTable.openCount() != 0
-                || contactTable.establishedContacts() != 0
+                || contactTable.establishedCount() != 0
                 || !inbox.isEmpty()) {
             rules.addViolation(
                     "kept",
                     "left over: " + contactTable.knownTags() + " " + contactTable.openCount() + " "
-                            + contactTable.establishedContacts());
+                            + contactTable.establishedCount());
         }
         if (!startsAtSwitch.isEmpty()) {
             rules.addViolation("kept", "still held at the switch: " + startsAtSwitch);
