--- a/src/main/java/martenslip/platform/CdsTrainingRun.java
+++ b/src/main/java/martenslip/platform/CdsTrainingRun.java
@@ -16,9 +16,10 @@
 import martenslip.control.ControllerFactory;
 
 /**
- * A short service on loopback with itself: one switch, a feed, some contacts set up, refused, withdrawn and released.
- * The build runs it once, so that the JVM can keep an archive of the classes that a controller needs: most of its start
- * is reading and checking them, on part of a core.
+ * Runs a controller on loopback for a short time, with one switch, a journal service and some contacts that are
+ * established, refused, cancelled and released. The build runs it once to create the JVM's archive of the classes a
+ * controller needs (class data sharing): most of the start is spent on reading and verifying them, on a fraction of a
+ * core.
  */
 public final class CdsTrainingRun {
     private static final int CONTACT_COUNT = 30;
@@ -29,7 +30,11 @@
 
     private CdsTrainingRun() {}
 
-    /** Throws where the controller does not serve: the build must then fail. */
+    /**
+     * Runs the service.
+     *
+     * @throws IOException where the controller does not serve, so that the build fails
+     */
     public static void run(ControllerFactory controllerFactory) throws IOException {
         Path file = Files.createTempFile("rehearsal", ".json");
         try (ServerSocket switchListener = openListener();
@@ -70,12 +75,12 @@
         return new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
     }
 
-    /** Serves one connection, which is closed after it. */
+    /** Serves one connection, which is closed when the handler returns. */
     interface ConnectionHandler {
         void handle(Socket socket) throws IOException;
     }
 
-    /** Has each connection of a listener served by a thread of its own until the listener is closed. */
+    /** Accepts connections until the listener is closed, and serves each on a thread of its own. */
     static void acceptConnections(ServerSocket listener, ConnectionHandler connectionHandler) {
         Thread acceptThread = new Thread(() -> {
             while (!listener.isClosed()) {
@@ -85,7 +90,7 @@
                         try (socket) {
                             connectionHandler.handle(socket);
                         } catch (IOException e) {
-                            // The rehearsal ends its connections as it ends.
+                            // Expected: the run closes its connections when it ends.
                             return;
                         }
                     });
@@ -106,12 +111,12 @@
                 "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\nid: 2\ndata: {\"pos\":2,\"hosts\":{"
                         + "\"generation\":2,\"reset\":false,\"instances\":[]}}\n\n");
         while (socket.getInputStream().read() >= 0) {
-            // Until the controller ends it.
+            // Reads until the controller closes the connection.
             continue;
         }
     }
 
-    /** Takes two of three, in the order they come. */
+    /** A switch that accepts two of every three set-ups, in the order they arrive, and rejects the third. */
     private static void serveSwitch(Socket socket) throws IOException {
         send(socket, "{\"verb\":\"LOAD\",\"tag\":\"0\",\"opts\":{\"load\":\"spare:9;total:9;allowed:50.5\"}}\n");
         BufferedReader reader =
@@ -147,7 +152,7 @@
                         : 0;
             }
             if (isReady == 0) {
-                throw new IOException("the rehearsal's controller never passed its test");
+                throw new IOException("the controller of the training run never answered OPTIONS with 200");
             }
             String setUpHeaders =
                     "Call-Kind: any\r\nAnswer-Within: " + PATIENCE_MS + "\r\nRouting-Data: dest:1;width:1;via:-1\r\n";
--- a/src/main/java/martenslip/platform/Configuration.java
+++ b/src/main/java/martenslip/platform/Configuration.java
@@ -12,8 +12,21 @@
 import martenslip.platform.json.Json;
 
 /**
- * What the platform tells one controller at its start and at each SIGHUP; read whole or not at all. An error names the
- * path in the file and the reason.
+ * The configuration file that the platform gives a controller, read at the start and at each SIGHUP, as a whole or not
+ * at all. An error names the path in the file and the reason.
+ *
+ * @param name the name of the controller
+ * @param listenAddress where callers connect
+ * @param seed the seed of the module's random numbers
+ * @param maxSockets the most sockets the process may have open
+ * @param limitsText the limits as they are logged
+ * @param peerListenAddress where notes of peers arrive, or null
+ * @param peerAddresses the other controllers
+ * @param allPeersAddress where a note to all peers is sent, or null
+ * @param journalAddress the journal service
+ * @param initialPosition the position of the last journal event in {@code initialEvents}
+ * @param initialEvents the switch list events up to the start
+ * @param settings the settings of the module, flattened by {@link SettingsFlattener}
  */
 record Configuration(
         String name,
@@ -32,10 +45,10 @@
 
     static Configuration read(Path file) throws IOException {
         if (Files.size(file) > MAX_FILE_BYTES) {
-            throw new IOException("over " + MAX_FILE_BYTES + " bytes");
+            throw new IOException("larger than " + MAX_FILE_BYTES + " bytes");
         }
         if (!(Json.read(Files.readAllBytes(file)) instanceof Map<?, ?> root)) {
-            throw new IOException("no object");
+            throw new IOException("not a JSON object");
         }
         List<InetSocketAddress> peerAddresses = new ArrayList<>();
         if (root.get("peers") instanceof List<?> peerList) {
@@ -83,21 +96,21 @@
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new IOException(path + " is missing or no object");
+        throw new IOException(path + " is missing or not an object");
     }
 
     private static String requireText(Object value, String path) throws IOException {
         if (value instanceof String || value instanceof Json.JsonNumber) {
             return value.toString();
         }
-        throw new IOException(path + " is missing or no text");
+        throw new IOException(path + " is missing or not a text");
     }
 
     private static long parseSeed(String text) throws IOException {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new IOException("seed is no number of 16 hex digits");
+            throw new IOException("seed is not a number of up to 16 hexadecimal digits");
         }
     }
 }
--- a/src/main/java/martenslip/platform/ControllerService.java
+++ b/src/main/java/martenslip/platform/ControllerService.java
@@ -32,29 +32,33 @@
 import martenslip.sip.transport.QueuedMessage;
 import martenslip.sip.transport.TransportLimits;
 
-/** One controller in service on the platform: wires callers, switches, journal and peers to one deciding thread. */
+/**
+ * Runs one controller on the platform: connects callers, switches, the journal and the peers to one decision thread.
+ */
 public final class ControllerService implements AutoCloseable {
     private static final int INBOX_CAPACITY = 4096;
+    /** The controller is ready after this time even if some switches have not reported their group states. */
     private static final Span MAX_READY_DELAY = Span.ofMillis(1500);
     /**
-     * After SIGTERM callers' set-ups come for 0.6 s, and may wait unread where the core is busy; contacts in transit
-     * come as long as the process runs. Nothing is won by an early end: the kill comes 3.7 s after SIGTERM at the
-     * soonest. What comes later than the first of these is refused.
+     * Set-ups that come later than this after SIGTERM are refused. New ones come for 0.6 s after SIGTERM, and may wait
+     * unread where the core is busy; contacts in transit come as long as the process runs. Ending earlier has no
+     * advantage: the platform kills the process 3.7 s after SIGTERM at the earliest.
      */
     private static final Span ACCEPT_AFTER_SIGTERM = Span.ofMillis(1800);
 
+    /** From SIGTERM to the first check whether all contacts are answered. */
     private static final Span MIN_SHUTDOWN_DELAY = Span.ofMillis(2000);
-    /** Half of what the platform adds to every time limit on sockets. */
+    /** Half of the slack that the platform adds to every time limit on sockets. */
     private static final Span SOCKET_SLACK = Span.ofMillis(25);
 
     private static final Span SHUTDOWN_POLL_INTERVAL = Span.ofMillis(50);
-    /** Well under the kill, which comes 1.7 s after the end begins at the soonest. */
+    /** Well under the 1.7 s that at least remain until the kill when the shutdown begins. */
     private static final Span CONNECTION_CLOSE_TIMEOUT = Span.ofMillis(600);
 
     private static final Span COUNTS_LOG_INTERVAL = Span.ofMillis(5000);
-    /** Descriptors of files and the JVM, the journal's two feeds, the listener and the peers' socket. */
+    /** File descriptors of files and the JVM, the two journal connections, the listener and the peers' socket. */
     private static final int RESERVED_DESCRIPTORS = 28;
-    /** A bound of threads for callers' connections. */
+    /** Limits the threads for callers' connections. */
     private static final int MAX_CALLER_CONNECTIONS = 500;
 
     private final Path file;
@@ -76,12 +80,19 @@
     private boolean isShuttingDown;
     private int port;
 
-    /** The log goes to {@code out}; an exception names the path in the file and the reason. */
+    /**
+     * Reads the configuration and creates the controller, which does not serve yet.
+     *
+     * @param file the configuration file
+     * @param controllerFactory creates the routing module
+     * @param logStream receives the operators' log
+     * @throws IOException where the file is not usable, with the path in the file and the reason
+     */
     public ControllerService(Path file, ControllerFactory controllerFactory, PrintStream logStream) throws IOException {
         this(file, controllerFactory, logStream, Socket::new);
     }
 
-    /** {@code sockets} makes those toward switches, not yet connected. */
+    /** {@code socketFactory} creates the sockets to switches, not yet connected. */
     ControllerService(
             Path file, ControllerFactory controllerFactory, PrintStream logStream, Supplier<Socket> socketFactory)
             throws IOException {
@@ -142,22 +153,21 @@
                         (peer, note) -> loop.offer((Runnable) () -> contactTable.notifyController(
                                 controller -> controller.peerNoteReceived(wheel.now(), peer, note))))
                 : null;
-        contactTable.setController(
-                controllerFactory.create(settings, configuration.seed(), wheel.now(), contactTable));
+        contactTable.setController(controllerFactory.create(settings, configuration.seed(), wheel.now(), contactTable));
     }
 
-    /** Begins to serve; the port that is listened on is returned. */
+    /** Begins to serve and returns the port that callers connect to. */
     public int startServing() throws IOException {
         loop.start(
                 new EventLoop.Handler() {
                     @Override
                     public void handle(Object next) {
-                        log.write("fault", "unknown piece of work " + next);
+                        log.write("fault", "unknown item in the inbox: " + next);
                     }
 
                     @Override
                     public void afterTurn() {
-                        // Messages go out as they are queued; nothing is left for the end of a turn.
+                        // Messages are sent as they are queued; nothing is left for the end of a turn.
                     }
 
                     @Override
@@ -189,14 +199,15 @@
         return port;
     }
 
-    /** Waits until the controller has ended in good order. */
+    /** Waits until the controller has shut down in good order. */
     public void await() throws InterruptedException {
         terminated.await();
     }
 
     /**
-     * What the list in force needs comes first, with room for a machine beside each one it replaces; callers who mean
-     * it hold at most a third of all.
+     * Shares the sockets out: the connections to the listed switches come first, with room for a replacement beside
+     * each of them. What is left is for callers, and at least a third of all sockets, as well-behaved callers never
+     * hold more than a third.
      */
     private void updateCallerConnectionLimit() {
         int reservedDescriptors = RESERVED_DESCRIPTORS + switchConnections.requiredConnections();
@@ -230,7 +241,10 @@
         wheel.scheduleAfter(COUNTS_LOG_INTERVAL, this::logCounts);
     }
 
-    /** SIGHUP: the file is read anew; only a whole good one counts, else the one in force stays. One at a time. */
+    /**
+     * Handles SIGHUP: reads the file again and moves to the journal it names. A file that is not usable as a whole
+     * changes nothing. Reloads run one at a time.
+     */
     public synchronized void reload() {
         try {
             Configuration reloaded = Configuration.read(file);
@@ -244,7 +258,7 @@
         }
     }
 
-    /** SIGTERM: goes on until all that is owed is answered and nothing more can come, then ends. */
+    /** Handles SIGTERM: serves until every open contact is answered and no new one can come, then shuts down. */
     public void requestShutdown() {
         try {
             runOnDecisionThread(() -> {
@@ -270,7 +284,8 @@
         Thread shutdownThread = new Thread(
                 null,
                 () -> {
-                    // While the deciding thread still answers: what comes until a connection is ended has an owner.
+                    // The decision thread still runs here, so what arrives until a connection is closed is still
+                    // handled.
                     callerConnections.closeGracefully(CONNECTION_CLOSE_TIMEOUT);
                     close();
                     terminated.countDown();
@@ -282,7 +297,7 @@
 
     @Override
     public void close() {
-        // First: connections that end from here on are no news of callers who went away.
+        // Must be first: connections closed from here on must not be reported as callers that have gone.
         loop.close();
         try {
             callerConnections.close();
@@ -297,7 +312,10 @@
         log.write("end", contactTable.counters().toString());
     }
 
-    /** Has something done by the deciding thread; waits for room, but never on that thread, which alone makes room. */
+    /**
+     * Runs a task on the decision thread. Waits for room in its inbox, but never on the decision thread itself, as only
+     * that thread makes room.
+     */
     void runOnDecisionThread(Runnable task) throws InterruptedException {
         if (Thread.currentThread() == decisionThread) {
             wheel.scheduleAfter(Span.ZERO, task);
@@ -321,7 +339,7 @@
                 spanSetting(settings, "guarantees.answer-slack-ns", 20e6).plus(SOCKET_SLACK));
     }
 
-    /** They were looked through when the file was read. */
+    /** The settings were validated when the file was read. */
     private static double numberSetting(Map<String, String> settings, String name, double defaultValue) {
         String text = settings.get(name);
         return text == null || text.isBlank() ? defaultValue : Double.parseDouble(text);
@@ -333,30 +351,32 @@
 
     private final CallerConnections.Listener callerListener = new CallerConnections.Listener() {
         @Override
-        public boolean setUpReceived(SetUpRequest asked) throws InterruptedException {
-            Runnable take = () -> {
-                if (asked.establishedSwitch() == null) {
-                    contactTable.setUpReceived(asked);
-                } else if (switchRegistry.switchId(asked.establishedSwitch()) == 0) {
-                    contactTable.establishedContactReportedAtUnknownSwitch(asked);
+        public boolean setUpReceived(SetUpRequest request) throws InterruptedException {
+            Runnable task = () -> {
+                if (request.establishedSwitch() == null) {
+                    contactTable.setUpReceived(request);
+                } else if (switchRegistry.switchId(request.establishedSwitch()) == 0) {
+                    contactTable.establishedContactReportedAtUnknownSwitch(request);
                 } else {
-                    contactTable.establishedContactReported(asked, switchRegistry.switchId(asked.establishedSwitch()));
+                    contactTable.establishedContactReported(
+                            request, switchRegistry.switchId(request.establishedSwitch()));
                 }
             };
-            if (asked.establishedSwitch() == null) {
-                return loop.offer(take);
+            if (request.establishedSwitch() == null) {
+                return loop.offer(task);
             }
-            // It expects no answer that could refuse it, and nobody else would ever release it.
-            runOnDecisionThread(take);
+            // A contact that is already established expects no answer, so it cannot be refused, and nobody else would
+            // ever release it.
+            runOnDecisionThread(task);
             return true;
         }
 
         @Override
-        public void requestReceived(long line, Request request) throws InterruptedException {
+        public void requestReceived(long connectionId, Request request) throws InterruptedException {
             runOnDecisionThread(() -> {
                 switch (request.method()) {
-                    case "CANCEL" -> contactTable.cancelReceived(line, request);
-                    case "BYE" -> contactTable.byeReceived(line, request);
+                    case "CANCEL" -> contactTable.cancelReceived(connectionId, request);
+                    case "BYE" -> contactTable.byeReceived(connectionId, request);
                     default -> contactTable.ackReceived(request.callId());
                 }
             });
@@ -368,8 +388,8 @@
         }
 
         @Override
-        public void connectionEnded(long line) throws InterruptedException {
-            runOnDecisionThread(() -> contactTable.callerConnectionEnded(line));
+        public void connectionEnded(long connectionId) throws InterruptedException {
+            runOnDecisionThread(() -> contactTable.callerConnectionEnded(connectionId));
         }
 
         @Override
@@ -380,38 +400,39 @@
 
     private final SwitchConnections.Listener switchListener = new SwitchConnections.Listener() {
         @Override
-        public void started(long target, long connection, String tag, String description) {
-            contactTable.started(target, connection, tag, description);
+        public void started(long switchId, long switchConnectionId, String tag, String description) {
+            contactTable.started(switchId, switchConnectionId, tag, description);
         }
 
         @Override
-        public void ended(long target, long connection, String tag, int cause, String note, float[] report) {
-            contactTable.ended(target, connection, tag, cause, note, report);
+        public void ended(
+                long switchId, long switchConnectionId, String tag, int q850Cause, String note, float[] report) {
+            contactTable.ended(switchId, switchConnectionId, tag, q850Cause, note, report);
         }
 
         @Override
-        public void loadReported(long target, float[] report) {
-            contactTable.loadReported(target, report);
+        public void loadReported(long switchId, float[] report) {
+            contactTable.loadReported(switchId, report);
         }
 
         @Override
-        public void connectionEnded(long target, long connection, boolean everUp) {
-            contactTable.switchConnectionEnded(target, connection, everUp);
+        public void connectionEnded(long switchId, long switchConnectionId, boolean everUp) {
+            contactTable.switchConnectionEnded(switchId, switchConnectionId, everUp);
         }
 
         @Override
-        public void processEnded(long target) {
-            contactTable.switchProcessEnded(target, null);
+        public void processEnded(long switchId) {
+            contactTable.switchProcessEnded(switchId, null);
         }
 
         @Override
-        public boolean hasEstablishedAt(long target) {
-            return contactTable.hasEstablishedContactsAt(target);
+        public boolean hasEstablishedAt(long switchId) {
+            return contactTable.hasEstablishedContactsAt(switchId);
         }
 
         @Override
-        public void log(String line) {
-            log.write("line-over", line);
+        public void log(String message) {
+            log.write("line-over", message);
         }
     };
 
@@ -425,45 +446,45 @@
         }
 
         @Override
-        public void connectionLost(String why) {
-            drops.increment("journal", why);
+        public void connectionLost(String reason) {
+            drops.increment("journal", reason);
         }
     };
 
     private final OutboundMessages outboundMessages = new OutboundMessages() {
         @Override
-        public boolean sendToCaller(long line, byte[] message) {
-            return callerConnections.send(line, message);
+        public boolean sendToCaller(long connectionId, byte[] message) {
+            return callerConnections.send(connectionId, message);
         }
 
         @Override
-        public long otherCallerConnection(long but) {
-            return callerConnections.mostRecentConnection(but);
+        public long otherCallerConnection(long excludedConnectionId) {
+            return callerConnections.mostRecentConnection(excludedConnectionId);
         }
 
         @Override
-        public void contactAnswered(long line, String tag) {
-            callerConnections.contactAnswered(line, tag);
+        public void contactAnswered(long connectionId, String tag) {
+            callerConnections.contactAnswered(connectionId, tag);
         }
 
         @Override
-        public void disconnect(long line, String why) {
-            callerConnections.disconnect(line, why);
+        public void disconnect(long connectionId, String reason) {
+            callerConnections.disconnect(connectionId, reason);
         }
 
         @Override
-        public QueuedMessage sendStart(long target, SwitchStartRequest asked, Runnable unsent) {
-            return switchConnections.sendStart(target, asked, unsent);
+        public QueuedMessage sendStart(long switchId, SwitchStartRequest request, Runnable unsent) {
+            return switchConnections.sendStart(switchId, request, unsent);
         }
 
         @Override
-        public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
-            switchConnections.sendFinish(target, connection, tag, cause, written);
+        public void sendFinish(long switchId, long switchConnectionId, String tag, int q850Cause, Runnable written) {
+            switchConnections.sendFinish(switchId, switchConnectionId, tag, q850Cause, written);
         }
 
         @Override
-        public void sendFinished(long target, long connection, String tag) {
-            switchConnections.sendFinished(target, connection, tag);
+        public void sendFinished(long switchId, long switchConnectionId, String tag) {
+            switchConnections.sendFinished(switchId, switchConnectionId, tag);
         }
 
         @Override
@@ -474,12 +495,15 @@
         }
 
         @Override
-        public void log(String kind, String line) {
-            log.write(kind, line);
+        public void log(String kind, String message) {
+            log.write(kind, message);
         }
     };
 
-    /** What the platform names in the environment; the address in the file is the one that counts. */
+    /**
+     * Returns the path of the configuration file, which the platform gives in {@code ROUTER_CONFIG}. The listen address
+     * in the file counts, not one from the environment.
+     */
     public static Path configurationFile() throws IOException {
         String file = System.getenv("ROUTER_CONFIG");
         if (file == null || file.isBlank()) {
@@ -488,21 +512,22 @@
         return Path.of(file);
     }
 
-    /** For checks; the deciding thread's. */
+    /** For tests, on the decision thread: the number of contacts without a final answer. */
     int openContactCount() {
         return contactTable.openCount();
     }
 
-    /** For checks; the deciding thread's. */
+    /** For tests, on the decision thread: whether every listed switch has reported the state of its group. */
     boolean allGroupStatesReported() {
         return switchConnections.allGroupStatesReported();
     }
 
-    /** Of the last event of the list that was taken. */
+    /** The position of the last journal event that was received. */
     long journalPosition() {
         return journal.position();
     }
 
+    /** The address and the actual port that callers connect to. */
     InetSocketAddress listenAddress() {
         return new InetSocketAddress(configuration.listenAddress().getAddress(), port);
     }
--- a/src/main/java/martenslip/platform/RateLimitedLog.java
+++ b/src/main/java/martenslip/platform/RateLimitedLog.java
@@ -5,11 +5,16 @@
 import java.util.Map;
 
 /**
- * The log of a controller in service: a line each, so many of a kind a second at most; how many were left
- * out is told with the next one. No logging library: its start and its memory are part of the day.
+ * The operators' log: one line an event, with a limit of lines a second for each kind. The next line of a kind after
+ * the limit tells how many were left out. It uses no logging library, as the start time and the memory of one would
+ * count against the limits of the process.
  */
 final class RateLimitedLog {
+    /** Lines of one kind a second. */
     private static final int MAX_LINES_PER_SECOND = 10;
+    /** Longer texts are cut off. */
+    private static final int MAX_TEXT_LENGTH = 2000;
+
     private static final long SECOND_NS = 1_000_000_000;
 
     private static final class KindState {
@@ -18,15 +23,16 @@
         private long leftOut;
     }
 
-    private final PrintStream out;
+    private final PrintStream stream;
 
-    RateLimitedLog(PrintStream out) {
-        this.out = out;
+    RateLimitedLog(PrintStream stream) {
+        this.stream = stream;
     }
 
-    /** Kinds are words of the program, so their number is bounded. */
+    /** Kinds are constants of the program, so their number is bounded. */
     private final Map<String, KindState> kinds = new HashMap<>();
 
+    /** Writes a line, with line breaks as blanks; may be called from any thread. */
     synchronized void write(String kind, String text) {
         KindState kindState = kinds.computeIfAbsent(kind, any -> new KindState());
         long now = System.nanoTime();
@@ -39,8 +45,8 @@
             return;
         }
         kindState.writtenInWindow++;
-        String truncated = text.length() > 2000 ? text.substring(0, 2000) : text;
-        out.println(System.currentTimeMillis() + " " + kind + ": " + truncated.replace('\n', ' ')
+        String truncated = text.length() > MAX_TEXT_LENGTH ? text.substring(0, MAX_TEXT_LENGTH) : text;
+        stream.println(System.currentTimeMillis() + " " + kind + ": " + truncated.replace('\n', ' ')
                 + (kindState.leftOut > 0 ? " (left out " + kindState.leftOut + ")" : ""));
         kindState.leftOut = 0;
     }
--- a/src/main/java/martenslip/platform/ReloadSignal.java
+++ b/src/main/java/martenslip/platform/ReloadSignal.java
@@ -4,26 +4,30 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * SIGHUP from the first moment on. One that comes while the file is being read for the start may or may not have been
- * in time for that, so it is looked at again once service has begun; none is lost between two lines.
+ * Holds a SIGHUP that arrives before service has begun. The file read at the start may or may not have had the change
+ * the signal is about, so it is read again once service has begun. No signal is lost between the two.
  */
 public final class ReloadSignal {
     private final AtomicReference<Runnable> reloadAction = new AtomicReference<>();
     private final AtomicBoolean isRequested = new AtomicBoolean();
 
-    /** The signal. Any thread. */
+    /** Called for each SIGHUP; may be called from any thread. */
     public void request() {
         isRequested.set(true);
         runIfRequested();
     }
 
-    /** Service has begun, and this is what a reload does. */
+    /**
+     * Called once service has begun.
+     *
+     * @param reload runs for a signal that has already come and for each later one
+     */
     public void start(Runnable reload) {
         reloadAction.set(reload);
         runIfRequested();
     }
 
-    /** Whoever of the two comes last sees both. */
+    /** Of two racing callers, the later one sees both the request and the action. */
     private void runIfRequested() {
         Runnable reload = reloadAction.get();
         if (reload != null && isRequested.getAndSet(false)) {
--- a/src/main/java/martenslip/platform/SettingsFlattener.java
+++ b/src/main/java/martenslip/platform/SettingsFlattener.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Nested settings as the plain map of path and value that the module knows from the simulator's wire: plain lists
- * joined by commas, lists of objects as {@code .count} and {@code .0}, {@code .1}; blanks and commas in a value as
- * {@code _}.
+ * Turns nested settings into the map of path and value that the module also receives through the simulator's protocol.
+ * A list of plain values is joined by commas; a list with objects or lists in it becomes {@code .count}, {@code .0},
+ * {@code .1} and so on. Blanks and commas in a value become {@code _}.
  */
 final class SettingsFlattener {
     private SettingsFlattener() {}
--- a/src/main/java/martenslip/platform/SettingsValidator.java
+++ b/src/main/java/martenslip/platform/SettingsValidator.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * Looks through the settings that this program and its module read, before anything of them is used: a number is one
- * and in its range, a switch is true or false. What is absent takes its default, as the operators' page says; what is
- * there and wrong stops the start, by name. Nothing here belongs to one deployment.
+ * Checks the settings that this program and its module read, before any of them is used: a number must be a number in
+ * its range, a boolean must be true or false. An absent setting takes its default, given in the operators'
+ * documentation; a wrong one stops the start with an error that names it. No range depends on one deployment.
  */
 final class SettingsValidator {
-    /** A century: no span of a call, a connection or a start is longer. */
+    /** About a century; no duration of a call, a connection or a start is longer. */
     private static final double MAX_SPAN_NS = 3.2e18;
 
     private static final double MAX_NUMBER = 1e9;
@@ -44,7 +44,11 @@
 
     private SettingsValidator() {}
 
-    /** Throws where one is wrong; the text names its path and the reason. */
+    /**
+     * Checks all settings.
+     *
+     * @throws IOException where one is wrong, with its path and the reason
+     */
     static void validate(Map<String, String> settings) throws IOException {
         validateNumber(settings, new NumberRange("classes.count", 1, 1024));
         String count = settings.get("classes.count");
@@ -71,10 +75,10 @@
         }
     }
 
-    /** A list is one number after another; an empty one is none. */
+    /** Checks one number, or each number of a list; an empty text counts as absent. */
     private static void validateNumber(Map<String, String> settings, NumberRange range) throws IOException {
         if (settings.keySet().stream().anyMatch(name -> name.startsWith(range.path + "."))) {
-            throw new IOException("settings." + range.path + " is no number");
+            throw new IOException("settings." + range.path + " is not a number");
         }
         String text = settings.get(range.path);
         if (text == null || text.isBlank()) {
@@ -85,17 +89,17 @@
             try {
                 value = Double.parseDouble(item.trim());
             } catch (NumberFormatException e) {
-                throw new IOException("settings." + range.path + " is no number: " + text);
+                throw new IOException("settings." + range.path + " is not a number: " + text);
             }
             requireInRange(value, "settings." + range.path, text, range.min, range.max);
         }
     }
 
-    /** The value where it is in its range; else the message names its place and the text as it stands. */
+    /** Returns a value that is in its range; the exception names the path and the text as it was written. */
     static double requireInRange(double value, String path, Object text, double min, double max) throws IOException {
-        // No number at all is in no range.
+        // Written so that NaN is rejected too.
         if (!(value >= min && value <= max)) {
-            throw new IOException(path + " is out of its range, " + min + " to " + max + ": " + text);
+            throw new IOException(path + " is out of range, " + min + " to " + max + ": " + text);
         }
         return value;
     }
--- a/src/main/java/martenslip/platform/SwitchRegistry.java
+++ b/src/main/java/martenslip/platform/SwitchRegistry.java
@@ -17,8 +17,8 @@
 import martenslip.platform.switchconnection.SwitchConnections;
 
 /**
- * The switch list: numbers for ids, since an address is used again and an id never; keeps the lines to the switches
- * and the module's list in step with the journal's events. The deciding thread's.
+ * The switch list. It gives each switch id a number, since an address may be reused but an id never is, and keeps the
+ * connections to the switches and the module's list in step with the journal's events. Belongs to the decision thread.
  */
 final class SwitchRegistry {
     private record RegisteredSwitch(long switchId, long startedAtMs) {}
@@ -26,7 +26,7 @@
     private final ContactTable contactTable;
     private final SwitchConnections switchConnections;
     private final List<String> zones;
-    /** What the clock of the program shows less what the Unix clock shows, at the start. */
+    /** The program's monotonic clock minus the Unix clock, taken at the start. */
     private final Span clockOffset;
 
     private final RateLimitedLog log;
@@ -47,13 +47,13 @@
         clockOffset = new Span(now.ns() - unixTimeMs * 1_000_000);
     }
 
-    /** The number of a switch that is on the list, or 0. */
+    /** The number of a listed switch, or 0 where the id is not listed. */
     long switchId(String instanceId) {
         RegisteredSwitch registered = switchesById.get(instanceId);
         return registered == null ? 0 : registered.switchId;
     }
 
-    /** The events up to the start, as one list. */
+    /** Applies the events up to the start as one list. */
     void applyInitialEvents(List<SwitchListEvent> events, Moment now) {
         Map<String, SwitchListEvent.Entry> entriesById = new LinkedHashMap<>();
         for (SwitchListEvent event : events) {
@@ -71,6 +71,7 @@
         applyEntries(ListKind.CACHED, List.copyOf(entriesById.values()), now);
     }
 
+    /** Applies an event of the journal. */
     void applyEvent(SwitchListEvent event, Moment now) {
         applyEntries(event.full() ? ListKind.FULL : ListKind.CHANGES, event.entries(), now);
     }
--- a/src/main/java/martenslip/platform/contact/CallerCancellation.java
+++ b/src/main/java/martenslip/platform/contact/CallerCancellation.java
@@ -1,18 +1,20 @@
 package martenslip.platform.contact;
 
 /**
- * Whether the caller of a set-up has gone: cancelled, or ended its connection. Whoever reads that off the socket marks
- * it at once; the news then waits its turn in the inbox, behind what is older. Each order of the set-up looks here as
- * it goes out, so none begins after its caller has left, however long either waited.
+ * Whether the caller of a set-up has cancelled it or ended its connection. The thread that reads this from the socket
+ * sets the flag at once, while the event itself still queues behind older work in the decision thread's inbox. Every
+ * START of the set-up checks the flag as it is written, so no attempt begins after its caller has left, however long
+ * either waited.
  */
 public final class CallerCancellation {
     private volatile boolean isCancelled;
 
-    /** Any thread; for good. */
+    /** Marks the caller as gone, for good. May be called from any thread. */
     public void cancel() {
         isCancelled = true;
     }
 
+    /** Whether the caller has gone. May be called from any thread. */
     public boolean isCancelled() {
         return isCancelled;
     }
--- a/src/main/java/martenslip/platform/contact/ContactCounters.java
+++ b/src/main/java/martenslip/platform/contact/ContactCounters.java
@@ -5,7 +5,7 @@
 import martenslip.control.RejectionReason;
 import martenslip.control.RingEndCause;
 
-/** What passed the desk since its start; the deciding thread writes and reads. */
+/** Counts the contacts of a contact table since its start. Belongs to the decision thread. */
 public final class ContactCounters {
     long taken;
     long established;
@@ -17,11 +17,13 @@
     long rings;
     private final Map<String, Long> endsByCause = new TreeMap<>();
 
+    /** Counts the end of a ring by its cause and, where there is one, the reason of its rejection. */
     void countRingEnd(RingEndCause cause, RejectionReason rejectionReason) {
         endsByCause.merge(
                 rejectionReason == RejectionReason.NONE ? cause.name() : cause + "/" + rejectionReason, 1L, Long::sum);
     }
 
+    /** The counts as the operators' log has them; the names are part of its format. */
     @Override
     public String toString() {
         return "taken=" + taken + " stood=" + established + " inherited=" + inherited + " deferred=" + deferred
--- a/src/main/java/martenslip/platform/contact/ContactSettings.java
+++ b/src/main/java/martenslip/platform/contact/ContactSettings.java
@@ -4,7 +4,11 @@
 import martenslip.control.Span;
 
 /**
- * What the settings say that is no matter of decisions: names of skills in the order of their numbers, the most open
- * contacts, the longest patience of any skill, how late a final answer is still one.
+ * Settings of the contact table that do not concern routing decisions.
+ *
+ * @param skills the names of the skills, in the order of their numbers
+ * @param maxOpen the most contacts that may wait for their final answer at once
+ * @param maxPatience the longest patience of any skill
+ * @param answerSlack how long after the caller's patience a final answer still counts
  */
 public record ContactSettings(List<String> skills, int maxOpen, Span maxPatience, Span answerSlack) {}
--- a/src/main/java/martenslip/platform/contact/ContactTable.java
+++ b/src/main/java/martenslip/platform/contact/ContactTable.java
@@ -22,11 +22,12 @@
 import martenslip.tracking.AnswerDeadline;
 
 /**
- * The contacts of one controller on the platform: what arrives becomes news for the module, what the module orders
- * becomes messages. It decides nothing. One thread, time of its wheel, so it runs on driven time too.
+ * The contacts of one controller on the platform. It turns messages into events of the routing module, and the module's
+ * orders into messages; it makes no routing decision. It runs on one thread and takes the time from its timer wheel, so
+ * tests can drive it on simulated time.
  *
- * <p>An order that fails at once, and the end of an attempt that was called off, become further news and never reach
- * back into a module that is amid another.
+ * <p>An order that fails at once, and the end of a cancelled attempt, are queued as further notifications, so the
+ * module is never called from within one of its own calls.
  */
 public final class ContactTable implements Orders {
     private static final float[] NO_REPORT = {};
@@ -39,7 +40,7 @@
     private final Map<Long, TrackedContact> inFlightById = new LinkedHashMap<>();
     private final EstablishedContacts establishedContacts;
     private final ReleaseSender releaseSender;
-    /** Sizes of the groups as they were told last. */
+    /** The size of each switch's trunk group, as last reported. */
     private final Map<Long, Integer> groupSizes = new HashMap<>();
 
     private final ArrayDeque<Consumer<Controller>> pendingNotifications = new ArrayDeque<>();
@@ -49,6 +50,7 @@
     private boolean isRefusingNewContacts;
     private long lastContactId;
 
+    /** Creates a table without a module; see {@link #setController}. */
     public ContactTable(TimerWheel wheel, ContactSettings settings, OutboundMessages outbound) {
         this.wheel = wheel;
         this.settings = settings;
@@ -57,38 +59,44 @@
         establishedContacts = new EstablishedContacts(outbound, releaseSender, this::establishedContactEnded);
     }
 
-    /** The module that was made with this desk as its orders. */
+    /**
+     * Sets the routing module that was created with this table as its {@link Orders}. Must be called before any event.
+     */
     public void setController(Controller module) {
         controller = module;
     }
 
+    /** The counters since the start; they are live. */
     public ContactCounters counters() {
         return counters;
     }
 
-    /** Contacts without a final answer. */
+    /** The number of contacts that wait for their final answer. */
     public int openCount() {
         return openContactsById.size();
     }
 
+    /** The number of established contacts. */
     public int establishedCount() {
         return establishedContacts.count();
     }
 
+    /** Whether any contact is established at this switch. */
     public boolean hasEstablishedContactsAt(long switchId) {
         return establishedContacts.hasContactsAt(switchId);
     }
 
+    /** The number of releases that callers have not acknowledged yet. */
     public int unacknowledgedReleaseCount() {
         return releaseSender.pendingCount();
     }
 
-    /** From now on what comes is refused; what is open is answered in its own time. */
+    /** Refuses every new set-up from now on; open contacts are still answered. */
     public void refuseNewContacts() {
         isRefusingNewContacts = true;
     }
 
-    /** Tells the module, and then what its orders have brought about, one thing at a time. */
+    /** Notifies the module, then delivers the notifications that its orders have caused, one at a time. */
     public void notifyController(Consumer<Controller> notification) {
         pendingNotifications.add(notification);
         if (isNotifying) {
@@ -102,8 +110,8 @@
                 try {
                     next.accept(controller);
                 } catch (RuntimeException e) {
-                    // It costs this piece of news: contacts it left open have their last word here.
-                    outbound.log("fault", "the module: " + e);
+                    // Only this notification is lost: contacts it leaves open are answered when their deadline expires.
+                    outbound.log("fault", "exception in the routing module: " + e);
                 }
             }
         } finally {
@@ -111,15 +119,16 @@
         }
     }
 
-    // ---- what callers say
+    // ---- events from callers
 
+    /** Offers a new set-up to the module, or refuses it where its tag is in use or too many contacts are open. */
     public void setUpReceived(SetUpRequest request) {
         TrackedContact existing = contactsByTag.get(request.tag());
         if (request.establishedSwitch() == null
                 && existing != null
                 && existing.isOpen
                 && existing.callerConnectionId == request.connectionId()) {
-            // Which of the two its caller means can't be told, and neither may be answered as good.
+            // The caller's later messages could mean either, and neither may be answered with 200.
             outbound.disconnect(request.connectionId(), "two set-ups under one id");
             return;
         }
@@ -135,7 +144,7 @@
             return;
         }
         if (request.cancellation().isCancelled()) {
-            // Nobody waits for it any more: what its caller said after it stands behind it in the inbox.
+            // The caller no longer waits: its CANCEL, BYE or disconnect is queued behind this request in the inbox.
             counters.callerGone++;
             outbound.contactAnswered(request.connectionId(), request.tag());
             outbound.sendToCaller(
@@ -166,7 +175,9 @@
         notifyController(controller -> controller.contactOffered(wheel.now(), offeredContact));
     }
 
-    /** A contact that stands already at a switch, as its caller says; no answer is expected. */
+    /**
+     * Takes over a contact that is already established at this switch, according to its caller; no answer is expected.
+     */
     public void establishedContactReported(SetUpRequest request, long switchId) {
         outbound.contactAnswered(request.connectionId(), request.tag());
         if (contactsByTag.containsKey(request.tag())) {
@@ -181,7 +192,7 @@
         counters.inherited++;
     }
 
-    /** One that names a switch that is nowhere: what it named is over. */
+    /** Releases a contact that is established, according to its caller, at a switch that is not on the list. */
     public void establishedContactReportedAtUnknownSwitch(SetUpRequest request) {
         outbound.contactAnswered(request.connectionId(), request.tag());
         if (!contactsByTag.containsKey(request.tag())) {
@@ -190,6 +201,7 @@
         }
     }
 
+    /** Answers a CANCEL; it ends a set-up only from the connection that asked for it. */
     public void cancelReceived(long connectionId, Request request) {
         TrackedContact contact = contactsByTag.get(request.callId());
         if (contact == null || contact.callerConnectionId != connectionId) {
@@ -201,7 +213,9 @@
         callerLeft(contact);
     }
 
-    /** Its caller has cancelled, or is known to have gone before that was told here. */
+    /**
+     * Answers the set-up of a caller that has cancelled, or that is known to have gone before that event arrived here.
+     */
     private void callerLeft(TrackedContact contact) {
         if (contact.isOpen) {
             outbound.sendToCaller(
@@ -217,6 +231,7 @@
         notifyController(controller -> controller.callerGone(wheel.now(), contact.id));
     }
 
+    /** Answers a BYE, which may come on any connection for an established contact, and for an open one on its own. */
     public void byeReceived(long connectionId, Request request) {
         TrackedContact contact = contactsByTag.get(request.callId());
         boolean isOpen = contact != null && contact.isOpen && contact.callerConnectionId == connectionId;
@@ -229,21 +244,22 @@
         if (isEstablished) {
             establishedContacts.releasedByCaller(contact);
         } else if (isOpen) {
-            // RFC 3261 15.1.2: what is pending is still answered.
+            // RFC 3261 section 15.1.2: a pending request of the dialog is still answered.
             callerLeft(contact);
         }
     }
 
-    /** The caller has the good answer. */
+    /** The caller has acknowledged the 200 response. */
     public void ackReceived(String tag) {
         establishedContacts.acknowledged(tag);
     }
 
-    /** The caller has taken a release, or knows nothing of it. */
+    /** The caller has acknowledged a release, or answered that it does not know the contact. */
     public void releaseAcknowledged(String tag) {
         releaseSender.acknowledged(tag);
     }
 
+    /** Ends the open contacts of this connection and those answered on it but not acknowledged. */
     public void callerConnectionEnded(long connectionId) {
         releaseSender.callerConnectionEnded(connectionId);
         for (TrackedContact contact : List.copyOf(openContactsById.values())) {
@@ -254,19 +270,20 @@
         establishedContacts.callerConnectionEnded(connectionId);
     }
 
-    // ---- what switches say
+    // ---- events from switches
 
+    /** A switch has answered a START; {@code description} is null where the answer could not be read or has none. */
     public void started(long switchId, long switchConnectionId, String tag, String description) {
         TrackedContact contact = contactsByTag.get(tag);
         if (contact == null || contact.isEstablished || !isAwaitingAnswerFrom(contact, switchId)) {
             return;
         }
         if (contact.isOpen && contact.setUpRequest.cancellation().isCancelled()) {
-            // Known to have gone, though the news of it is still on its way: it takes no answer as good any more.
+            // The caller is known to have gone, though the event is still queued: it no longer takes a 200.
             callerLeft(contact);
         }
         if (contact.attempt == null || contact.attempt.isCancelled) {
-            // Its end is on its way to the switch, by the module's order or by the desk's.
+            // Its FINISH is already on its way to the switch.
             return;
         }
         if (description == null || !contact.isOpen) {
@@ -290,23 +307,24 @@
         }
     }
 
-    public void ended(long switchId, long switchConnectionId, String tag, int cause, String note, float[] report) {
+    /** A switch has sent a FINISH: it rejects a ring or releases an established contact. An empty report means none. */
+    public void ended(long switchId, long switchConnectionId, String tag, int q850Cause, String note, float[] report) {
         outbound.sendFinished(switchId, switchConnectionId, tag);
         TrackedContact contact = contactsByTag.get(tag);
         if (contact == null || !isAwaitingAnswerFrom(contact, switchId)) {
             return;
         }
         if (contact.attempt.isCancelled && !contact.isEstablished) {
-            // It crossed the end that is on its way there, which counts; what it says of circuits is true all the same.
+            // It crossed the FINISH that is on its way to the switch, which counts; its load report is still valid.
             if (report.length > 0) {
                 loadReported(switchId, report);
             }
             return;
         }
         if (contact.isEstablished) {
-            establishedContacts.releasedBySwitch(contact, cause, report);
+            establishedContacts.releasedBySwitch(contact, q850Cause, report);
         } else {
-            EndCause endCause = EndCause.ofRingEnd(cause, note);
+            EndCause endCause = EndCause.ofRingEnd(q850Cause, note);
             rememberGroupSize(switchId, report);
             attemptEnded(
                     contact,
@@ -316,7 +334,7 @@
         }
     }
 
-    /** An answer counts for the attempt that is out; to one that was never written there is none. */
+    /** An answer counts only for the attempt in flight, and only if its START has been written. */
     private static boolean isAwaitingAnswerFrom(TrackedContact contact, long switchId) {
         return contact.attempt != null
                 && contact.attempt.switchId == switchId
@@ -324,6 +342,7 @@
                         || contact.attempt.queuedStart.message().isWritten());
     }
 
+    /** A switch has reported its load, in the order of the settings' report fields. */
     public void loadReported(long switchId, float[] report) {
         rememberGroupSize(switchId, report);
         notifyController(controller -> controller.switchReported(wheel.now(), switchId, true, Span.ZERO, report));
@@ -336,8 +355,8 @@
     }
 
     /**
-     * A set-up that found too few circuits says so without a report: that few are free is a state of the group all
-     * the same, and where the switch told none when they were taken, it is the only word of it.
+     * The report of a FINISH, or one made up where a set-up failed for lack of circuits and came without a report: that
+     * few free circuits are left is then the only sign of the group's state.
      */
     private float[] reportOrGroupState(TrackedContact contact, EndCause endCause, float[] report) {
         boolean hasNoCircuit =
@@ -348,12 +367,12 @@
                 : report;
     }
 
-    /** A switch that has left the list for good; its number does not come again. */
+    /** A switch has left the list for good; its id is not used again. */
     public void switchRemoved(long switchId) {
         groupSizes.remove(switchId);
     }
 
-    /** A connection is over; the rings that went by it are given up, what stands is not touched. */
+    /** A connection to a switch has ended: its rings in flight end, established contacts stay. */
     public void switchConnectionEnded(long switchId, long switchConnectionId, boolean everUp) {
         for (TrackedContact contact : List.copyOf(inFlightById.values())) {
             if (contact.attempt.switchConnectionId() == switchConnectionId) {
@@ -367,13 +386,17 @@
         }
     }
 
-    /** The process behind a switch has ended: what stood there before a moment is over, and no release will come. */
+    /**
+     * The process of a switch has ended: contacts established there before the given moment, or all where it is null,
+     * end without a release of the switch.
+     */
     public void switchProcessEnded(long switchId, Moment establishedBefore) {
         establishedContacts.switchProcessEnded(switchId, establishedBefore);
     }
 
-    // ---- ends
+    // ---- ends of contacts and attempts
 
+    /** Marks the set-up as finally answered. */
     private void closeSetUp(TrackedContact contact) {
         contact.isOpen = false;
         contact.answerDeadlineTimer.cancel();
@@ -388,7 +411,7 @@
         contactsByTag.remove(contact.tag);
         TrackedContact.Attempt attempt = contact.attempt;
         if (attempt.ringNumber < 0) {
-            // The module never knew it: the report still tells of circuits.
+            // The module does not know this inherited contact, but the load report is valid.
             if (report.length > 0) {
                 loadReported(attempt.switchId, report);
             }
@@ -409,8 +432,8 @@
     }
 
     /**
-     * Gives an attempt up toward its switch. One whose write has not begun is taken back: it was never sent, and the
-     * switch hears nothing of it. Of one that was, the end counts once it is written, as the release after it does.
+     * Cancels an attempt. One whose write has not begun is revoked and ends as not sent; the switch receives nothing.
+     * Otherwise the attempt ends once its FINISH has been written, as the release time counts from then.
      */
     private void cancelAttempt(TrackedContact contact, RingEndCause cause) {
         TrackedContact.Attempt attempt = contact.attempt;
@@ -452,31 +475,34 @@
                         report)));
     }
 
+    /** Answers a contact that the module has left without an answer. */
     private void answerDeadlineExpired(TrackedContact contact) {
         if (!contact.isOpen) {
             return;
         }
-        outbound.log("last-word", "the module left a contact without an answer");
+        outbound.log("last-word", "the routing module left a contact unanswered until its deadline");
         outbound.sendToCaller(
                 contact.callerConnectionId,
                 CallerMessages.response(contact.setUpRequest.invite(), 500, "Server Internal Error"));
         callerGone(contact);
     }
 
-    // ---- what the module orders
+    // ---- orders of the module
 
     @Override
     public void ring(long contactId, long switchId, Span limit) {
         TrackedContact contact = openContactsById.get(contactId);
         if (contact == null || contact.attempt != null) {
-            outbound.log("fault", "an attempt for a contact that is over or has one out");
+            outbound.log(
+                    "fault",
+                    "the module ordered a ring for a contact that is answered, unknown or already has a ring in flight");
             return;
         }
         int ringNumber = contact.attemptCount++;
         counters.rings++;
         SetUpRequest request = contact.setUpRequest;
         Moment deadline = wheel.now().plus(limit);
-        QueuedMessage queued = request.cancellation().isCancelled()
+        QueuedMessage queuedStart = request.cancellation().isCancelled()
                 ? null
                 : outbound.sendStart(
                         switchId,
@@ -488,7 +514,7 @@
                                 deadline,
                                 request.cancellation()),
                         () -> attemptNotSent(contact, ringNumber));
-        TrackedContact.Attempt attempt = new TrackedContact.Attempt(ringNumber, switchId, queued, wheel.now());
+        TrackedContact.Attempt attempt = new TrackedContact.Attempt(ringNumber, switchId, queuedStart, wheel.now());
         contact.attempt = attempt;
         inFlightById.put(contact.id, contact);
         attempt.timeLimitTimer = wheel.scheduleAt(deadline, () -> {
@@ -498,7 +524,7 @@
         });
         if (request.cancellation().isCancelled()) {
             pendingNotifications.add(controller -> callerLeft(contact));
-        } else if (queued == null) {
+        } else if (queuedStart == null) {
             pendingNotifications.add(controller -> {
                 if (contact.attempt == attempt) {
                     attemptEnded(contact, RingEndCause.UNREACHABLE, RejectionReason.NONE, NO_REPORT);
@@ -507,7 +533,7 @@
         }
     }
 
-    /** An attempt's reason no longer held when its turn to be written came. */
+    /** The START was no longer due when its write was to begin. */
     private void attemptNotSent(TrackedContact contact, int ringNumber) {
         if (contact.attempt != null && contact.attempt.ringNumber == ringNumber) {
             attemptEnded(contact, RingEndCause.NOT_SENT, RejectionReason.NONE, NO_REPORT);
@@ -526,7 +552,8 @@
                     attempt.switchId, attempt.switchConnectionId(), contact.tag, EndCause.NORMAL_CLEARING, () -> {});
         }
         attempt.isCancelled = true;
-        // Called within the module: how it ended is told after, when it is known whether the contact is over.
+        // This runs within a call of the module, so the end is reported in a later notification, when it is known
+        // whether the contact has been answered.
         pendingNotifications.add(controller -> {
             if (contact.attempt == attempt) {
                 attemptEnded(
@@ -568,7 +595,7 @@
 
     @Override
     public void probe(long switchId) {
-        outbound.log("probe", "probes are not allowed on this platform");
+        outbound.log("probe", "the module ordered a probe, which this platform does not allow");
     }
 
     @Override
@@ -578,7 +605,7 @@
 
     @Override
     public void watchSwitchList(boolean enabled) {
-        // The journal service tells unasked; there is nothing to subscribe to.
+        // The journal service sends the list unasked; there is nothing to subscribe to.
     }
 
     @Override
@@ -586,7 +613,7 @@
         outbound.log("module", message);
     }
 
-    /** For checks: contacts that this desk still knows. */
+    /** For tests: the tags of all contacts in this table. */
     public Collection<String> knownTags() {
         return List.copyOf(contactsByTag.keySet());
     }
--- a/src/main/java/martenslip/platform/contact/EstablishedContacts.java
+++ b/src/main/java/martenslip/platform/contact/EstablishedContacts.java
@@ -8,14 +8,14 @@
 import martenslip.control.RingEndCause;
 
 /**
- * Contacts that stand: no connection owns one. It ends by its switch's release, by its caller's, with the process
- * behind its switch, or where its good answer may not have come through. Each end is said to whoever did not bring it,
- * and the module is told once. The deciding thread's.
+ * The established contacts. They belong to no connection. One ends by a release of its switch or its caller, with the
+ * process of its switch, or when the caller's connection ends before the 200 response was acknowledged. Each end is
+ * sent to the sides that did not cause it, and the listener is notified once. Belongs to the decision thread.
  */
 final class EstablishedContacts {
     private static final float[] NO_REPORT = {};
 
-    /** Hears of each end once the contact is no longer here. */
+    /** Is notified of each end, after the contact has been removed here. */
     interface EndListener {
         void contactEnded(TrackedContact contact, RingEndCause cause, float[] report);
     }
@@ -35,10 +35,12 @@
         return contactsByTag.size();
     }
 
+    /** Whether any contact is established at this switch. */
     boolean hasContactsAt(long switchId) {
         return contactsByTag.values().stream().anyMatch(contact -> contact.attempt.switchId == switchId);
     }
 
+    /** Adds a contact that has just been established; its set-up request is no longer kept. */
     void add(TrackedContact contact, Moment now) {
         contact.isEstablished = true;
         contact.establishedAt = now;
@@ -46,6 +48,7 @@
         contactsByTag.put(contact.tag, contact);
     }
 
+    /** The caller has acknowledged the 200 response. */
     void acknowledged(String tag) {
         TrackedContact contact = contactsByTag.get(tag);
         if (contact != null) {
@@ -53,23 +56,30 @@
         }
     }
 
+    /** Ends a contact by its caller's BYE. */
     void releasedByCaller(TrackedContact contact) {
         sendFinish(contact);
         contactEnded(contact, RingEndCause.CALLED_OFF, NO_REPORT);
     }
 
+    /** Ends a contact by its switch's FINISH; every cause but normal clearing is sent on as a temporary failure. */
     void releasedBySwitch(TrackedContact contact, int q850Cause, float[] report) {
         sendRelease(
                 contact, q850Cause == EndCause.NORMAL_CLEARING ? EndCause.NORMAL_CLEARING : EndCause.TEMPORARY_FAILURE);
         contactEnded(contact, EndCause.ofEstablishedEnd(q850Cause), report);
     }
 
-    /** Good answers that were not acknowledged may not have come through, and nobody else would ever release these. */
+    /**
+     * Ends the contacts whose 200 response went out on a connection that has ended and was not acknowledged: the
+     * response may not have arrived, and nobody else would ever release them.
+     */
     void callerConnectionEnded(long connectionId) {
         List<TrackedContact> unacknowledged =
                 contactsMatching(contact -> !contact.isAcknowledged && contact.callerConnectionId == connectionId);
         if (!unacknowledged.isEmpty()) {
-            outbound.log("unsure", unacknowledged.size() + " good answers not acknowledged on a connection that ended");
+            outbound.log(
+                    "unsure",
+                    unacknowledged.size() + " contacts were answered but not acknowledged on a connection that ended");
         }
         for (TrackedContact contact : unacknowledged) {
             sendFinish(contact);
@@ -78,7 +88,10 @@
         }
     }
 
-    /** What stood there before a moment, or at any, is over, and no release will come. */
+    /**
+     * Ends the contacts of a switch whose process has ended, as no release will come from it. Where a moment is given,
+     * only those that were established before it.
+     */
     void switchProcessEnded(long switchId, Moment establishedBefore) {
         List<TrackedContact> ended = contactsMatching(contact -> contact.attempt.switchId == switchId
                 && (establishedBefore == null || contact.establishedAt.before(establishedBefore)));
@@ -87,7 +100,9 @@
             contactEnded(contact, RingEndCause.CUT, NO_REPORT);
         }
         if (!ended.isEmpty()) {
-            outbound.log("switch-over", ended.size() + " contacts stood at switch " + switchId);
+            outbound.log(
+                    "switch-over",
+                    ended.size() + " established contacts were lost with the process of switch " + switchId);
         }
     }
 
--- a/src/main/java/martenslip/platform/contact/OutboundMessages.java
+++ b/src/main/java/martenslip/platform/contact/OutboundMessages.java
@@ -2,36 +2,44 @@
 
 import martenslip.sip.transport.QueuedMessage;
 
-/** What the desk has sent. Nothing here waits; what fails at once is told by the result, what fails later as news. */
+/**
+ * What the contact table sends. No method blocks. A failure known at once is returned; a later one is reported as an
+ * event on the decision thread.
+ */
 public interface OutboundMessages {
-    /** Toward a caller on its line; false where that is over. */
+    /** Sends to a caller on its connection; false where that connection has ended. */
     boolean sendToCaller(long connectionId, byte[] message);
 
-    /** A connection that callers who behave have open, another than this one if there is one; or 0. */
+    /**
+     * An open connection of a well-behaved caller, other than the excluded one if there is another; 0 where none is
+     * open.
+     */
     long otherCallerConnection(long excludedConnectionId);
 
-    /** The set-up of this line has its final answer. */
+    /** The set-up with this tag, received on this connection, has its final answer. */
     void contactAnswered(long connectionId, String tag);
 
-    /** Ends a line whose caller misbehaves. */
+    /** Ends the connection of a caller that misbehaves. */
     void disconnect(long connectionId, String reason);
 
     /**
-     * A set-up toward a switch, which can be taken back until its write begins; null where no connection can be had.
-     * {@code unsent} comes as news where its reason no longer held by then.
+     * Sends a START to a switch. It can be revoked until its write begins. Returns null where no connection can be had.
+     * {@code unsent} runs on the decision thread if the START was no longer due when its write was to begin.
      */
     QueuedMessage sendStart(long switchId, SwitchStartRequest start, Runnable unsent);
 
     /**
-     * Gives a ring up, or releases what stands, on the connection if it is up, else on any. {@code written} comes as
-     * news once it has been written or can't be any more.
+     * Sends a FINISH that cancels a ring or releases an established contact, on the given connection if it is up, else
+     * on any. {@code written} runs on the decision thread once the FINISH has been written or can no longer be.
      */
-    void sendFinish(long switchId, long switchConnectionId, String tag, int cause, Runnable written);
+    void sendFinish(long switchId, long switchConnectionId, String tag, int q850Cause, Runnable written);
 
-    /** Says that a release was heard. */
+    /** Acknowledges a FINISH of a switch. */
     void sendFinished(long switchId, long switchConnectionId, String tag);
 
+    /** Sends a note to a peer controller, or to all of them. */
     void sendNote(int peer, byte[] note);
 
+    /** Writes a line to the operators' log under this kind. */
     void log(String kind, String message);
 }
--- a/src/main/java/martenslip/platform/contact/ReleaseSender.java
+++ b/src/main/java/martenslip/platform/contact/ReleaseSender.java
@@ -7,21 +7,21 @@
 import martenslip.eventloop.TimerWheel;
 
 /**
- * Releases toward callers of what stood and is over: said on the connection of the set-up, else on any caller's, and
- * again until they are heard. The deciding thread's.
+ * Sends the releases of ended contacts to callers: on the connection of the set-up, else on any caller's connection,
+ * and again until they are acknowledged. Belongs to the decision thread.
  */
 final class ReleaseSender {
-    /** How often releases are said again to callers who were not heard to take them, and how often at most. */
+    /** How long an unacknowledged release waits until it is sent again. */
     private static final Span RETRANSMIT_INTERVAL = Span.ofMillis(400);
 
     private static final int MAX_TRANSMISSIONS = 6;
     private static final int MAX_PENDING_RELEASES = 4096;
 
-    /** A release that a caller has not been heard to take. */
+    /** A release that its caller has not acknowledged. */
     private static final class PendingRelease {
         final String tag;
         final byte[] message;
-        /** The connection that it was said on last; the next time another is taken, where there is one. */
+        /** The connection it was last sent on; a retransmission takes another one where there is one. */
         long connectionId;
 
         int transmissions;
@@ -46,14 +46,15 @@
         return pendingByTag.size();
     }
 
-    /** The caller has taken it, or knows nothing of it. */
+    /** The caller has acknowledged the release, or answered that it does not know the contact. */
     void acknowledged(String tag) {
         pendingByTag.remove(tag);
     }
 
+    /** Sends a release and keeps it until it is acknowledged or has been sent often enough. */
     void release(String tag, String calledNumber, int q850Cause, long connectionId) {
         if (pendingByTag.size() >= MAX_PENDING_RELEASES) {
-            outbound.log("releases", "too many releases unheard, the oldest is dropped");
+            outbound.log("releases", "too many unacknowledged releases; dropping the oldest");
             pendingByTag.remove(pendingByTag.keySet().iterator().next());
         }
         PendingRelease pending =
@@ -62,7 +63,10 @@
         transmitUntilAcknowledged(pending);
     }
 
-    /** A connection is over: what was said on it last, and not heard, may never have come through. */
+    /**
+     * A caller's connection has ended: an unacknowledged release last sent on it may not have arrived, so it is sent
+     * again at once.
+     */
     void callerConnectionEnded(long connectionId) {
         for (PendingRelease pending : List.copyOf(pendingByTag.values())) {
             if (pending.connectionId == connectionId && pending.transmissions > 0) {
@@ -79,13 +83,18 @@
         if (pending.transmissions >= MAX_TRANSMISSIONS) {
             outbound.log(
                     "unheard",
-                    "the release of " + pending.tag + " was said " + pending.transmissions + " times and not heard");
+                    "the release of " + pending.tag + " was sent " + pending.transmissions
+                            + " times without an answer");
             pendingByTag.remove(pending.tag);
             return;
         }
         wheel.scheduleAfter(RETRANSMIT_INTERVAL, () -> transmitUntilAcknowledged(pending));
     }
 
+    /**
+     * The first transmission tries the given connection; all others, and a first one that fails, take another
+     * connection.
+     */
     private void transmit(PendingRelease pending) {
         if (pending.transmissions == 0 && outbound.sendToCaller(pending.connectionId, pending.message)) {
             pending.transmissions++;
--- a/src/main/java/martenslip/platform/contact/SwitchStartRequest.java
+++ b/src/main/java/martenslip/platform/contact/SwitchStartRequest.java
@@ -4,8 +4,8 @@
 import martenslip.control.Span;
 
 /**
- * A set-up toward a switch as it waits to be written: not after {@code until}, which {@code left} is counted to at that
- * moment, and not once its caller has gone.
+ * A START that waits to be written to a switch. It is due until its deadline and only while its caller waits; the time
+ * that remains is taken when it is written.
  */
 public record SwitchStartRequest(
         String tag,
@@ -14,11 +14,12 @@
         String description,
         Moment deadline,
         CallerCancellation cancellation) {
+    /** The time from {@code now} to the deadline; zero or less where that has passed. */
     public Span remaining(Moment now) {
         return deadline.since(now);
     }
 
-    /** Whether there is still a reason to send it. */
+    /** Whether it should still be sent. */
     public boolean isDue(Moment now) {
         return !cancellation.isCancelled() && remaining(now).longerThan(Span.ZERO);
     }
--- a/src/main/java/martenslip/platform/contact/TrackedContact.java
+++ b/src/main/java/martenslip/platform/contact/TrackedContact.java
@@ -5,11 +5,14 @@
 import martenslip.sip.transport.QueuedMessage;
 
 /**
- * A contact from its set-up until nothing of it is left: open until its final answer, then standing where that was
- * good. It may outlast its answer with an attempt still out.
+ * The state of one contact. It is open until its final answer and established after a 200. It may outlast a refusal
+ * while an attempt has not ended.
  */
 final class TrackedContact {
-    /** An attempt that is out; {@code queued} is null where no connection could be had, or none is known. */
+    /**
+     * One ring in flight. {@code queuedStart} is null where no connection could be had or the caller had already gone,
+     * and for a contact that was inherited as established.
+     */
     static final class Attempt {
         final int ringNumber;
         final long switchId;
@@ -29,7 +32,7 @@
             return queuedStart == null ? 0 : queuedStart.connectionId();
         }
 
-        /** Takes it back; true where not a byte of it has been or will be written. */
+        /** Revokes the START; true where no byte of it has been or will be written. */
         boolean revoke() {
             return queuedStart == null || queuedStart.message().revoke();
         }
--- a/src/test/java/martenslip/platform/CdsTrainingRunTest.java
+++ b/src/test/java/martenslip/platform/CdsTrainingRunTest.java
@@ -6,6 +6,9 @@
 import martenslip.RoutingPolicy;
 import org.testng.annotations.Test;
 
+/**
+ * The training run for the JVM's class archive succeeds with a controller that serves and fails with one that does not.
+ */
 public class CdsTrainingRunTest {
     @Test
     public void theControllerServesTheTrainingRun() throws IOException {
@@ -17,7 +20,7 @@
         assertThrows(
                 IllegalStateException.class,
                 () -> CdsTrainingRun.run((settings, seed, now, orders) -> {
-                    throw new IllegalStateException("planted");
+                    throw new IllegalStateException("injected");
                 }));
     }
 }
--- a/src/test/java/martenslip/platform/ConfigurationTest.java
+++ b/src/test/java/martenslip/platform/ConfigurationTest.java
@@ -12,7 +12,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Each setting in turn gone, of a wrong type, sign or range: it is taken with its default, or refused by its path. */
+/**
+ * Each setting in turn is missing or has a wrong type, sign or range: it takes its default or is refused with its path.
+ */
 public class ConfigurationTest {
     private static final String VALID = PlatformStandIn.configuration(1, PlatformStandIn.switchListEvent(1, true));
 
@@ -25,7 +27,7 @@
         }
     }
 
-    /** Path as the error names it, the text of the setting as it stands, a wrong one. */
+    /** The path as the error names it, the valid text of the setting, a wrong text. */
     @DataProvider
     public Object[][] wrongSettings() {
         List<Object[]> cases = new ArrayList<>();
@@ -70,7 +72,7 @@
     @Test(dataProvider = "wrongSettings")
     public void aWrongSettingIsRefusedByItsPath(String path, String validText, String wrongValue) throws IOException {
         String text = VALID.replace(validText, wrongValue);
-        assertTrue(!text.equals(VALID), validText + " is not there");
+        assertTrue(!text.equals(VALID), validText + " is not in the configuration");
         try {
             readConfiguration(text);
         } catch (IOException e) {
@@ -78,15 +80,16 @@
             assertEquals(e.getMessage().lines().count(), 1L);
             return;
         }
-        throw new AssertionError(wrongValue + " was taken");
+        throw new AssertionError(wrongValue + " was accepted");
     }
 
-    /** Whatever else is gone from the file: it is read, or one line names what is missing. */
+    /** Renames each member of the file in turn: the file is read, or one line names what is missing. */
     @Test
     public void withoutAnyOneMemberItIsReadOrRefusedInOneLine() throws IOException {
         int refused = 0;
         int members = 0;
-        for (int nameStart = VALID.indexOf('"'); nameStart >= 0; nameStart = VALID.indexOf('"', nameStart + 1)) {
+        int nameStart = VALID.indexOf('"');
+        for (; nameStart >= 0; nameStart = VALID.indexOf('"', nameStart + 1)) {
             int nameEnd = VALID.indexOf('"', nameStart + 1);
             if (nameEnd < 0 || VALID.charAt(nameEnd + 1) != ':') {
                 continue;
--- a/src/test/java/martenslip/platform/ControllerServiceTest.java
+++ b/src/test/java/martenslip/platform/ControllerServiceTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The controller in service between a stand-in of the platform's other parties, on loopback. */
+/** The controller as a service on loopback, between stand-ins of callers, switches and the journal. */
 public class ControllerServiceTest {
     private static final String CALL_ID = "9b1f03aa5c7e2d41";
     private static final String OTHER_CALL_ID = "9b1f03aa5c7e2d42";
@@ -66,7 +66,7 @@
         return platform.new CallerConnection(service.listenAddress());
     }
 
-    /** Tests until one passes: only then are the states of the groups there. */
+    /** Sends OPTIONS until the controller answers 200: only then are the states of the groups known. */
     private CallerConnection connectReadyCaller() throws IOException {
         return PlatformStandIn.connectReadyCaller(platform, service);
     }
@@ -112,7 +112,7 @@
         connection.invite(OTHER_CALL_ID, "dear", 3000, DESCRIPTION);
         ReceivedMessage start = switches.get(1).next("START");
         start.reply("{\"verb\":\"STARTED\",\"tag\":\"" + OTHER_CALL_ID + "\",\"opts\":{},\"blob\":\"half");
-        // The module tries again after the release, on what connection there is by then.
+        // The module rings again after the release time, on whichever connection is up by then.
         ReceivedMessage secondStart = switches.get(1).next("START");
         secondStart.started("whole");
         assertTrue(connection.next().endsWith("whole"));
@@ -126,7 +126,10 @@
         assertTrue(connection.next().contains("Call-ID: " + CALL_ID));
     }
 
-    /** A release by the second connection is read after the state that the first told since: it must not undo it. */
+    /**
+     * A FINISH on the second connection may be read after a newer load report on the first: its older report must not
+     * replace the newer one.
+     */
     @Test
     public void anOldReportDoesNotReplaceANewState() throws Exception {
         CallerConnection connection = connectReadyCaller();
@@ -140,7 +143,7 @@
         firstSocket
                 .getOutputStream()
                 .write("{\"verb\":\"LOAD\",\"tag\":\"\",\"opts\":{\"load\":\"x0:0;x1:9\"}}\n".getBytes());
-        // Heard by the order of one connection: the switch's release of an unknown id is answered after the state.
+        // The FINISHED for an unknown id comes after the load report on this connection, so the report has been read.
         new ReceivedMessage(firstSocket, "", OTHER_CALL_ID, "").finish(16, "");
         switchStandIn.next("FINISHED");
         secondSocket
@@ -152,7 +155,7 @@
         connection.invite(OTHER_CALL_ID, "cheap", 400, DESCRIPTION);
         assertTrue(
                 connection.next().startsWith("SIP/2.0 5"),
-                "it is refused, or goes over the tandem, which says nothing");
+                "it is refused, or rings at the tandem, which does not answer");
         assertTrue(switchStandIn.receivedMessages.stream()
                 .noneMatch(message -> message.verb().equals("START")));
     }
@@ -166,21 +169,24 @@
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=41"), bye);
     }
 
-    /** On the churn's day 393 contacts that stood were released as if the process had ended: it only took no more. */
+    /**
+     * A draining switch that only refused new connections was treated as an ended process: 393 established contacts
+     * were released in the churn scenario.
+     */
     @Test
     public void aDrainingSwitchMayRefuseConnectionsAndKeepsItsContacts() throws Exception {
         CallerConnection connection = connectReadyCaller();
         ReceivedMessage establishedStart = establish(connection);
         SwitchStandIn switchStandIn = switches.get(1);
         journal.addEvent(switchListEvent(2, false, instanceJson("s-1", switchStandIn.port(), 1, "draining")));
-        // The new switch is connected to once the list is taken, and so is known to drain by then.
+        // The connections to the new switch are made after the list is applied, so by then the drain is known.
         journal.addEvent(
                 switchListEvent(3, false, instanceJson("s-8", switches.get(2).port(), 3, "up")));
         for (int i = 0; i < 1000 && switches.get(2).connections.size() < 4; i++) {
             Thread.sleep(5);
         }
         switchStandIn.refuseConnections(establishedStart.socket());
-        // Refused by now more than once: the pauses between tries are 0, 50 and 100 ms.
+        // By now more than one connection attempt was refused: the pauses between attempts are 0, 50 and 100 ms.
         connection.socket.setSoTimeout(400);
         assertThrows(java.net.SocketTimeoutException.class, connection::next);
         connection.socket.setSoTimeout(10_000);
@@ -195,7 +201,7 @@
         int port = switches.get(1).port();
         journal.addEvent(
                 switchListEvent(2, false, instanceJson("s-1", port, 1, "removed"), instanceJson("s-9", port, 1, "up")));
-        // The old one says nothing any more, so what stood there ends with it.
+        // The old switch will send nothing more, so its contacts end with it.
         assertTrue(connection.next().startsWith("BYE "));
         connection.invite(OTHER_CALL_ID, "dear", 3000, DESCRIPTION);
         switches.get(1).next("START").started("new");
@@ -212,7 +218,10 @@
         };
     }
 
-    /** The feed breaks off amid an event; it is asked for again from the last whole one, and doubles are skipped. */
+    /**
+     * The journal connection breaks within an event: the controller asks again from the last whole event and skips
+     * duplicates.
+     */
     @Test(dataProvider = "brokenEvents")
     public void theJournalResumesAfterABreak(String brokenEvent) throws Exception {
         CallerConnection connection = connectReadyCaller();
@@ -224,14 +233,13 @@
                 false,
                 instanceJson("s-1", switches.get(1).port(), 1, "removed"),
                 instanceJson("s-7", switches.get(2).port(), 1, "up")));
-        // Two connections to each switch: four once the new one at the same address is known. That it has told its
-        // state
-        // is one thing more, and a busy machine may take it up later.
+        // Each switch has two connections, so there are four once the new switch at the same address is known. Its
+        // state may be reported later than that on a busy machine.
         PlatformStandIn.awaitCondition(
                 service, () -> switches.get(2).connections.size() >= 4 && service.allGroupStatesReported());
         connection.invite(CALL_ID, "dear", 3000, DESCRIPTION);
-        switches.get(2).next("START").started("at the new one");
-        assertTrue(connection.next().endsWith("at the new one"));
+        switches.get(2).next("START").started("new switch");
+        assertTrue(connection.next().endsWith("new switch"));
     }
 
     @Test
@@ -249,7 +257,7 @@
         service.reload();
     }
 
-    /** The old address still tells for a while; the new one has taken the question and says nothing. */
+    /** The old journal still sends events while the new one has accepted the request and sends nothing. */
     @Test
     public void theOldJournalIsReadUntilTheNewOneAnswers() throws Exception {
         connectReadyCaller();
@@ -269,7 +277,9 @@
         PlatformStandIn.awaitCondition(service, () -> service.journalPosition() == 3);
     }
 
-    /** Reload, and at once a drain: what the new address tells counts, and it is the only one left. */
+    /**
+     * A drain right after a reload: the event of the new journal counts, and the drained switch was the only one left.
+     */
     @Test
     public void aDrainRightAfterAReloadIsApplied() throws Exception {
         CallerConnection connection = connectReadyCaller();
@@ -305,14 +315,14 @@
         assertTrue(service.allGroupStatesReported());
     }
 
-    /** A restart finds contacts that stand, and is killed while it takes them: the next one takes them all the same. */
+    /** A controller is killed while it takes over established contacts: the next one takes them over all the same. */
     @Test
     public void establishedContactsAreTakenOverAgainAfterAKill() throws Exception {
         CallerConnection connection = connectReadyCaller();
         connection.send(CallerConnection.message("INVITE", CALL_ID, "Routing-Data: at:s-1\r\n", ""));
         connection.send("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
         connection.next();
-        // Killed: what it knew is gone with it, and nobody was told a thing.
+        // Simulates a kill: all state is lost and nobody was notified.
         service.close();
         switches.get(1).receivedMessages.clear();
         service = new ControllerService(configurationFile, RoutingPolicy::new, SILENT_LOG);
@@ -342,9 +352,9 @@
         String valid = PlatformStandIn.configuration(1, switchListEvent(1, true));
         return new Object[][] {
             {"{", "end-of-input"},
-            {"[]", "no object"},
+            {"[]", "not a JSON object"},
             {valid.replace("\"seed\"", "\"sead\""), "seed is missing"},
-            {valid.replace("00000000000000aa", "x"), "seed is no number"},
+            {valid.replace("00000000000000aa", "x"), "seed is not a number of up to 16 hexadecimal digits"},
             {valid.replace("127.0.0.1:1\"", "somewhere:1\""), "journal: somewhere:1 is no address"},
             {valid.replace("\"sockets\":64", "\"sockets\":\"many\""), "limits.sockets is missing or no number"},
             {valid.replace("\"settings\"", "\"sittings\""), "settings is missing"},
@@ -357,7 +367,7 @@
     public void anInvalidConfigurationIsRefusedWithPathAndReason(String text, String expected) throws IOException {
         Path invalidFile = PlatformStandIn.writeTemporary(text);
         try (ControllerService service = new ControllerService(invalidFile, RoutingPolicy::new, SILENT_LOG)) {
-            throw new AssertionError("it was taken: " + service);
+            throw new AssertionError("the configuration was accepted: " + service);
         } catch (IOException e) {
             assertTrue(e.getMessage().contains(expected), e.getMessage());
         }
@@ -378,7 +388,7 @@
         service.await();
     }
 
-    /** What bad callers send: each gets a word or an end, and never a good answer. */
+    /** Requests of misbehaving callers: each is refused or its connection is closed, and none is answered with 200. */
     @DataProvider
     public Object[][] badRequests() {
         String validHeaders = "Call-Kind: dear\r\nAnswer-Within: 900\r\nRouting-Data: dest:1;width:1;via:-1\r\n";
@@ -428,13 +438,14 @@
         establish(regular);
     }
 
-    /** What a controller that starts from nothing learns of contacts that stand: no answer, and a release like others. */
+    /** A contact that was established before the controller started gets no answer, and is released like any other. */
     @Test
     public void aContactEstablishedEarlierIsReleasedByItsSwitch() throws Exception {
         CallerConnection connection = connectReadyCaller();
         connection.send(CallerConnection.message("INVITE", CALL_ID, "Routing-Data: at:s-1\r\n", ""));
         connection.send("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
-        assertTrue(connection.next().contains("CSeq: 1 OPTIONS"), "a set-up with at is not answered");
+        assertTrue(
+                connection.next().contains("CSeq: 1 OPTIONS"), "the set-up of an established contact is not answered");
         new ReceivedMessage(switches.get(1).connections.get(0), "", CALL_ID, "").finish(16, "");
         String bye = connection.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(CALL_ID), bye);
@@ -448,7 +459,10 @@
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=41"), bye);
     }
 
-    /** A line that the deciding thread ends tells so by the same inbox: full, it must not wait for itself. */
+    /**
+     * A connection that the decision thread itself closes is reported through the same inbox: when that is full, the
+     * thread must not wait for itself.
+     */
     @Test(timeOut = 30_000)
     public void theDecidingThreadNeverWaitsForItself() throws Exception {
         CountDownLatch done = new CountDownLatch(10_000);
--- a/src/test/java/martenslip/platform/GatedSockets.java
+++ b/src/test/java/martenslip/platform/GatedSockets.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Supplier;
 
-/** Sockets toward switches whose connecting and writing wait at a gate that the test opens. */
+/** Creates sockets to switches that connect and write only while a gate, controlled by the test, is open. */
 final class GatedSockets implements Supplier<Socket> {
-    /** One gate; who comes while it is shut waits. */
+    /** A gate: threads that reach it while it is closed wait. */
     static final class Gate {
         private boolean isShut;
         private int waitingCount;
@@ -24,13 +24,13 @@
             notifyAll();
         }
 
-        /** Waits until as many stand before it. */
+        /** Waits until this many threads wait at the gate. */
         synchronized void awaitWaiting(int count) throws InterruptedException {
             long deadlineNs = System.nanoTime() + 10_000_000_000L;
             while (waitingCount < count) {
                 long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
                 if (remainingMs <= 0) {
-                    throw new AssertionError("only " + waitingCount + " came to the gate");
+                    throw new AssertionError("only " + waitingCount + " threads reached the gate");
                 }
                 wait(remainingMs);
             }
@@ -60,9 +60,9 @@
         createdCount.incrementAndGet();
         return new Socket() {
             @Override
-            public void connect(SocketAddress to, int atMost) throws IOException {
+            public void connect(SocketAddress address, int timeoutMs) throws IOException {
                 connect.pass();
-                super.connect(to, atMost);
+                super.connect(address, timeoutMs);
             }
 
             @Override
--- a/src/test/java/martenslip/platform/PlatformStandIn.java
+++ b/src/test/java/martenslip/platform/PlatformStandIn.java
@@ -21,7 +21,10 @@
 import java.util.function.BooleanSupplier;
 import martenslip.platform.json.Json;
 
-/** A small platform on loopback, written from the protocol's page: switches, a journal service, callers' lines. */
+/**
+ * A small platform on loopback, written from the protocol's documentation: switches, a journal service and callers'
+ * connections.
+ */
 final class PlatformStandIn implements AutoCloseable {
     private static final int TIMEOUT_SECONDS = 10;
     private final List<AutoCloseable> closeables = new CopyOnWriteArrayList<>();
@@ -33,7 +36,7 @@
     private static <T> T pollOrFail(LinkedBlockingQueue<T> queue, String expectation) throws InterruptedException {
         T received = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (received == null) {
-            throw new AssertionError("nothing came: " + expectation);
+            throw new AssertionError("nothing received: " + expectation);
         }
         return received;
     }
@@ -50,10 +53,10 @@
         return listener;
     }
 
-    /** A line of a switch with the socket it came by. */
+    /** A message that a switch stand-in received, with the socket it came by. */
     record ReceivedMessage(Socket socket, String verb, String tag, String description, long remainingMs) {
-        ReceivedMessage(Socket by, String verb, String tag, String description) {
-            this(by, verb, tag, description, -1);
+        ReceivedMessage(Socket socket, String verb, String tag, String description) {
+            this(socket, verb, tag, description, -1);
         }
 
         void reply(String line) throws IOException {
@@ -64,12 +67,13 @@
             reply("{\"verb\":\"STARTED\",\"tag\":\"" + tag + "\",\"opts\":{},\"blob\":\"" + description + "\"}");
         }
 
-        void finish(int cause, String note) throws IOException {
-            reply("{\"verb\":\"FINISH\",\"tag\":\"" + tag + "\",\"opts\":{\"note\":\"" + note + "\"},\"rc\":" + cause
-                    + "}");
+        void finish(int q850Cause, String note) throws IOException {
+            reply("{\"verb\":\"FINISH\",\"tag\":\"" + tag + "\",\"opts\":{\"note\":\"" + note + "\"},\"rc\":"
+                    + q850Cause + "}");
         }
     }
 
+    /** A switch: reports its load on each connection and keeps the messages it receives. */
     final class SwitchStandIn {
         final LinkedBlockingQueue<ReceivedMessage> receivedMessages = new LinkedBlockingQueue<>();
         final List<Socket> connections = new CopyOnWriteArrayList<>();
@@ -107,13 +111,13 @@
             return listener.getLocalPort();
         }
 
-        /** The next line of this type; others are passed over. */
+        /** The next message with this verb; others are skipped. */
         ReceivedMessage next(String verb) throws InterruptedException {
             ReceivedMessage next = pollOrFail(receivedMessages, verb);
             return next.verb.equals(verb) ? next : next(verb);
         }
 
-        /** Takes no further connection and ends all but one. */
+        /** Accepts no further connection and closes all but one. */
         void refuseConnections(Socket keptConnection) throws IOException {
             listener.close();
             for (Socket connection : connections) {
@@ -132,12 +136,13 @@
         }
     }
 
+    /** A journal service: sends its events to each connection from the first on. */
     final class JournalStandIn {
         final LinkedBlockingQueue<Long> requestedPositions = new LinkedBlockingQueue<>();
         private final List<String> events = new CopyOnWriteArrayList<>();
         private final ServerSocket listener;
         volatile String brokenEvent;
-        /** It takes the question and says nothing, not even that. */
+        /** Accepts the request and sends nothing, not even a response header. */
         volatile boolean isSilent;
 
         JournalStandIn() throws IOException {
@@ -183,7 +188,7 @@
             socket.getOutputStream().flush();
         }
 
-        /** Tells the list from now on; the number of the event is its place. */
+        /** Adds an event to the journal; its position in the list is its number. */
         void addEvent(String data) {
             events.add(data);
         }
@@ -193,7 +198,7 @@
         }
 
         long nextRequestedPosition() throws InterruptedException {
-            return pollOrFail(requestedPositions, "the feed was asked for");
+            return pollOrFail(requestedPositions, "a request to the journal");
         }
     }
 
@@ -229,7 +234,7 @@
         return file;
     }
 
-    /** A caller's line. */
+    /** A caller's connection. */
     final class CallerConnection {
         final Socket socket = new Socket();
         private final InputStream input;
@@ -262,7 +267,7 @@
                     + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
         }
 
-        /** The next message whole, or null where the line has ended. */
+        /** The next message as a whole, or null where the connection has ended. */
         String next() throws IOException {
             StringBuilder head = new StringBuilder();
             try {
@@ -283,14 +288,14 @@
     }
 
     /**
-     * Looks until it holds, each time on the deciding thread, and once more has everything that was queued before it
-     * held go first: a position is known as soon as its event is queued, not when it is decided about.
+     * Evaluates the condition on the decision thread until it holds, then waits for everything that was queued before
+     * that: a position is known as soon as its event is queued, not when the event is handled.
      */
     static void awaitCondition(ControllerService service, BooleanSupplier condition) throws InterruptedException {
         long startedNs = System.nanoTime();
         while (!isTrueOnDecisionThread(service, condition)) {
             if (System.nanoTime() - startedNs > TIMEOUT_SECONDS * 1_000_000_000L) {
-                throw new IllegalStateException("it never held");
+                throw new IllegalStateException("the condition was not met in time");
             }
         }
         isTrueOnDecisionThread(service, () -> true);
@@ -308,10 +313,14 @@
         return result.get();
     }
 
-    /** A caller's line on which a test has passed: only then are the states of the groups there. */
+    /**
+     * Opens a caller's connection and sends OPTIONS until one is answered 200: only then are the states of the groups
+     * known.
+     */
     static CallerConnection connectReadyCaller(PlatformStandIn platform, ControllerService service) throws IOException {
         CallerConnection connection = platform.new CallerConnection(service.listenAddress());
-        // By the clock: two thousand tests were over in half a second on a busy machine, before the threads had begun.
+        // Limited by time, not by a count: on a busy machine two thousand requests were answered within half a second,
+        // before the service's threads had begun.
         for (long startedNs = System.nanoTime(); System.nanoTime() - startedNs < 10_000_000_000L; ) {
             connection.send(
                     "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
@@ -319,7 +328,7 @@
                 return connection;
             }
         }
-        throw new AssertionError("never ready");
+        throw new AssertionError("the controller was not ready in time");
     }
 
     List<SwitchStandIn> startSwitches(int count) throws IOException {
--- a/src/test/java/martenslip/platform/ProcessSignalsTest.java
+++ b/src/test/java/martenslip/platform/ProcessSignalsTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The program as the platform starts it, a process of its own, under real signals. */
+/** The program as the platform starts it, in a process of its own, under real signals. */
 public class ProcessSignalsTest {
     private static final String CALL_ID = "9b1f03aa5c7e2d41";
     private PlatformStandIn platform;
@@ -78,13 +78,13 @@
         platform.close();
     }
 
-    /** Reads its log up to a line of this kind; the time-out of the test ends a wait that is in vain. */
+    /** Reads the log up to the next line of this kind; the time-out of the test limits the wait. */
     private String awaitLogLine(String kind) throws IOException {
         String line = processOutput.readLine();
         while (line != null && !line.contains(" " + kind + ": ")) {
             line = processOutput.readLine();
         }
-        assertTrue(line != null, "it ended without a line " + kind);
+        assertTrue(line != null, "the process ended without a log line of kind " + kind);
         return line;
     }
 
@@ -111,20 +111,25 @@
         signal("HUP");
         signal("TERM");
         assertEquals(
-                newJournal.nextRequestedPosition(), 1, "what the reload asked for is asked for amid the drain too");
+                newJournal.nextRequestedPosition(),
+                1,
+                "the journal of the reload is requested during the shutdown too");
         awaitLogLine("term");
         start.started("m=audio 1");
         assertTrue(connection.next().startsWith("SIP/2.0 200 "));
         connection.send(CallerConnection.message("ACK", CALL_ID, "", ""));
         CallerConnection lateConnection = connectCaller().invite("9b1f03aa5c7e2d42", "dear", 3000, "m=audio");
         switches.get(1).next("START").started("m=audio 2");
-        assertTrue(lateConnection.next().startsWith("SIP/2.0 200 "), "still taken right after SIGTERM");
+        assertTrue(lateConnection.next().startsWith("SIP/2.0 200 "), "set-ups are still accepted right after SIGTERM");
         awaitLogLine("end");
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(process.exitValue(), 0);
     }
 
-    /** Killed right after it accepted, with set-ups that stand already on their way to it; the next one takes them over. */
+    /**
+     * A controller is killed right after it accepted a connection, with set-ups of established contacts on their way to
+     * it; the next one takes them over.
+     */
     @Test(timeOut = 60_000)
     public void contactsAreTakenOverAfterAKillRightAfterAccept() throws Exception {
         awaitLogLine("ready");
@@ -139,18 +144,23 @@
         newConnection.send(CallerConnection.message("INVITE", CALL_ID, "Routing-Data: at:s-1\r\n", ""));
         newConnection.send(
                 "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n");
-        assertTrue(newConnection.next().contains("CSeq: 1 OPTIONS"), "a set-up with at is not answered");
+        assertTrue(
+                newConnection.next().contains("CSeq: 1 OPTIONS"),
+                "the set-up of an established contact is not answered");
         Socket socket = switches.get(1).connections.get(connectionCount);
         new ReceivedMessage(socket, "", CALL_ID, "").finish(16, "");
         String bye = newConnection.next();
         assertTrue(bye.startsWith("BYE ") && bye.contains("cause=16") && bye.contains(CALL_ID), bye);
     }
 
-    /** A SIGTERM before its handler is set ends the process as the system does; one after it ends in good order. */
+    /**
+     * A SIGTERM before the program has set its handler ends the process through the JVM's default; a later one shuts it
+     * down in good order.
+     */
     @Test(timeOut = 60_000)
     public void aTermBeforeServiceEndsTheProcess() throws Exception {
         signal("TERM");
-        assertTrue(process.waitFor(20, TimeUnit.SECONDS), "neither ended by the JVM nor by the program");
+        assertTrue(process.waitFor(20, TimeUnit.SECONDS), "ended neither by the JVM nor by the program");
         launch();
         awaitLogLine("ready");
         signal("HUP");
--- a/src/test/java/martenslip/platform/ReloadSignalTest.java
+++ b/src/test/java/martenslip/platform/ReloadSignalTest.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
+/** A SIGHUP before, during or after the start of service leads to a reload. */
 public class ReloadSignalTest {
     private final AtomicInteger reloadCount = new AtomicInteger();
 
@@ -24,7 +25,7 @@
         assertEquals(reloadCount.get(), 2);
     }
 
-    /** The signal and the beginning at once, two thousand times: it is done, whichever comes first. */
+    /** Two thousand races of a signal with the start of service: the reload runs, whichever comes first. */
     @Test
     public void aRequestDuringTheStartReloads() throws Exception {
         for (int i = 0; i < 2000; i++) {
--- a/src/test/java/martenslip/platform/WriteRaceTest.java
+++ b/src/test/java/martenslip/platform/WriteRaceTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Crossings forced over loopback: an order waits at a gate, and something comes before it is written. */
+/** Races over loopback: a START or FINISH is held at a gate, and another event comes before it is written. */
 public class WriteRaceTest {
     private static final String CALL_ID = "9b1f03aa5c7e2d41";
     private static final String OTHER_CALL_ID = "9b1f03aa5c7e2d42";
@@ -56,7 +56,7 @@
         platform.close();
     }
 
-    /** What ends a set-up for its caller. */
+    /** How a caller ends its set-up. */
     enum CallerExit {
         CANCEL,
         BYE,
@@ -84,28 +84,31 @@
         }
     }
 
-    /** Waits until the controller knows of no open set-up: then whatever ended it has been decided about. */
+    /** Waits until the controller has no open contact, so that the event that ended it has been handled. */
     private void awaitNoOpenContact() throws Exception {
         PlatformStandIn.awaitCondition(service, () -> service.openContactCount() == 0);
     }
 
-    /** A set-up for another is the mark: by one connection, what was queued before it is read before it. */
+    /**
+     * Checks that the next START is for this new contact. On one connection messages are read in order, so anything
+     * queued earlier would be read first.
+     */
     private void assertNextStartIs(String callId) throws Exception {
         CallerConnection otherConnection = platform.new CallerConnection(service.listenAddress());
         otherConnection.invite(callId, "dear", 3000, "m=audio");
         ReceivedMessage firstStart = switches.get(1).receivedMessages.poll(10, java.util.concurrent.TimeUnit.SECONDS);
-        assertTrue(firstStart != null, "no START came");
+        assertTrue(firstStart != null, "no START was received");
         assertEquals(
                 firstStart.verb() + " " + firstStart.tag(),
                 "START " + callId,
-                "something went out for a caller who has gone");
+                "a message was sent for a caller who has gone");
         firstStart.started("m=audio 1");
         assertTrue(otherConnection.next().startsWith("SIP/2.0 200 "));
     }
 
     /**
-     * Asks on this connection for a set-up that waits to be written. The writer is held by another's START, which has
-     * begun and so is an attempt like any other; the connection of its caller is returned.
+     * Sends a set-up whose START waits to be written. The writer is held by the START of another contact, which has
+     * begun to be written and is an ordinary attempt; returns the connection of that contact's caller.
      */
     private CallerConnection queueBehindAHeldWriter(CallerConnection connection) throws Exception {
         CallerConnection firstConnection = platform.new CallerConnection(service.listenAddress());
@@ -141,7 +144,7 @@
         for (java.net.Socket socket : switches.get(1).connections) {
             socket.close();
         }
-        // Its two connections are asked for anew, and stand before the gate.
+        // The controller opens its two connections to the switch again, and both wait at the gate.
         sockets.connect.awaitWaiting(1);
         PlatformStandIn.awaitCondition(service, () -> sockets.createdCount.get() >= createdBefore + 2);
         connection.invite(CALL_ID, "dear", 3000, "m=audio");
@@ -153,7 +156,10 @@
         assertNextStartIs(LAST_CALL_ID);
     }
 
-    /** A writer that is held takes the time that its caller gave: what is left says so, and at its end there is none. */
+    /**
+     * While the writer is held the caller's time passes: the remaining time is taken when the START is written, and
+     * where none is left there is no START.
+     */
     @Test
     public void theRemainingTimeIsExactWhenItIsWritten() throws Exception {
         PlatformStandIn.connectReadyCaller(platform, service);
@@ -166,7 +172,7 @@
                 platform.new CallerConnection(service.listenAddress()).invite(CALL_ID, "dear", 3000, "m=audio");
         CallerConnection thirdConnection =
                 platform.new CallerConnection(service.listenAddress()).invite(LAST_CALL_ID, "dear", 300, "m=audio");
-        assertTrue(thirdConnection.next().startsWith("SIP/2.0 50"), "its time is over");
+        assertTrue(thirdConnection.next().startsWith("SIP/2.0 50"), "the caller's time is over");
         long heldMs = (System.nanoTime() - queuedNs) / 1_000_000;
         sockets.write.open();
         assertEquals(switches.get(1).next("START").tag(), OTHER_CALL_ID);
@@ -175,10 +181,10 @@
         assertTrue(start.remainingMs() <= 3000 - heldMs + 1, start.remainingMs() + " ms left after " + heldMs);
         start.started("m=audio 2");
         assertTrue(secondConnection.next().startsWith("SIP/2.0 200 "));
-        assertTrue(switches.get(1).receivedMessages.isEmpty(), "one went out past its time");
+        assertTrue(switches.get(1).receivedMessages.isEmpty(), "a START was sent after its deadline");
     }
 
-    /** Drained while the set-up waits for its connection: it is never sent there, and its caller is answered. */
+    /** The switch drains while a START waits to be written: the START is not sent, and the caller is answered. */
     @Test
     public void aSwitchThatDrainsMeanwhileGetsNoNewContacts() throws Exception {
         CallerConnection connection = PlatformStandIn.connectReadyCaller(platform, service);
@@ -187,22 +193,22 @@
                 switchListEvent(2, false, instanceJson("s-1", switches.get(1).port(), 1, "draining")));
         PlatformStandIn.awaitCondition(service, () -> service.journalPosition() == 2);
         sockets.write.open();
-        assertTrue(connection.next().startsWith("SIP/2.0 503 "), "there is no other way to it");
+        assertTrue(connection.next().startsWith("SIP/2.0 503 "), "no other switch can take the contact");
         switches.get(1).next("START").started("m=audio 3");
         assertTrue(firstConnection.next().startsWith("SIP/2.0 200 "));
         assertTrue(switches.get(1).receivedMessages.stream()
                 .noneMatch(start -> start.tag().equals(CALL_ID)));
     }
 
-    /** Waits until two connections to the switch are up on both sides. */
+    /** Waits until this many connections to the switch have been opened and the groups' states are reported. */
     private void awaitConnections(SwitchStandIn switchStandIn, int connectionCount) throws Exception {
         PlatformStandIn.awaitCondition(
                 service, () -> switchStandIn.connections.size() >= connectionCount && service.allGroupStatesReported());
     }
 
     /**
-     * The end of a first attempt is kept to be said again on a further connection, until the switch says that it heard;
-     * said again there it would end the second attempt, which bears the same id.
+     * The FINISH of a first attempt is resent on a further connection until the switch acknowledges it. Resent during a
+     * second attempt, which has the same id, it would end that one.
      */
     @Test
     public void theFinishOfOneAttemptIsNotResentDuringTheNext() throws Exception {
@@ -211,7 +217,7 @@
         awaitConnections(switchStandIn, 2);
         connection.invite(CALL_ID, "dear", 3000, "m=audio");
         ReceivedMessage firstStart = switchStandIn.next("START");
-        // Good but for its description: it is given up, and tried again after the release.
+        // The answer has no description: the attempt is cancelled, and the contact rings again after the release time.
         firstStart.reply("{\"verb\":\"STARTED\",\"tag\":\"" + CALL_ID + "\",\"opts\":{}}");
         assertEquals(switchStandIn.next("FINISH").tag(), CALL_ID);
         ReceivedMessage secondStart = switchStandIn.next("START");
@@ -222,11 +228,11 @@
                 .orElseThrow()
                 .close();
         awaitConnections(switchStandIn, 3);
-        // Asked on the new connection, it answers behind all that it said there by itself.
+        // The FINISHED on the new connection comes after everything the controller sends there unasked.
         new ReceivedMessage(switchStandIn.connections.get(2), "", OTHER_CALL_ID, "").finish(16, "");
         for (ReceivedMessage received = switchStandIn.receivedMessages.poll(10, java.util.concurrent.TimeUnit.SECONDS);
                 ; ) {
-            assertTrue(received != null, "nothing came on the new connection");
+            assertTrue(received != null, "nothing was received on the new connection");
             assertTrue(
                     !(received.verb().equals("FINISH") && received.tag().equals(CALL_ID)),
                     "the second attempt was ended");
@@ -239,7 +245,10 @@
         assertTrue(connection.next().startsWith("SIP/2.0 200 "));
     }
 
-    /** A connection that stays open and says nothing while another of the same switch speaks costs its own contact. */
+    /**
+     * One connection of a switch is silent while another one carries messages: only the contact on the silent one is
+     * affected.
+     */
     @Test
     public void aSilentConnectionCostsOnlyItsOwnContact() throws Exception {
         CallerConnection connection = PlatformStandIn.connectReadyCaller(platform, service);
@@ -255,8 +264,8 @@
                                 .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             }
         }
-        assertTrue(silentConnection.next().startsWith("SIP/2.0 50"), "answered in its time");
-        assertEquals(switchStandIn.next("FINISH").tag(), CALL_ID, "what was written is given up on the wire");
+        assertTrue(silentConnection.next().startsWith("SIP/2.0 50"), "answered in time");
+        assertEquals(switchStandIn.next("FINISH").tag(), CALL_ID, "a START that was written is cancelled by a FINISH");
         connection.invite(LAST_CALL_ID, "dear", 3000, "m=audio");
         switchStandIn.next("START").started("m=audio 1");
         assertTrue(connection.next().startsWith("SIP/2.0 200 "));
--- a/src/test/java/martenslip/platform/contact/CheckedOutboundMessages.java
+++ b/src/test/java/martenslip/platform/contact/CheckedOutboundMessages.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import martenslip.RuleChecker;
 
-/** What a desk sends in a world that judges it: nothing but what the rules know of may go out. */
+/** The messages of a contact table in a model, checked: whatever the rules do not expect is a violation. */
 abstract class CheckedOutboundMessages implements OutboundMessages {
     final RuleChecker rules;
     private final Set<String> allowedLogKinds;
@@ -18,23 +18,23 @@
     }
 
     @Override
-    public long otherCallerConnection(long but) {
+    public long otherCallerConnection(long excludedConnectionId) {
         return 1;
     }
 
     @Override
-    public void contactAnswered(long line, String tag) {
-        // Nothing in these worlds counts what a connection has open.
+    public void contactAnswered(long connectionId, String tag) {
+        // The models do not count the open contacts of a connection.
     }
 
     @Override
-    public void disconnect(long line, String why) {
-        rules.addViolation("line", "dropped: " + why);
+    public void disconnect(long connectionId, String reason) {
+        rules.addViolation("line", "disconnected: " + reason);
     }
 
     @Override
-    public void sendFinished(long target, long connection, String tag) {
-        // Free on the platform.
+    public void sendFinished(long switchId, long switchConnectionId, String tag) {
+        // The platform sets no limit for this message, so no rule checks it.
     }
 
     @Override
@@ -43,9 +43,9 @@
     }
 
     @Override
-    public void log(String kind, String line) {
+    public void log(String kind, String message) {
         if (!allowedLogKinds.contains(kind)) {
-            rules.addViolation("log", kind + ": " + line);
+            rules.addViolation("log", kind + ": " + message);
         }
     }
 }
--- a/src/test/java/martenslip/platform/contact/ContactTableHarness.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableHarness.java
@@ -20,7 +20,10 @@
 import martenslip.sip.transport.QueuedMessage;
 import martenslip.sip.transport.RevocableMessage;
 
-/** A desk on driven time. What it sends and what it tells a module that decides nothing is kept as lines of text. */
+/**
+ * A contact table on simulated time. What it sends, and the events it reports to a module that decides nothing, are
+ * kept as lines of text.
+ */
 final class ContactTableHarness implements OutboundMessages, Controller {
     static final long SWITCH_ID = 7;
     static final long SWITCH_CONNECTION_ID = 40;
@@ -32,10 +35,12 @@
     final Set<Long> closedConnections = new HashSet<>();
     final ContactTable contactTable = new ContactTable(wheel, SETTINGS, this);
     boolean isUnreachable;
-    /** What is queued stays so until {@link #writeStarts}, ends until {@link #completeFinishes}. */
+    /** Holds each START until {@link #writeStarts}. */
     boolean holdsStarts;
 
+    /** Holds the completion of each FINISH until {@link #completeFinishes}. */
     boolean holdsFinishes;
+
     private final List<RevocableMessage> queuedStarts = new ArrayList<>();
     private final List<Runnable> finishCallbacks = new ArrayList<>();
     long otherCallerConnection = 1;
@@ -54,7 +59,7 @@
         return new Request(method, "sip:00000000000000aa@net", headers);
     }
 
-    /** Whether callers have gone, of the set-up that was asked for last. */
+    /** The cancellation of the last set-up. */
     CallerCancellation lastCancellation;
 
     SetUpRequest setUpRequestWithCancellation(long connectionId, int contactNumber, double patienceMs) {
@@ -87,7 +92,7 @@
         return this;
     }
 
-    /** What was sent since the last look. */
+    /** What was sent since the last call. */
     List<String> takeSent() {
         List<String> taken = List.copyOf(sent);
         sent.clear();
@@ -105,7 +110,7 @@
         if (parsed.message() instanceof Response response) {
             String retryDelayMs = response.headers().first("Come-Back-Ms");
             return response.status() + " " + response.headers().first("CSeq").substring(2)
-                    + (retryDelayMs == null ? "" : " away " + retryDelayMs)
+                    + (retryDelayMs == null ? "" : " retry after " + retryDelayMs)
                     + (response.body().length == 0 ? "" : " " + new String(response.body(), StandardCharsets.UTF_8));
         }
         Request request = (Request) parsed.message();
@@ -122,18 +127,18 @@
     }
 
     @Override
-    public long otherCallerConnection(long but) {
+    public long otherCallerConnection(long excludedConnectionId) {
         return otherCallerConnection;
     }
 
     @Override
     public void contactAnswered(long connectionId, String tag) {
-        // Counted by the lines; nothing that the desk is judged by.
+        // Needed by the caller connections only; no test checks it.
     }
 
     @Override
-    public void disconnect(long connectionId, String why) {
-        sent.add(connectionId + ": dropped");
+    public void disconnect(long connectionId, String reason) {
+        sent.add(connectionId + ": disconnected");
         contactTable.callerConnectionEnded(connectionId);
     }
 
@@ -162,7 +167,7 @@
         return new QueuedMessage(SWITCH_CONNECTION_ID, message);
     }
 
-    /** The connection's writer comes to all that was queued. */
+    /** Writes each START that was held. */
     void writeStarts() {
         List<RevocableMessage> pending = List.copyOf(queuedStarts);
         queuedStarts.clear();
@@ -170,8 +175,8 @@
     }
 
     @Override
-    public void sendFinish(long switchId, long connection, String tag, int cause, Runnable written) {
-        sent.add("FINISH " + switchId + " " + connection + " " + Long.parseLong(tag, 16) + " " + cause);
+    public void sendFinish(long switchId, long switchConnectionId, String tag, int q850Cause, Runnable written) {
+        sent.add("FINISH " + switchId + " " + switchConnectionId + " " + Long.parseLong(tag, 16) + " " + q850Cause);
         finishCallbacks.add(written);
         if (!holdsFinishes) {
             completeFinishes();
@@ -185,8 +190,8 @@
     }
 
     @Override
-    public void sendFinished(long switchId, long connection, String tag) {
-        // Free on the platform: nothing is judged by it.
+    public void sendFinished(long switchId, long switchConnectionId, String tag) {
+        // The platform sets no limit for this message, so no test checks it.
     }
 
     @Override
@@ -201,35 +206,35 @@
 
     @Override
     public void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> entries) {
-        notifications.add("listed " + kind);
+        notifications.add("switch list " + kind);
     }
 
     @Override
     public void contactOffered(Moment now, Contact contact) {
-        notifications.add("offered " + contact.id() + " " + contact.skill() + " to " + contact.destination()
+        notifications.add("offered " + contact.id() + " " + contact.skill() + " destination " + contact.destination()
                 + " patience " + contact.patience().ns() / 1_000_000);
     }
 
     @Override
     public void established(Moment now, long contact, int ring, long switchId, Span elapsed) {
-        notifications.add("stands " + contact + " " + ring + " " + switchId);
+        notifications.add("established " + contact + " " + ring + " " + switchId);
     }
 
     @Override
     public void ringEnded(Moment now, RingEnd end) {
-        notifications.add("end " + end.contact() + " " + end.ring() + " " + end.cause() + " "
+        notifications.add("ring ended " + end.contact() + " " + end.ring() + " " + end.cause() + " "
                 + end.rejectionReason() + " " + end.answered()
                 + (end.report().length == 0 ? "" : " " + java.util.Arrays.toString(end.report())));
     }
 
     @Override
     public void callerGone(Moment now, long contact) {
-        notifications.add("gone " + contact);
+        notifications.add("caller gone " + contact);
     }
 
     @Override
     public void timerExpired(Moment now, long token) {
-        notifications.add("clock " + token);
+        notifications.add("timer expired " + token);
     }
 
     @Override
--- a/src/test/java/martenslip/platform/contact/ContactTableInterleavingTest.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableInterleavingTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The desk with the very module through every order of what callers, switches and connections may do. */
+/** The contact table with the real routing module in every order of the events of callers, switches and connections. */
 public class ContactTableInterleavingTest {
     private static final Span RELEASE_TIME = Span.ofMillis(300);
 
@@ -18,7 +18,10 @@
         return InterleavingExplorer.search(() -> new ContactTableModel(scenario, releaseTime), depth);
     }
 
-    /** Name, plan (offers, circuits, refusals, a caller leaves, a connection breaks, a process dies), choices. */
+    /**
+     * Name, scenario (offers, circuits, refusals, a caller cancels, a connection breaks, a process ends), depth of the
+     * search.
+     */
     @DataProvider
     public Object[][] scenarios() {
         return new Object[][] {
@@ -37,7 +40,9 @@
         assertTrue(result.sequences() > 400, name + ": only " + result.sequences());
     }
 
-    /** The check itself: held to a longer release than the module knows, the same world must be found wanting. */
+    /**
+     * Checks the checker: held to a longer release time than the module is given, the same scenario must break a rule.
+     */
     @Test
     public void aTooShortReleaseTimeIsFound() {
         assertTrue(search(new Scenario(1, 2, 2, true, false, false), 6, Span.ofMillis(400))
--- a/src/test/java/martenslip/platform/contact/ContactTableModel.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableModel.java
@@ -21,8 +21,8 @@
 import martenslip.sip.transport.RevocableMessage;
 
 /**
- * The very desk and module between a caller and two switches that hold to the platform's protocol. It says what may
- * come next; the rules are judged by what crosses the wire.
+ * The contact table and the real routing module between a caller and two switches that follow the platform's protocol.
+ * The model lists the events that may come next; the rules are checked on the messages that are sent.
  */
 final class ContactTableModel extends CheckedOutboundMessages implements InterleavingExplorer.Simulation {
     private static final Span PATIENCE = Span.ofMillis(1500);
@@ -41,7 +41,7 @@
     private final Scenario scenario;
     private final TimerWheel wheel = new TimerWheel(new Moment(0));
     private final ContactTable contactTable;
-    /** By tag: the switch where the ring is out, or where the contact stands. */
+    /** By tag: the switch where the ring is in flight, or where the contact is established. */
     private final Map<String, Long> ringsInFlight = new LinkedHashMap<>();
 
     private final Map<String, Long> establishedContacts = new LinkedHashMap<>();
@@ -52,7 +52,7 @@
     private int brokenConnectionCount;
     private int endedProcessCount;
 
-    /** {@code release} is what the rules hold the program to; the module is told 300 ms. */
+    /** {@code releaseTime} is what the rules require; the module is given 300 ms. */
     ContactTableModel(Scenario scenario, Span releaseTime) {
         super(new RuleChecker(Span.ofMillis(2000), releaseTime, Span.ofMillis(10_000)), "switch-over");
         this.scenario = scenario;
@@ -63,8 +63,8 @@
         RoutingPolicy routingPolicy = new RoutingPolicy(settings(), 7, wheel.now(), contactTable);
         contactTable.setController(routingPolicy);
         List<SwitchEntry> entries = new ArrayList<>();
-        for (int number = 0; number < 3; number++) {
-            entries.add(new SwitchEntry(100 + number, number, SwitchEntry.State.READY, null, 0));
+        for (int exchangeNumber = 0; exchangeNumber < 3; exchangeNumber++) {
+            entries.add(new SwitchEntry(100 + exchangeNumber, exchangeNumber, SwitchEntry.State.READY, null, 0));
         }
         contactTable.notifyController(
                 controller -> controller.switchListReceived(wheel.now(), ListKind.CACHED, entries));
@@ -96,7 +96,7 @@
         }
         for (Map.Entry<String, Long> ring : List.copyOf(ringsInFlight.entrySet())) {
             String tag = ring.getKey();
-            events.add(new Event("stands " + tag, () -> establish(tag, ring.getValue())));
+            events.add(new Event("established " + tag, () -> establish(tag, ring.getValue())));
             if (refusedCount < scenario.refusals) {
                 events.add(new Event("full " + tag, () -> refuseRing(tag, ring.getValue(), 34)));
                 events.add(new Event("reset " + tag, () -> refuseRing(tag, ring.getValue(), 41)));
@@ -111,10 +111,10 @@
             events.add(new Event("release " + contact.getKey(), () -> release(contact.getKey(), contact.getValue())));
         }
         if (scenario.connectionBreaks && brokenConnectionCount < 1 && !ringsInFlight.isEmpty()) {
-            events.add(new Event("break", this::breakConnection));
+            events.add(new Event("connection breaks", this::breakConnection));
         }
         if (scenario.processEnds && endedProcessCount < 1 && !establishedContacts.isEmpty()) {
-            events.add(new Event("dies", this::endProcess));
+            events.add(new Event("process ends", this::endProcess));
         }
         return events;
     }
@@ -167,11 +167,12 @@
         contactTable.started(switchId, SWITCH_CONNECTION_ID, tag, "c=" + tag);
     }
 
-    private void refuseRing(String tag, long switchId, int cause) {
+    private void refuseRing(String tag, long switchId, int q850Cause) {
         refusedCount++;
         ringsInFlight.remove(tag);
-        rules.ringEnded(wheel.now(), tag, cause == 41);
-        contactTable.ended(switchId, SWITCH_CONNECTION_ID, tag, cause, cause == 34 ? "no_circuit" : null, new float[0]);
+        rules.ringEnded(wheel.now(), tag, q850Cause == 41);
+        contactTable.ended(
+                switchId, SWITCH_CONNECTION_ID, tag, q850Cause, q850Cause == 34 ? "no_circuit" : null, new float[0]);
     }
 
     private void cancel(String tag) {
@@ -203,8 +204,9 @@
     }
 
     @Override
-    public boolean sendToCaller(long line, byte[] bytes) {
-        var message = MessageParser.parseMinimal(bytes, bytes.length).message();
+    public boolean sendToCaller(long connectionId, byte[] encodedMessage) {
+        var message = MessageParser.parseMinimal(encodedMessage, encodedMessage.length)
+                .message();
         String tag = message.callId();
         if (message instanceof Request) {
             if (waitingCallers.containsKey(tag)) {
@@ -221,9 +223,9 @@
         rules.contactAnswered(wheel.now(), tag);
         if (response.isSuccess()) {
             if (!new String(response.body()).equals("c=" + tag) || !establishedContacts.containsKey(tag)) {
-                rules.addViolation(1, tag + " was served with what no switch made for it");
+                rules.addViolation(1, tag + " got a description that no switch made for it");
             }
-            // The caller's own acknowledgement comes after the desk is done with this.
+            // The caller's ACK arrives after the table has finished this event.
             contactTable.notifyController(controller -> contactTable.ackReceived(tag));
         }
         return true;
@@ -239,7 +241,7 @@
     }
 
     @Override
-    public void sendFinish(long switchId, long connection, String tag, int cause, Runnable written) {
+    public void sendFinish(long switchId, long switchConnectionId, String tag, int q850Cause, Runnable written) {
         if (ringsInFlight.remove(tag) != null) {
             rules.ringEnded(wheel.now(), tag, true);
         }
--- a/src/test/java/martenslip/platform/contact/ContactTableTest.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableTest.java
@@ -14,6 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Each event of callers, switches and the module on a contact table: what it sends and what it reports. */
 public class ContactTableTest {
     private static final float[] NO_REPORT = {};
     private ContactTableHarness harness;
@@ -25,7 +26,7 @@
         contactTable = harness.contactTable;
     }
 
-    /** A contact of line 1 that is offered and rung. */
+    /** Offers a contact on connection 1 and rings the switch for it. */
     private void offerAndRing() {
         contactTable.setUpReceived(setUpRequest(1, 1, 3000));
         contactTable.notifyController(controller -> contactTable.ring(1, SWITCH_ID, Span.ofMillis(2990)));
@@ -46,7 +47,7 @@
         offerAndRing();
         contactTable.started(SWITCH_ID, SWITCH_CONNECTION_ID, tag(1), "c=x\r\n");
         assertEquals(harness.takeSent(), List.of("1: 200 INVITE c=x\r\n"));
-        assertEquals(harness.takeNotifications(), List.of("stands 1 0 7"));
+        assertEquals(harness.takeNotifications(), List.of("established 1 0 7"));
     }
 
     @Test
@@ -61,7 +62,7 @@
         offerAndRing();
         contactTable.started(SWITCH_ID, SWITCH_CONNECTION_ID, tag(1), null);
         assertEquals(harness.takeSent(), List.of("FINISH 7 40 1 16"));
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 CUT NONE false"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 CUT NONE false"));
     }
 
     @Test
@@ -77,14 +78,14 @@
     public void patienceCountsFromTheReceiptOfTheLastByte() {
         harness.advanceToMs(400);
         contactTable.setUpReceived(setUpRequest(1, 1, 3000));
-        assertEquals(harness.takeNotifications(), List.of("offered 1 1 to 2 patience 2600"));
+        assertEquals(harness.takeNotifications(), List.of("offered 1 1 destination 2 patience 2600"));
     }
 
     @Test
     public void aDeferralCarriesTheRetryDelay() {
         contactTable.setUpReceived(setUpRequest(1, 1, 3000));
         contactTable.notifyController(controller -> contactTable.defer(1, Span.ofMillis(700)));
-        assertEquals(harness.takeSent(), List.of("1: 503 INVITE away 700"));
+        assertEquals(harness.takeSent(), List.of("1: 503 INVITE retry after 700"));
         assertEquals(contactTable.openCount(), 0);
         assertEquals(contactTable.knownTags(), List.of());
     }
@@ -112,7 +113,7 @@
         assertEquals(harness.takeSent(), List.of());
         harness.advanceToMs(3020);
         assertEquals(harness.takeSent(), List.of("log last-word", "1: 500 INVITE"));
-        assertTrue(harness.takeNotifications().contains("gone 1"));
+        assertTrue(harness.takeNotifications().contains("caller gone 1"));
     }
 
     @Test
@@ -120,7 +121,7 @@
         offerAndRing();
         harness.advanceToMs(2991);
         assertEquals(harness.takeSent(), List.of("FINISH 7 40 1 16"));
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 TIMED_OUT NONE false"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 TIMED_OUT NONE false"));
     }
 
     @Test
@@ -128,10 +129,10 @@
         offerAndRing();
         contactTable.cancelReceived(1, request("CANCEL", 1));
         assertEquals(harness.takeSent(), List.of("1: 200 CANCEL", "1: 487 INVITE"));
-        assertEquals(harness.takeNotifications(), List.of("gone 1"));
+        assertEquals(harness.takeNotifications(), List.of("caller gone 1"));
         contactTable.notifyController(controller -> contactTable.cancel(1, 0));
         assertEquals(harness.takeSent(), List.of("FINISH 7 40 1 16"));
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 CALLED_OFF NONE true"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 CALLED_OFF NONE true"));
         assertEquals(contactTable.knownTags(), List.of());
     }
 
@@ -142,10 +143,13 @@
         harness.takeNotifications();
         contactTable.started(SWITCH_ID, SWITCH_CONNECTION_ID, tag(1), "c=x\r\n");
         assertEquals(harness.takeSent(), List.of("FINISH 7 40 1 16"));
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 CALLED_OFF NONE true"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 CALLED_OFF NONE true"));
     }
 
-    /** Suspect of the fleet's trial: START was written once the connection came up, its caller long gone. */
+    /**
+     * Guards against a START written when the connection came up, after its caller had gone; suspected in the trial of
+     * the fleet.
+     */
     @Test
     public void anUnwrittenAttemptIsRevokedWhenItsCallerCancels() {
         harness.holdsStarts = true;
@@ -153,7 +157,7 @@
         contactTable.cancelReceived(1, request("CANCEL", 1));
         contactTable.notifyController(controller -> contactTable.cancel(1, 0));
         assertEquals(harness.takeSent(), List.of("1: 200 CANCEL", "1: 487 INVITE"));
-        assertEquals(harness.takeNotifications(), List.of("gone 1", "end 1 0 NOT_SENT NONE true"));
+        assertEquals(harness.takeNotifications(), List.of("caller gone 1", "ring ended 1 0 NOT_SENT NONE true"));
         harness.writeStarts();
         assertEquals(harness.takeSent(), List.of(), "neither START nor FINISH");
         assertEquals(contactTable.knownTags(), List.of());
@@ -166,7 +170,7 @@
         harness.advanceToMs(2991);
         harness.writeStarts();
         assertEquals(harness.takeSent(), List.of());
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 NOT_SENT NONE false"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 NOT_SENT NONE false"));
     }
 
     @Test
@@ -174,7 +178,7 @@
         harness.holdsStarts = true;
         offerAndRing();
         contactTable.switchConnectionEnded(SWITCH_ID, SWITCH_CONNECTION_ID, true);
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 NOT_SENT NONE false"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 NOT_SENT NONE false"));
         assertEquals(harness.takeSent(), List.of());
     }
 
@@ -188,7 +192,7 @@
         assertEquals(harness.takeNotifications(), List.of());
     }
 
-    /** The reader has seen the caller's end, and the news of it waits behind what comes first here. */
+    /** The reading thread has seen the caller leave, and that event is still queued behind this one. */
     @Test
     public void noStartIsSentForACallerWhoseEndIsStillQueued() {
         contactTable.setUpReceived(harness.setUpRequestWithCancellation(1, 1, 3000));
@@ -196,7 +200,7 @@
         harness.takeNotifications();
         contactTable.notifyController(controller -> contactTable.ring(1, SWITCH_ID, Span.ofMillis(2990)));
         assertEquals(harness.takeSent(), List.of("1: 487 INVITE"));
-        assertEquals(harness.takeNotifications(), List.of("gone 1"));
+        assertEquals(harness.takeNotifications(), List.of("caller gone 1"));
         contactTable.notifyController(controller -> contactTable.cancel(1, 0));
         assertEquals(harness.takeSent(), List.of());
         contactTable.callerConnectionEnded(1);
@@ -209,7 +213,7 @@
         harness.lastCancellation.cancel();
         contactTable.started(SWITCH_ID, SWITCH_CONNECTION_ID, tag(1), "c=x\r\n");
         assertEquals(harness.takeSent(), List.of("1: 487 INVITE", "FINISH 7 40 1 16"));
-        assertEquals(harness.takeNotifications(), List.of("gone 1", "end 1 0 CALLED_OFF NONE true"));
+        assertEquals(harness.takeNotifications(), List.of("caller gone 1", "ring ended 1 0 CALLED_OFF NONE true"));
         contactTable.callerConnectionEnded(1);
         assertEquals(contactTable.knownTags(), List.of());
     }
@@ -231,10 +235,10 @@
         harness.lastCancellation.cancel();
         harness.writeStarts();
         assertEquals(harness.takeSent(), List.of());
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 NOT_SENT NONE false"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 NOT_SENT NONE false"));
     }
 
-    /** Rule 5: the release counts from the end that was written, not from the one that was ordered. */
+    /** Rule 5: the release time counts from when the FINISH is written, not from when it is ordered. */
     @Test
     public void aCancelledAttemptEndsOnceItsFinishIsWritten() {
         offerAndRing();
@@ -243,12 +247,15 @@
         assertEquals(harness.takeSent(), List.of("FINISH 7 40 1 16"));
         assertEquals(harness.takeNotifications(), List.of());
         contactTable.ended(SWITCH_ID, SWITCH_CONNECTION_ID, tag(1), 34, "no_circuit", NO_REPORT);
-        assertEquals(harness.takeNotifications(), List.of(), "it crossed the end that is on its way");
+        assertEquals(harness.takeNotifications(), List.of(), "it crossed the FINISH on its way to the switch");
         harness.completeFinishes();
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 CUT NONE false"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 CUT NONE false"));
     }
 
-    /** On the long day one of 18,000 was told too late: its release waited 0.4 s for each try after a line that ended. */
+    /**
+     * Guards against a late release: in the long scenario 1 of 18,000 came too late, as it waited 0.4 s for each
+     * retransmission after its connection had ended.
+     */
     @Test
     public void aReleaseOnAConnectionThatEndsIsRetransmittedAtOnce() {
         establish();
@@ -278,8 +285,8 @@
     public void twoSetUpsUnderOneIdOnAConnectionEndIt() {
         offerAndRing();
         contactTable.setUpReceived(setUpRequest(1, 1, 3000));
-        assertEquals(harness.takeSent(), List.of("1: dropped"));
-        assertEquals(harness.takeNotifications(), List.of("gone 1"));
+        assertEquals(harness.takeSent(), List.of("1: disconnected"));
+        assertEquals(harness.takeNotifications(), List.of("caller gone 1"));
     }
 
     @Test
@@ -306,7 +313,7 @@
         harness.otherCallerConnection = 5;
         contactTable.ended(SWITCH_ID, 41, tag(1), 16, null, new float[] {3, 9});
         assertEquals(harness.takeSent(), List.of("5: BYE Q.850;cause=16"));
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 CONCLUDED NONE true [3.0, 9.0]"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 CONCLUDED NONE true [3.0, 9.0]"));
     }
 
     @Test
@@ -339,7 +346,7 @@
         establish();
         contactTable.byeReceived(9, request("BYE", 1));
         assertEquals(harness.takeSent(), List.of("9: 200 BYE", "FINISH 7 40 1 16"));
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 CALLED_OFF NONE true"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 CALLED_OFF NONE true"));
     }
 
     @Test
@@ -348,17 +355,20 @@
         assertEquals(harness.takeSent(), List.of("9: 481 BYE"));
     }
 
-    /** On the calm day a group was filled and not told, and set-ups went on to it: each moot one now tells it. */
+    /**
+     * Guards against set-ups that go on to a full group: in the calm scenario a group filled up without a load report.
+     * Each set-up that failed for lack of circuits now reports the group's state.
+     */
     @Test
     public void aSetUpThatFoundNoCircuitReportsTheStateOfItsGroup() {
         contactTable.loadReported(SWITCH_ID, new float[] {52, 52, -1});
         offerAndRing();
         contactTable.ended(SWITCH_ID, SWITCH_CONNECTION_ID, tag(1), 102, "no_circuit", NO_REPORT);
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 NOT_SENT NO_CIRCUIT false [0.0, 52.0]"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 NOT_SENT NO_CIRCUIT false [0.0, 52.0]"));
         contactTable.switchRemoved(SWITCH_ID);
         contactTable.notifyController(controller -> contactTable.ring(1, SWITCH_ID, Span.ofMillis(900)));
         contactTable.ended(SWITCH_ID, SWITCH_CONNECTION_ID, tag(1), 102, "no_circuit", NO_REPORT);
-        assertEquals(harness.takeNotifications(), List.of("end 1 1 NOT_SENT NO_CIRCUIT false"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 1 NOT_SENT NO_CIRCUIT false"));
     }
 
     @Test
@@ -368,7 +378,7 @@
         contactTable.notifyController(controller -> contactTable.ring(2, SWITCH_ID, Span.ofMillis(2990)));
         harness.takeNotifications();
         contactTable.switchConnectionEnded(SWITCH_ID, SWITCH_CONNECTION_ID, true);
-        assertEquals(harness.takeNotifications(), List.of("end 2 0 CUT NONE false"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 2 0 CUT NONE false"));
         assertEquals(contactTable.establishedCount(), 1);
     }
 
@@ -376,7 +386,7 @@
     public void ringsOnAConnectionThatNeverCameUpEndAsUnreachable() {
         offerAndRing();
         contactTable.switchConnectionEnded(SWITCH_ID, SWITCH_CONNECTION_ID, false);
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 UNREACHABLE NONE false"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 UNREACHABLE NONE false"));
     }
 
     @Test
@@ -385,10 +395,11 @@
         contactTable.setUpReceived(setUpRequest(1, 1, 3000));
         contactTable.notifyController(controller -> {
             contactTable.ring(1, SWITCH_ID, Span.ofMillis(2990));
-            harness.notifications.add("order given");
+            harness.notifications.add("order returned");
         });
         assertEquals(
-                harness.takeNotifications().subList(1, 3), List.of("order given", "end 1 0 UNREACHABLE NONE false"));
+                harness.takeNotifications().subList(1, 3),
+                List.of("order returned", "ring ended 1 0 UNREACHABLE NONE false"));
     }
 
     @Test
@@ -396,7 +407,7 @@
         establish();
         contactTable.switchProcessEnded(SWITCH_ID, null);
         assertEquals(harness.takeSent(), List.of("1: BYE Q.850;cause=41", "log switch-over"));
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 CUT NONE true"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 CUT NONE true"));
     }
 
     @Test
@@ -450,7 +461,7 @@
         harness.otherCallerConnection = 2;
         contactTable.callerConnectionEnded(1);
         assertEquals(harness.takeSent(), List.of("log unsure", "FINISH 7 40 1 16", "2: BYE Q.850;cause=41"));
-        assertEquals(harness.takeNotifications(), List.of("end 1 0 CALLED_OFF NONE true"));
+        assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 CALLED_OFF NONE true"));
     }
 
     @Test
@@ -473,7 +484,7 @@
     @Test
     public void anExceptionOfTheModuleStopsNothing() {
         contactTable.notifyController(controller -> {
-            throw new IllegalStateException("planted");
+            throw new IllegalStateException("injected");
         });
         contactTable.setUpReceived(setUpRequest(1, 1, 3000));
         assertEquals(harness.takeSent(), List.of("log fault"));
@@ -492,9 +503,7 @@
         }
         assertEquals(contactTable.knownTags(), List.of());
         assertEquals(
-                contactTable.establishedCount()
-                        + contactTable.openCount()
-                        + contactTable.unacknowledgedReleaseCount(),
+                contactTable.establishedCount() + contactTable.openCount() + contactTable.unacknowledgedReleaseCount(),
                 0);
     }
 }
--- a/src/test/java/martenslip/platform/contact/EndCauseTest.java
+++ b/src/test/java/martenslip/platform/contact/EndCauseTest.java
@@ -7,8 +7,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Q.850 causes and notes of a switch become causes and reasons of the routing module. */
 public class EndCauseTest {
-    /** Cause and note as the platform writes them, what the module is told. */
+    /** Cause and note as the platform sends them, and what the module is notified of. */
     @DataProvider
     public Object[][] causes() {
         return new Object[][] {
--- a/src/test/java/martenslip/platform/contact/WriteQueueInterleavingTest.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueInterleavingTest.java
@@ -11,22 +11,22 @@
 import org.testng.annotations.Test;
 
 /**
- * Every order of what may happen while an order waits to be written: by all five rules, and nothing for a caller who
- * has left.
+ * Every order of the events that may come while a START or FINISH waits to be written: all five rules hold, and nothing
+ * is sent for a caller who has left.
  */
 public class WriteQueueInterleavingTest {
     private static SearchResult search(Scenario scenario, InjectedFault injectedFault, int depth) {
         return InterleavingExplorer.search(() -> new WriteQueueModel(scenario, injectedFault), depth);
     }
 
-    /** Name, plan (offers, circuits, connection up from the start), choices. */
+    /** Name, scenario (offers, circuits, connection up from the start), depth of the search. */
     @DataProvider
     public Object[][] scenarios() {
         return new Object[][] {
             {"one caller", new Scenario(1, 2, true), 6},
-            {"one caller, a connection that comes late", new Scenario(1, 2, false), 6},
+            {"one caller, connection not yet up", new Scenario(1, 2, false), 6},
             {"two callers, one circuit", new Scenario(2, 1, true), 5},
-            {"two callers, one circuit, late", new Scenario(2, 1, false), 5},
+            {"two callers, one circuit, connection not yet up", new Scenario(2, 1, false), 5},
         };
     }
 
@@ -41,7 +41,7 @@
         assertTrue(result.sequences() > 1000, name + ": only " + result.sequences());
     }
 
-    /** The check itself: each of these, planted, must be found. */
+    /** Checks the checker: each of these injected faults must be found. */
     @DataProvider
     public Object[][] injectedFaults() {
         return new Object[][] {
--- a/src/test/java/martenslip/platform/contact/WriteQueueModel.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueModel.java
@@ -24,12 +24,13 @@
 import martenslip.sip.transport.RevocableMessage;
 
 /**
- * The very desk, module and revocable messages between callers and one switch, with the places where something may
- * wait: the inbox of the deciding thread, a connection that is not up, a writer that is held. Anything may come while
- * something waits. It judges by what is written to the switch and to callers, and when.
+ * The contact table, the real routing module and revocable messages between callers and one switch, with the places
+ * where something may wait: the inbox of the decision thread, a connection that is not up, a writer that is held. Any
+ * event may come while something waits. The rules are checked on what is written to the switch and to callers, and
+ * when.
  */
 final class WriteQueueModel extends CheckedOutboundMessages implements InterleavingExplorer.Simulation {
-    /** A fault planted to see that the check finds it. */
+    /** A fault that is injected to check that the rules find it. */
     enum InjectedFault {
         NONE,
         CANCELLATION_IGNORED,
@@ -40,7 +41,7 @@
 
     private static final Span PATIENCE = Span.ofMillis(1500);
     private static final Span ANSWER_SLACK = Span.ofMillis(50);
-    /** Over the release of 300 ms and a round. */
+    /** More than the release time of 300 ms and a round of the module. */
     private static final Span TIME_STEP = Span.ofMillis(350);
 
     private static final Span PROCESS_END_DELAY = Span.ofMillis(1000);
@@ -94,16 +95,16 @@
     public List<Event> enabledEvents() {
         List<Event> events = new ArrayList<>();
         if (isDeciderHeld) {
-            events.add(eventThenSettle("decider goes on", () -> isDeciderHeld = false));
+            events.add(eventThenSettle("decision thread resumes", () -> isDeciderHeld = false));
         }
         if (isWriterHeld) {
-            events.add(eventThenSettle("writer goes on", () -> isWriterHeld = false));
+            events.add(eventThenSettle("writer resumes", () -> isWriterHeld = false));
         }
         if (!isConnected) {
-            events.add(eventThenSettle("up", () -> isConnected = true));
-            addOnce(events, "never up", () -> loseConnection(false));
+            events.add(eventThenSettle("connection up", () -> isConnected = true));
+            addOnce(events, "connection never up", () -> loseConnection(false));
         }
-        // A deciding thread that is held turns no wheel either: what is held there waits, it is not late.
+        // A decision thread that is held does not advance its timer wheel either, so nothing that waits there is late.
         if (!isDeciderHeld
                 && (!waitingCallers.isEmpty()
                         || !startsAtSwitch.isEmpty()
@@ -117,20 +118,20 @@
         }
         for (String tag : List.copyOf(waitingCallers)) {
             addOnce(events, "cancel " + tag, () -> cancel(tag));
-            addOnce(events, "end " + tag, () -> endCallerConnection(tag));
+            addOnce(events, "connection ended " + tag, () -> endCallerConnection(tag));
         }
         for (String tag : List.copyOf(startsAtSwitch)) {
             events.add(eventThenSettle("answer " + tag, () -> answerRing(tag)));
             addOnce(
                     events,
-                    "spoilt " + tag,
+                    "answer without description " + tag,
                     () -> inbox.add(() -> contactTable.started(SWITCH_ID, switchConnectionId, tag, null)));
             addOnce(events, "full " + tag, () -> endContact(tag, 34, false));
         }
         for (String tag : List.copyOf(establishedContacts)) {
             addOnce(
                     events,
-                    "second " + tag,
+                    "second answer " + tag,
                     () -> inbox.add(() -> contactTable.started(SWITCH_ID, switchConnectionId, tag, "c=second")));
             events.add(eventThenSettle("release " + tag, () -> endContact(tag, 16, false)));
         }
@@ -138,11 +139,11 @@
             addOnce(events, "reset", () -> loseConnection(true));
         }
         addOnce(events, "writer held", () -> isWriterHeld = true);
-        addOnce(events, "decider held", () -> isDeciderHeld = true);
+        addOnce(events, "decision thread held", () -> isDeciderHeld = true);
         if (offeredCount > 0) {
             addOnce(events, "drain", () -> inbox.add(this::drain));
             addOnce(events, "remove", () -> inbox.add(this::remove));
-            addOnce(events, "term", () -> inbox.add(contactTable::refuseNewContacts));
+            addOnce(events, "shutdown", () -> inbox.add(contactTable::refuseNewContacts));
         }
         return events;
     }
@@ -156,7 +157,7 @@
         }
     }
 
-    /** After each, whatever is not held goes on. */
+    /** An event that is followed by everything that is not held. */
     private Event eventThenSettle(String name, Runnable action) {
         return new Event(name, () -> {
             action.run();
@@ -193,7 +194,7 @@
     }
 
     private void advanceTime() {
-        for (Moment until = wheel.now().plus(TIME_STEP); wheel.now().before(until); runUntilBlocked()) {
+        for (Moment stepEnd = wheel.now().plus(TIME_STEP); wheel.now().before(stepEnd); runUntilBlocked()) {
             wheel.advanceTo(wheel.now().plus(TIMER_TICK));
             rules.checkDeadlines(wheel.now());
         }
@@ -251,17 +252,17 @@
         inbox.add(() -> contactTable.started(SWITCH_ID, connectionId, tag, "c=" + tag));
     }
 
-    private void endContact(String tag, int cause, boolean circuitsHeld) {
+    private void endContact(String tag, int q850Cause, boolean circuitsHeld) {
         if (startsAtSwitch.remove(tag)) {
             rules.ringEnded(wheel.now(), tag, circuitsHeld);
         }
         establishedContacts.remove(tag);
         long connectionId = switchConnectionId;
         inbox.add(() -> contactTable.ended(
-                SWITCH_ID, connectionId, tag, cause, cause == 34 ? "no_circuit" : null, new float[0]));
+                SWITCH_ID, connectionId, tag, q850Cause, q850Cause == 34 ? "no_circuit" : null, new float[0]));
     }
 
-    /** Its connection is over and another is asked for, which is up at once where the first was. */
+    /** The connection to the switch ends and another one is opened, which is up at once if the first one was. */
     private void loseConnection(boolean everUp) {
         long connectionId = switchConnectionId++;
         List<OutgoingMessage> lostMessages = List.copyOf(outgoingMessages);
@@ -282,7 +283,7 @@
         acceptsNewContacts = false;
         rules.setDraining(wheel.now(), "0", SWITCH_ID, true);
         notifySwitchList(SwitchEntry.State.GONE);
-        // Its process ends some time after; until then it may still say something.
+        // The process ends some time later; until then it may still send messages.
         wheel.scheduleAfter(PROCESS_END_DELAY, () -> {
             establishedContacts.clear();
             loseConnection(true);
@@ -290,7 +291,7 @@
         });
     }
 
-    // ---- what the desk sends
+    // ---- messages of the contact table
 
     @Override
     public QueuedMessage sendStart(long switchId, SwitchStartRequest start, Runnable notSent) {
@@ -311,7 +312,7 @@
                 },
                 () -> inbox.add(notSent));
         if (injectedFault == InjectedFault.WRITTEN_AFTER_REVOCATION) {
-            // Written whatever became of it, as it was before: the sender's word comes too late.
+            // Written even after it was revoked, a fault that the program once had: the revocation comes too late.
             outgoingMessages.add(OutgoingMessage.of(new byte[0], () -> {
                 rules.ringSent(wheel.now(), "0", tag, switchId);
                 startsAtSwitch.add(tag);
@@ -324,7 +325,7 @@
     }
 
     @Override
-    public void sendFinish(long switchId, long connection, String tag, int cause, Runnable written) {
+    public void sendFinish(long switchId, long finishConnectionId, String tag, int q850Cause, Runnable written) {
         if (injectedFault == InjectedFault.FINISH_REPORTED_BEFORE_WRITE) {
             inbox.add(written);
         }
@@ -348,7 +349,7 @@
 
             @Override
             public void completed() {
-                // Lost with its connection, the switch gives up by itself what went by it.
+                // The FINISH is lost with its connection; the switch then ends by itself what was started on it.
                 finish.run();
                 if (injectedFault != InjectedFault.FINISH_REPORTED_BEFORE_WRITE) {
                     inbox.add(written);
@@ -358,8 +359,9 @@
     }
 
     @Override
-    public boolean sendToCaller(long line, byte[] bytes) {
-        var message = MessageParser.parseMinimal(bytes, bytes.length).message();
+    public boolean sendToCaller(long connectionId, byte[] encodedMessage) {
+        var message = MessageParser.parseMinimal(encodedMessage, encodedMessage.length)
+                .message();
         String tag = message.callId();
         if (message instanceof Request) {
             if (waitingCallers.contains(tag)) {
@@ -373,9 +375,9 @@
             return true;
         }
         if (cancellationsByTag.get(tag).isCancelled()) {
-            // A refusal may cross its leaving, and nobody waits for it; a good answer holds a circuit for nobody.
+            // A refusal may cross the caller's leaving, and nobody waits for it; a 200 would hold a circuit for nobody.
             if (response.isSuccess()) {
-                rules.addViolation("departed", tag + " was served after it had left");
+                rules.addViolation("departed", tag + " was answered with 200 after its caller had left");
             }
             return true;
         }
@@ -383,7 +385,7 @@
         rules.contactAnswered(wheel.now(), tag);
         if (response.isSuccess()) {
             if (!new String(response.body()).equals("c=" + tag)) {
-                rules.addViolation(1, tag + " was served with what no switch made for it");
+                rules.addViolation(1, tag + " got a description that no switch made for it");
             }
             inbox.add(() -> contactTable.ackReceived(tag));
         }
