--- a/src/main/java/martenslip/platform/ControllerService.java
+++ b/src/main/java/martenslip/platform/ControllerService.java
@@ -61,6 +61,17 @@
     /** Limits the threads for callers' connections. */
     private static final int MAX_CALLER_CONNECTIONS = 500;
 
+    private static final Span CALLER_FIRST_MESSAGE_TIMEOUT = Span.ofMillis(2000);
+    private static final Span CALLER_IDLE_TIMEOUT = Span.ofMillis(20_000);
+    private static final Span CALLER_MESSAGE_TIMEOUT = Span.ofMillis(1500);
+    private static final Span CALLER_CONNECT_TIMEOUT = Span.ofMillis(500);
+    private static final int MAX_SWITCH_CONNECTIONS = 256;
+    private static final Span SWITCH_MESSAGE_TIMEOUT = Span.ofMillis(400);
+    private static final int MAX_UNSENT_BYTES = 256 * 1024;
+    private static final Span WRITE_STALL_TIMEOUT = Span.ofMillis(3000);
+    private static final Span READY_POLL_INTERVAL = Span.ofMillis(10);
+    private static final int SHUTDOWN_THREAD_STACK_BYTES = 128 * 1024;
+
     private final Path file;
     private final RateLimitedLog log;
     private final DropCounter drops = new DropCounter();
@@ -103,23 +114,23 @@
         ContactSettings contactSettings = contactSettings(settings);
         TransportLimits callerLimits = new TransportLimits(
                 MAX_CALLER_CONNECTIONS,
-                Span.ofMillis(2000),
-                Span.ofMillis(20_000),
-                Span.ofMillis(1500),
-                256 * 1024,
-                Span.ofMillis(3000),
-                Span.ofMillis(500));
+                CALLER_FIRST_MESSAGE_TIMEOUT,
+                CALLER_IDLE_TIMEOUT,
+                CALLER_MESSAGE_TIMEOUT,
+                MAX_UNSENT_BYTES,
+                WRITE_STALL_TIMEOUT,
+                CALLER_CONNECT_TIMEOUT);
         callerConnections =
                 new CallerConnections(contactSettings, callerLimits, connectionThreads, drops, callerListener);
         Span connectTimeout = spanSetting(settings, "policy-limits.connect-timeout-ns", 500e6);
         Span idleTimeout = spanSetting(settings, "policy-limits.conn-idle-ns", 600e9);
         TransportLimits switchLimits = new TransportLimits(
-                256,
+                MAX_SWITCH_CONNECTIONS,
                 idleTimeout.times(2),
                 idleTimeout.times(2),
-                Span.ofMillis(400),
-                256 * 1024,
-                Span.ofMillis(3000),
+                SWITCH_MESSAGE_TIMEOUT,
+                MAX_UNSENT_BYTES,
+                WRITE_STALL_TIMEOUT,
                 connectTimeout);
         switchConnections = new SwitchConnections(
                 switchLimits,
@@ -224,7 +235,7 @@
                     "after " + wheel.now().since(serviceStart).ns() / 1_000_000 + " ms, states of all groups: "
                             + switchConnections.allGroupStatesReported());
         } else {
-            wheel.scheduleAfter(Span.ofMillis(10), () -> checkReady(serviceStart));
+            wheel.scheduleAfter(READY_POLL_INTERVAL, () -> checkReady(serviceStart));
         }
     }
 
@@ -291,7 +302,7 @@
                     terminated.countDown();
                 },
                 "last",
-                128 * 1024);
+                SHUTDOWN_THREAD_STACK_BYTES);
         shutdownThread.start();
     }
 
--- a/src/main/java/martenslip/platform/contact/ContactTable.java
+++ b/src/main/java/martenslip/platform/contact/ContactTable.java
@@ -166,11 +166,11 @@
                 request.skill(),
                 request.calledNumberValue(),
                 request.destination(),
-                request.hint(),
+                request.routingHint(),
                 request.width(),
                 remainingPatience.atLeast(Span.ZERO),
                 false,
-                request.transit(),
+                request.inTransit(),
                 request.redial());
         notifyController(controller -> controller.contactOffered(wheel.now(), offeredContact));
     }
@@ -396,7 +396,7 @@
 
     // ---- ends of contacts and attempts
 
-    /** Marks the set-up as finally answered. */
+    /** Ends the wait for a final answer: it was sent, or the caller has gone. */
     private void closeSetUp(TrackedContact contact) {
         contact.isOpen = false;
         contact.answerDeadlineTimer.cancel();
--- a/src/main/java/martenslip/platform/contact/SetUpRequest.java
+++ b/src/main/java/martenslip/platform/contact/SetUpRequest.java
@@ -15,9 +15,9 @@
  * @param receivedAt when its last byte was read
  * @param patience how long the caller waits for the final answer, from {@code receivedAt}
  * @param destination the number of the switch where the contact ends
- * @param hint the advised tandem, or for a contact in transit the switch it comes from; -1 for none
+ * @param routingHint the advised tandem, or for a contact in transit the switch it comes from; -1 for none
  * @param width the circuits the contact takes
- * @param transit whether the contact is in transit from another switch
+ * @param inTransit whether the contact is in transit from another switch
  * @param redial whether the caller has tried before
  * @param establishedSwitch the id of the switch where the contact is already established, or null
  * @param description the session description
@@ -32,9 +32,9 @@
         Moment receivedAt,
         Span patience,
         int destination,
-        int hint,
+        int routingHint,
         int width,
-        boolean transit,
+        boolean inTransit,
         boolean redial,
         String establishedSwitch,
         String description,
--- a/src/test/java/martenslip/platform/PlatformStandIn.java
+++ b/src/test/java/martenslip/platform/PlatformStandIn.java
@@ -197,6 +197,7 @@
             return listener.getLocalPort();
         }
 
+        /** The position that the next request asked for, -1 for none. */
         long nextRequestedPosition() throws InterruptedException {
             return pollOrFail(requestedPositions, "a request to the journal");
         }
@@ -227,6 +228,7 @@
                 + "\"report\":{\"fields\":[\"spare\",\"total\",\"allowed\"]},\"round-ns\":5000000}}";
     }
 
+    /** Writes the text to a temporary file. */
     static Path writeTemporary(String configuration) throws IOException {
         Path file = Files.createTempFile("configuration", ".json");
         file.toFile().deleteOnExit();
--- a/src/test/java/martenslip/platform/contact/WriteQueueModel.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueModel.java
@@ -64,7 +64,7 @@
     private long switchConnectionId = 40;
     private boolean isConnected;
     private boolean isWriterHeld;
-    private boolean isDeciderHeld;
+    private boolean isDecisionThreadHeld;
     private boolean acceptsNewContacts = true;
     private int offeredCount;
 
@@ -94,8 +94,8 @@
     @Override
     public List<Event> enabledEvents() {
         List<Event> events = new ArrayList<>();
-        if (isDeciderHeld) {
-            events.add(eventThenSettle("decision thread resumes", () -> isDeciderHeld = false));
+        if (isDecisionThreadHeld) {
+            events.add(eventThenSettle("decision thread resumes", () -> isDecisionThreadHeld = false));
         }
         if (isWriterHeld) {
             events.add(eventThenSettle("writer resumes", () -> isWriterHeld = false));
@@ -105,7 +105,7 @@
             addOnce(events, "connection never up", () -> loseConnection(false));
         }
         // A decision thread that is held does not advance its timer wheel either, so nothing that waits there is late.
-        if (!isDeciderHeld
+        if (!isDecisionThreadHeld
                 && (!waitingCallers.isEmpty()
                         || !startsAtSwitch.isEmpty()
                         || !outgoingMessages.isEmpty()
@@ -139,7 +139,7 @@
             addOnce(events, "reset", () -> loseConnection(true));
         }
         addOnce(events, "writer held", () -> isWriterHeld = true);
-        addOnce(events, "decision thread held", () -> isDeciderHeld = true);
+        addOnce(events, "decision thread held", () -> isDecisionThreadHeld = true);
         if (offeredCount > 0) {
             addOnce(events, "drain", () -> inbox.add(this::drain));
             addOnce(events, "remove", () -> inbox.add(this::remove));
@@ -166,8 +166,9 @@
     }
 
     private void runUntilBlocked() {
-        while (!isDeciderHeld && !inbox.isEmpty() || !isWriterHeld && isConnected && !outgoingMessages.isEmpty()) {
-            if (!isDeciderHeld && !inbox.isEmpty()) {
+        while (!isDecisionThreadHeld && !inbox.isEmpty()
+                || !isWriterHeld && isConnected && !outgoingMessages.isEmpty()) {
+            if (!isDecisionThreadHeld && !inbox.isEmpty()) {
                 inbox.poll().run();
             } else {
                 OutgoingMessage next = outgoingMessages.poll();
@@ -252,9 +253,9 @@
         inbox.add(() -> contactTable.started(SWITCH_ID, connectionId, tag, "c=" + tag));
     }
 
-    private void endContact(String tag, int q850Cause, boolean circuitsHeld) {
+    private void endContact(String tag, int q850Cause, boolean mayHoldCircuits) {
         if (startsAtSwitch.remove(tag)) {
-            rules.ringEnded(wheel.now(), tag, circuitsHeld);
+            rules.ringEnded(wheel.now(), tag, mayHoldCircuits);
         }
         establishedContacts.remove(tag);
         long connectionId = switchConnectionId;
