--- a/src/main/java/martenslip/platform/CdsTrainingRun.java
+++ b/src/main/java/martenslip/platform/CdsTrainingRun.java
@@ -144,14 +144,15 @@
             connection.setSoTimeout(2 * PATIENCE_MS);
             InputStream in = connection.getInputStream();
             byte[] buffer = new byte[4096];
-            int isReady = 0;
-            for (int i = 0; i < 1000 && isReady == 0; i++) {
+            int successCount = 0;
+            for (int i = 0; i < 1000 && successCount == 0; i++) {
                 send(connection, message("OPTIONS", "ping", "0000000000000000", "", ""));
-                isReady = new String(buffer, 0, in.read(buffer), StandardCharsets.US_ASCII).startsWith("SIP/2.0 200")
-                        ? 1
-                        : 0;
+                successCount =
+                        new String(buffer, 0, in.read(buffer), StandardCharsets.US_ASCII).startsWith("SIP/2.0 200")
+                                ? 1
+                                : 0;
             }
-            if (isReady == 0) {
+            if (successCount == 0) {
                 throw new IOException("the controller of the training run never answered OPTIONS with 200");
             }
             String setUpHeaders =
