--- a/src/main/java/martenslip/platform/Configuration.java
+++ b/src/main/java/martenslip/platform/Configuration.java
@@ -12,92 +12,105 @@
 import martenslip.platform.json.Json;
 
 /**
- * What the platform tells one controller at its start and at each SIGHUP; read whole or not at all. An error names the
- * path in the file and the reason.
+ * The configuration file that the platform gives a controller, read at the start and at each SIGHUP, as a whole or not
+ * at all. An error names the path in the file and the reason.
+ *
+ * @param name the name of the controller
+ * @param listenAddress where callers connect
+ * @param seed the seed of the module's random numbers
+ * @param maxSockets the most sockets the process may have open
+ * @param limitsText the limits as they are logged
+ * @param peerListenAddress where notes of peers arrive, or null
+ * @param peerAddresses the other controllers
+ * @param allPeersAddress where a note to all peers is sent, or null
+ * @param journalAddress the journal service
+ * @param initialPosition the position of the last journal event in {@code initialEvents}
+ * @param initialEvents the switch list events up to the start
+ * @param settings the settings of the module, flattened by {@link SettingsFlattener}
  */
 record Configuration(
         String name,
-        InetSocketAddress listen,
+        InetSocketAddress listenAddress,
         long seed,
-        int sockets,
-        String limits,
-        InetSocketAddress peerListen,
-        List<InetSocketAddress> peers,
-        InetSocketAddress peersAll,
-        InetSocketAddress journal,
-        long position,
-        List<SwitchListEvent> known,
+        int maxSockets,
+        String limitsText,
+        InetSocketAddress peerListenAddress,
+        List<InetSocketAddress> peerAddresses,
+        InetSocketAddress allPeersAddress,
+        InetSocketAddress journalAddress,
+        long initialPosition,
+        List<SwitchListEvent> initialEvents,
         Map<String, String> settings) {
-    private static final int MOST_BYTES = 4 << 20;
+    private static final int MAX_FILE_BYTES = 4 << 20;
 
     static Configuration read(Path file) throws IOException {
-        if (Files.size(file) > MOST_BYTES) {
-            throw new IOException("over " + MOST_BYTES + " bytes");
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new IOException("larger than " + MAX_FILE_BYTES + " bytes");
         }
-        if (!(Json.read(Files.readAllBytes(file)) instanceof Map<?, ?> all)) {
-            throw new IOException("no object");
+        if (!(Json.read(Files.readAllBytes(file)) instanceof Map<?, ?> root)) {
+            throw new IOException("not a JSON object");
         }
-        List<InetSocketAddress> peers = new ArrayList<>();
-        if (all.get("peers") instanceof List<?> list) {
-            for (Object peer : list) {
-                peers.add(AddressParser.parse(peer, "peers"));
+        List<InetSocketAddress> peerAddresses = new ArrayList<>();
+        if (root.get("peers") instanceof List<?> peerList) {
+            for (Object peer : peerList) {
+                peerAddresses.add(AddressParser.parse(peer, "peers"));
             }
         }
-        List<SwitchListEvent> known = new ArrayList<>();
-        long position = 0;
-        if (all.get("known") instanceof Map<?, ?> map) {
-            position = (long) within(map.get("pos"), "known.pos", 0, Long.MAX_VALUE);
-            if (map.get("entries") instanceof List<?> entries) {
+        List<SwitchListEvent> initialEvents = new ArrayList<>();
+        long initialPosition = 0;
+        if (root.get("known") instanceof Map<?, ?> knownEvents) {
+            initialPosition = (long) requireInRange(knownEvents.get("pos"), "known.pos", 0, Long.MAX_VALUE);
+            if (knownEvents.get("entries") instanceof List<?> entries) {
                 for (Object entry : entries) {
-                    known.add(SwitchListEvent.parse(entry));
+                    initialEvents.add(SwitchListEvent.parse(entry));
                 }
             }
         }
-        Map<?, ?> limits = map(all.get("limits"), "limits");
-        Map<String, String> settings = SettingsFlattener.of(map(all.get("settings"), "settings"));
-        SettingsValidator.check(settings);
+        Map<?, ?> limits = requireObject(root.get("limits"), "limits");
+        Map<String, String> settings = SettingsFlattener.flatten(requireObject(root.get("settings"), "settings"));
+        SettingsValidator.validate(settings);
         return new Configuration(
-                text(all.get("name"), "name"),
-                AddressParser.parse(all.get("listen"), "listen"),
-                seed(text(all.get("seed"), "seed")),
-                (int) within(limits.get("sockets"), "limits.sockets", 1, Integer.MAX_VALUE),
+                requireText(root.get("name"), "name"),
+                AddressParser.parse(root.get("listen"), "listen"),
+                parseSeed(requireText(root.get("seed"), "seed")),
+                (int) requireInRange(limits.get("sockets"), "limits.sockets", 1, Integer.MAX_VALUE),
                 limits.toString(),
-                optional(all.get("peer_listen"), "peer_listen"),
-                List.copyOf(peers),
-                optional(all.get("peers_all"), "peers_all"),
-                AddressParser.parse(all.get("journal"), "journal"),
-                position,
-                List.copyOf(known),
+                optionalAddress(root.get("peer_listen"), "peer_listen"),
+                List.copyOf(peerAddresses),
+                optionalAddress(root.get("peers_all"), "peers_all"),
+                AddressParser.parse(root.get("journal"), "journal"),
+                initialPosition,
+                List.copyOf(initialEvents),
                 settings);
     }
 
-    private static double within(Object value, String where, double least, double most) throws IOException {
-        return SettingsValidator.within(Json.number(value, where), where, value, least, most);
+    private static double requireInRange(Object value, String path, double min, double max) throws IOException {
+        return SettingsValidator.requireInRange(Json.number(value, path), path, value, min, max);
     }
 
-    private static InetSocketAddress optional(Object value, String where) throws IOException {
-        return value == null ? null : AddressParser.parse(value, where);
+    private static InetSocketAddress optionalAddress(Object value, String path) throws IOException {
+        return value == null ? null : AddressParser.parse(value, path);
     }
 
-    private static Map<?, ?> map(Object value, String where) throws IOException {
+    private static Map<?, ?> requireObject(Object value, String path) throws IOException {
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new IOException(where + " is missing or no object");
+        throw new IOException(path + " is missing or not an object");
     }
 
-    private static String text(Object value, String where) throws IOException {
+    private static String requireText(Object value, String path) throws IOException {
         if (value instanceof String || value instanceof Json.JsonNumber) {
             return value.toString();
         }
-        throw new IOException(where + " is missing or no text");
+        throw new IOException(path + " is missing or not a text");
     }
 
-    private static long seed(String text) throws IOException {
+    private static long parseSeed(String text) throws IOException {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new IOException("seed is no number of 16 hex digits");
+            throw new IOException("seed is not a number of up to 16 hexadecimal digits");
         }
     }
 }
--- a/src/test/java/martenslip/platform/contact/ContactTableInterleavingTest.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableInterleavingTest.java
@@ -10,17 +10,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The desk with the very module through every order of what callers, switches and connections may do. */
+/** The contact table with the real routing module in every order of the events of callers, switches and connections. */
 public class ContactTableInterleavingTest {
-    private static final Span RELEASE = Span.ofMillis(300);
+    private static final Span RELEASE_TIME = Span.ofMillis(300);
 
-    private static SearchResult search(Scenario plan, int depth, Span release) {
-        return InterleavingExplorer.search(() -> new ContactTableModel(plan, release), depth);
+    private static SearchResult search(Scenario scenario, int depth, Span releaseTime) {
+        return InterleavingExplorer.search(() -> new ContactTableModel(scenario, releaseTime), depth);
     }
 
-    /** Name, plan (offers, circuits, refusals, a caller leaves, a connection breaks, a process dies), choices. */
+    /**
+     * Name, scenario (offers, circuits, refusals, a caller cancels, a connection breaks, a process ends), depth of the
+     * search.
+     */
     @DataProvider
-    public Object[][] worlds() {
+    public Object[][] scenarios() {
         return new Object[][] {
             {"one caller, refused and reset", new Scenario(1, 2, 2, true, false, false), 12},
             {"two callers, one circuit", new Scenario(2, 1, 1, true, false, false), 7},
@@ -30,16 +33,18 @@
         };
     }
 
-    @Test(dataProvider = "worlds")
-    public void rulesHoldInEveryOrder(String name, Scenario plan, int depth) {
-        SearchResult found = search(plan, depth, RELEASE);
-        assertEquals(found.fault(), null, name);
-        assertTrue(found.sequences() > 400, name + ": only " + found.sequences());
+    @Test(dataProvider = "scenarios")
+    public void rulesHoldInEveryOrder(String name, Scenario scenario, int depth) {
+        SearchResult result = search(scenario, depth, RELEASE_TIME);
+        assertEquals(result.fault(), null, name);
+        assertTrue(result.sequences() > 400, name + ": only " + result.sequences());
     }
 
-    /** The check itself: held to a longer release than the module knows, the same world must be found wanting. */
+    /**
+     * Checks the checker: held to a longer release time than the module is given, the same scenario must break a rule.
+     */
     @Test
-    public void aReleaseThatIsTooShortIsFound() {
+    public void aTooShortReleaseTimeIsFound() {
         assertTrue(search(new Scenario(1, 2, 2, true, false, false), 6, Span.ofMillis(400))
                         .fault()
                 != null);
--- a/src/test/java/martenslip/platform/contact/EndCauseTest.java
+++ b/src/test/java/martenslip/platform/contact/EndCauseTest.java
@@ -7,10 +7,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Q.850 causes and notes of a switch become causes and reasons of the routing module. */
 public class EndCauseTest {
-    /** Cause and note as the platform writes them, what the module is told. */
+    /** Cause and note as the platform sends them, and what the module is notified of. */
     @DataProvider
-    public Object[][] rows() {
+    public Object[][] causes() {
         return new Object[][] {
             {34, "no_circuit", RingEndCause.TURNED_BACK, RejectionReason.NO_CIRCUIT},
             {34, "turned_back", RingEndCause.TURNED_BACK, RejectionReason.TANDEM},
@@ -27,15 +28,15 @@
         };
     }
 
-    @Test(dataProvider = "rows")
-    public void ofARing(int cause, String note, RingEndCause expected, RejectionReason blame) {
-        assertEquals(EndCause.ofRing(cause, note), new EndCause(expected, blame));
+    @Test(dataProvider = "causes")
+    public void ofRingEnd(int q850Cause, String note, RingEndCause expected, RejectionReason rejectionReason) {
+        assertEquals(EndCause.ofRingEnd(q850Cause, note), new EndCause(expected, rejectionReason));
     }
 
     @Test
-    public void ofWhatStood() {
-        assertEquals(EndCause.ofStanding(16), RingEndCause.CONCLUDED);
-        assertEquals(EndCause.ofStanding(41), RingEndCause.CUT);
-        assertEquals(EndCause.ofStanding(0), RingEndCause.CUT);
+    public void ofEstablishedEnd() {
+        assertEquals(EndCause.ofEstablishedEnd(16), RingEndCause.CONCLUDED);
+        assertEquals(EndCause.ofEstablishedEnd(41), RingEndCause.CUT);
+        assertEquals(EndCause.ofEstablishedEnd(0), RingEndCause.CUT);
     }
 }
