--- a/src/main/java/martenslip/platform/SettingsFlattener.java
+++ b/src/main/java/martenslip/platform/SettingsFlattener.java
@@ -5,41 +5,42 @@
 import java.util.Map;
 
 /**
- * Nested settings as the plain map of path and value that the module knows from the simulator's wire: plain lists
- * joined by commas, lists of objects as {@code .count} and {@code .0}, {@code .1}; blanks and commas in a value as
- * {@code _}.
+ * Turns nested settings into the map of path and value that the module also receives through the simulator's protocol.
+ * A list of plain values is joined by commas; a list with objects or lists in it becomes {@code .count}, {@code .0},
+ * {@code .1} and so on. Blanks and commas in a value become {@code _}.
  */
 final class SettingsFlattener {
     private SettingsFlattener() {}
 
-    static Map<String, String> of(Map<?, ?> settings) {
-        Map<String, String> flat = new LinkedHashMap<>();
-        settings.forEach((name, value) -> put(flat, String.valueOf(name), value));
-        return flat;
+    static Map<String, String> flatten(Map<?, ?> settings) {
+        Map<String, String> flattened = new LinkedHashMap<>();
+        settings.forEach((name, value) -> flattenInto(flattened, String.valueOf(name), value));
+        return flattened;
     }
 
-    private static void put(Map<String, String> flat, String path, Object value) {
+    private static void flattenInto(Map<String, String> flattened, String path, Object value) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((name, inner) -> put(flat, path + "." + name, inner));
+            map.forEach((name, inner) -> flattenInto(flattened, path + "." + name, inner));
         } else if (value instanceof List<?> list) {
-            boolean plain = list.stream().noneMatch(one -> one instanceof Map || one instanceof List);
-            if (plain) {
-                flat.put(
+            boolean hasOnlyPlainItems = list.stream().noneMatch(item -> item instanceof Map || item instanceof List);
+            if (hasOnlyPlainItems) {
+                flattened.put(
                         path,
                         String.join(
-                                ",", list.stream().map(SettingsFlattener::text).toList()));
+                                ",",
+                                list.stream().map(SettingsFlattener::toText).toList()));
                 return;
             }
-            flat.put(path + ".count", Integer.toString(list.size()));
+            flattened.put(path + ".count", Integer.toString(list.size()));
             for (int i = 0; i < list.size(); i++) {
-                put(flat, path + "." + i, list.get(i));
+                flattenInto(flattened, path + "." + i, list.get(i));
             }
         } else {
-            flat.put(path, text(value));
+            flattened.put(path, toText(value));
         }
     }
 
-    private static String text(Object value) {
+    private static String toText(Object value) {
         return value == null ? "" : value.toString().replace(' ', '_').replace(',', '_');
     }
 }
--- a/src/test/java/martenslip/platform/contact/ContactTableHarness.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableHarness.java
@@ -20,58 +20,63 @@
 import martenslip.sip.transport.QueuedMessage;
 import martenslip.sip.transport.RevocableMessage;
 
-/** A desk on driven time. What it sends and what it tells a module that decides nothing is kept as lines of text. */
+/**
+ * A contact table on simulated time. What it sends, and the events it reports to a module that decides nothing, are
+ * kept as lines of text.
+ */
 final class ContactTableHarness implements OutboundMessages, Controller {
-    static final long SWITCH = 7;
-    static final long LINK = 40;
-    static final ContactSettings TERMS =
+    static final long SWITCH_ID = 7;
+    static final long SWITCH_CONNECTION_ID = 40;
+    static final ContactSettings SETTINGS =
             new ContactSettings(List.of("cheap", "dear"), 3, Span.ofMillis(9000), Span.ofMillis(20));
     final TimerWheel wheel = new TimerWheel(new Moment(0));
     final List<String> sent = new ArrayList<>();
-    final List<String> told = new ArrayList<>();
-    final Set<Long> closed = new HashSet<>();
-    final ContactTable desk = new ContactTable(wheel, TERMS, this);
-    boolean unreachable;
-    /** What is queued stays so until {@link #write}, ends until {@link #written}. */
-    boolean held;
-
-    boolean heldEnds;
-    private final List<RevocableMessage> waiting = new ArrayList<>();
-    private final List<Runnable> ends = new ArrayList<>();
-    long any = 1;
+    final List<String> notifications = new ArrayList<>();
+    final Set<Long> closedConnections = new HashSet<>();
+    final ContactTable contactTable = new ContactTable(wheel, SETTINGS, this);
+    boolean isUnreachable;
+    /** Holds each START until {@link #writeStarts}. */
+    boolean holdsStarts;
+
+    /** Holds the completion of each FINISH until {@link #completeFinishes}. */
+    boolean holdsFinishes;
+
+    private final List<RevocableMessage> queuedStarts = new ArrayList<>();
+    private final List<Runnable> finishCallbacks = new ArrayList<>();
+    long otherCallerConnection = 1;
 
     ContactTableHarness() {
-        desk.setController(this);
+        contactTable.setController(this);
     }
 
-    static String tag(int number) {
-        return String.format("%016x", number);
+    static String tag(int contactNumber) {
+        return String.format("%016x", contactNumber);
     }
 
-    static Request request(String method, int number) {
+    static Request request(String method, int contactNumber) {
         Headers headers = new Headers();
-        headers.add("Call-ID", tag(number)).add("CSeq", "1 " + method);
+        headers.add("Call-ID", tag(contactNumber)).add("CSeq", "1 " + method);
         return new Request(method, "sip:00000000000000aa@net", headers);
     }
 
-    /** Whether callers have gone, of the set-up that was asked for last. */
-    CallerCancellation caller;
+    /** The cancellation of the last set-up. */
+    CallerCancellation lastCancellation;
 
-    SetUpRequest asked(long line, int number, double ms) {
-        SetUpRequest asked = ask(line, number, ms);
-        caller = asked.cancellation();
-        return asked;
+    SetUpRequest setUpRequestWithCancellation(long connectionId, int contactNumber, double patienceMs) {
+        SetUpRequest request = setUpRequest(connectionId, contactNumber, patienceMs);
+        lastCancellation = request.cancellation();
+        return request;
     }
 
-    static SetUpRequest ask(long line, int number, double ms) {
+    static SetUpRequest setUpRequest(long connectionId, int contactNumber, double patienceMs) {
         return new SetUpRequest(
-                line,
-                request("INVITE", number),
-                tag(number),
+                connectionId,
+                request("INVITE", contactNumber),
+                tag(contactNumber),
                 "00000000000000aa",
                 1,
                 new Moment(0),
-                Span.ofMillis(ms),
+                Span.ofMillis(patienceMs),
                 2,
                 -1,
                 1,
@@ -82,111 +87,111 @@
                 new CallerCancellation());
     }
 
-    ContactTableHarness at(double ms) {
-        wheel.advanceTo(new Moment(Span.ofMillis(ms).ns()));
+    ContactTableHarness advanceToMs(double timeMs) {
+        wheel.advanceTo(new Moment(Span.ofMillis(timeMs).ns()));
         return this;
     }
 
-    /** What was sent since the last look. */
-    List<String> sent() {
-        List<String> all = List.copyOf(sent);
+    /** What was sent since the last call. */
+    List<String> takeSent() {
+        List<String> taken = List.copyOf(sent);
         sent.clear();
-        return all;
+        return taken;
     }
 
-    List<String> told() {
-        List<String> all = List.copyOf(told);
-        told.clear();
-        return all;
+    List<String> takeNotifications() {
+        List<String> taken = List.copyOf(notifications);
+        notifications.clear();
+        return taken;
     }
 
-    private static String plain(byte[] message) {
+    private static String describe(byte[] message) {
         ParseResult parsed = MessageParser.parseMinimal(message, message.length);
-        if (parsed.message() instanceof Response answer) {
-            String away = answer.headers().first("Come-Back-Ms");
-            return answer.status() + " " + answer.headers().first("CSeq").substring(2)
-                    + (away == null ? "" : " away " + away)
-                    + (answer.body().length == 0 ? "" : " " + new String(answer.body(), StandardCharsets.UTF_8));
+        if (parsed.message() instanceof Response response) {
+            String retryDelayMs = response.headers().first("Come-Back-Ms");
+            return response.status() + " " + response.headers().first("CSeq").substring(2)
+                    + (retryDelayMs == null ? "" : " retry after " + retryDelayMs)
+                    + (response.body().length == 0 ? "" : " " + new String(response.body(), StandardCharsets.UTF_8));
         }
         Request request = (Request) parsed.message();
         return request.method() + " " + request.headers().first("Reason");
     }
 
     @Override
-    public boolean sendToCaller(long line, byte[] message) {
-        if (closed.contains(line)) {
+    public boolean sendToCaller(long connectionId, byte[] message) {
+        if (closedConnections.contains(connectionId)) {
             return false;
         }
-        sent.add(line + ": " + plain(message));
+        sent.add(connectionId + ": " + describe(message));
         return true;
     }
 
     @Override
-    public long anyConnection(long but) {
-        return any;
+    public long otherCallerConnection(long excludedConnectionId) {
+        return otherCallerConnection;
     }
 
     @Override
-    public void contactAnswered(long line, String tag) {
-        // Counted by the lines; nothing that the desk is judged by.
+    public void contactAnswered(long connectionId, String tag) {
+        // Needed by the caller connections only; no test checks it.
     }
 
     @Override
-    public void disconnect(long line, String why) {
-        sent.add(line + ": dropped");
-        desk.callerConnectionEnded(line);
+    public void disconnect(long connectionId, String reason) {
+        sent.add(connectionId + ": disconnected");
+        contactTable.callerConnectionEnded(connectionId);
     }
 
     @Override
-    public QueuedMessage sendStart(long target, SwitchStartRequest start, Runnable unsent) {
-        caller = start.cancellation();
-        long left = start.deadline().since(wheel.now()).ns() / 1_000_000;
+    public QueuedMessage sendStart(long switchId, SwitchStartRequest start, Runnable unsent) {
+        lastCancellation = start.cancellation();
+        long remainingMs = start.deadline().since(wheel.now()).ns() / 1_000_000;
         RevocableMessage message = new RevocableMessage(
                 0,
                 () -> {
                     if (start.cancellation().isCancelled()) {
                         return null;
                     }
-                    sent.add("START " + target + " " + Long.parseLong(start.tag(), 16) + " " + start.skill() + " "
-                            + left + " " + start.description());
+                    sent.add("START " + switchId + " " + Long.parseLong(start.tag(), 16) + " " + start.skill() + " "
+                            + remainingMs + " " + start.description());
                     return new byte[0];
                 },
                 unsent);
-        if (unreachable) {
+        if (isUnreachable) {
             return null;
         }
-        waiting.add(message);
-        if (!held) {
-            write();
+        queuedStarts.add(message);
+        if (!holdsStarts) {
+            writeStarts();
         }
-        return new QueuedMessage(LINK, message);
+        return new QueuedMessage(SWITCH_CONNECTION_ID, message);
     }
 
-    /** The connection's writer comes to all that was queued. */
-    void write() {
-        List<RevocableMessage> now = List.copyOf(waiting);
-        waiting.clear();
-        now.forEach(RevocableMessage::bytes);
+    /** Writes each START that was held. */
+    void writeStarts() {
+        List<RevocableMessage> pending = List.copyOf(queuedStarts);
+        queuedStarts.clear();
+        pending.forEach(RevocableMessage::bytes);
     }
 
     @Override
-    public void sendFinish(long target, long connection, String tag, int cause, Runnable written) {
-        sent.add("FINISH " + target + " " + connection + " " + Long.parseLong(tag, 16) + " " + cause);
-        ends.add(written);
-        if (!heldEnds) {
-            written();
+    public void sendFinish(long switchId, long switchConnectionId, String tag, int q850Cause, Runnable written) {
+        sent.add("FINISH " + switchId + " " + switchConnectionId + " " + Long.parseLong(tag, 16) + " " + q850Cause);
+        finishCallbacks.add(written);
+        if (!holdsFinishes) {
+            completeFinishes();
         }
     }
 
-    void written() {
-        List<Runnable> now = List.copyOf(ends);
-        ends.clear();
-        now.forEach(Runnable::run);
+    void completeFinishes() {
+        List<Runnable> pending = List.copyOf(finishCallbacks);
+        finishCallbacks.clear();
+        pending.forEach(Runnable::run);
     }
 
     @Override
-    public void sendFinished(long target, long connection, String tag) {
-        // Free on the platform: nothing is judged by it.
+    public void sendFinished(long switchId, long switchConnectionId, String tag) {
+        // The platform sets no limit for this message, so no test checks it.
     }
 
     @Override
@@ -195,54 +200,55 @@
     }
 
     @Override
-    public void log(String kind, String line) {
+    public void log(String kind, String message) {
         sent.add("log " + kind);
     }
 
     @Override
-    public void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> lines) {
-        told.add("listed " + kind);
+    public void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> entries) {
+        notifications.add("switch list " + kind);
     }
 
     @Override
     public void contactOffered(Moment now, Contact contact) {
-        told.add("offered " + contact.id() + " " + contact.skill() + " to " + contact.destination() + " patience "
-                + contact.patience().ns() / 1_000_000);
+        notifications.add("offered " + contact.id() + " " + contact.skill() + " destination " + contact.destination()
+                + " patience " + contact.patience().ns() / 1_000_000);
     }
 
     @Override
-    public void established(Moment now, long contact, int ring, long target, Span took) {
-        told.add("stands " + contact + " " + ring + " " + target);
+    public void established(Moment now, long contact, int ring, long switchId, Span elapsed) {
+        notifications.add("established " + contact + " " + ring + " " + switchId);
     }
 
     @Override
     public void ringEnded(Moment now, RingEnd end) {
-        told.add("end " + end.contact() + " " + end.ring() + " " + end.cause() + " " + end.rejectionReason() + " "
-                + end.answered() + (end.report().length == 0 ? "" : " " + java.util.Arrays.toString(end.report())));
+        notifications.add("ring ended " + end.contact() + " " + end.ring() + " " + end.cause() + " "
+                + end.rejectionReason() + " " + end.answered()
+                + (end.report().length == 0 ? "" : " " + java.util.Arrays.toString(end.report())));
     }
 
     @Override
     public void callerGone(Moment now, long contact) {
-        told.add("gone " + contact);
+        notifications.add("caller gone " + contact);
     }
 
     @Override
     public void timerExpired(Moment now, long token) {
-        told.add("clock " + token);
+        notifications.add("timer expired " + token);
     }
 
     @Override
-    public void switchReported(Moment now, long target, boolean reached, Span took, float[] report) {
-        told.add("report " + target + " " + report.length);
+    public void switchReported(Moment now, long switchId, boolean reached, Span elapsed, float[] report) {
+        notifications.add("report " + switchId + " " + report.length);
     }
 
     @Override
     public void peerNoteReceived(Moment now, int peer, byte[] note) {
-        told.add("note " + peer);
+        notifications.add("note " + peer);
     }
 
     @Override
     public void stopped(Moment now) {
-        told.add("stopped");
+        notifications.add("stopped");
     }
 }
