--- a/src/main/antlr4/martenslip/expect/Expect.g4
+++ b/src/main/antlr4/martenslip/expect/Expect.g4
@@ -1,17 +1,17 @@
-/** Routing expectations, one a line: docs/expectations.md. */
+/** Routing expectations, one per line; docs/expectations.md describes the language. */
 grammar Expect;
 
 file : NL* (statement (NL+ | EOF))* EOF ;
 
 statement
-    : 'desk' name=NAME 'is' 'exchange' number=NUMBER ('in' region=NAME)?   # desk
-    | 'set' name=NAME '=' NAME (',' NAME)*                          # setOf
-    | subject often? outcome conditions?                            # expectation
+    : 'desk' name=NAME 'is' 'exchange' number=NUMBER ('in' region=NAME)?   # deskDefinition
+    | 'set' name=NAME '=' NAME (',' NAME)*                          # setDefinition
+    | subject quantifier? outcome conditions?                       # expectation
     ;
 
-subject : (what='nothing' | what='anything' | skill=NAME) ('from' from=NAME)? ('to' to=NAME)? ;
+subject : (scope='nothing' | scope='anything' | skill=NAME) ('from' origin=NAME)? ('to' destination=NAME)? ;
 
-often
+quantifier
     : 'always'                                                      # always
     | 'never'                                                       # never
     | 'may'                                                         # may
--- a/src/main/java/martenslip/cli/BenchCommand.java
+++ b/src/main/java/martenslip/cli/BenchCommand.java
@@ -20,7 +20,7 @@
         description = "Measures this program on this machine; 'cores' is one exchange on several lanes.")
 final class BenchCommand implements Callable<Integer> {
     @Parameters(paramLabel = "WHAT", description = "cores, or full: only the groups that are full")
-    private String what;
+    private String benchmarkName;
 
     @Option(names = "--lanes", split = ",", defaultValue = "1,2,4,8", description = "Counts of lanes.")
     private List<Integer> lanes;
@@ -36,29 +36,29 @@
     private int seconds;
 
     @Option(names = "--into", defaultValue = "target/bench", description = "Folder for files, table and chart.")
-    private Path into;
+    private Path outputFolder;
 
     @Option(
             names = "--java",
             defaultValue = "-XX:+UseParallelGC -XX:ParallelGCThreads=4 -Xms2g -Xmx2g -Xmn1400m",
             description = "Options of the exchange's virtual machine.")
-    private String options;
+    private String jvmOptions;
 
     @Override
     public Integer call() throws InterruptedException {
-        if (!what.equals("cores") && !what.equals("full")) {
-            System.err.println("martenslip: nothing called " + what + " is measured");
+        if (!benchmarkName.equals("cores") && !benchmarkName.equals("full")) {
+            System.err.println("martenslip: nothing called " + benchmarkName + " is measured");
             return 2;
         }
         try {
-            CoresBenchmark bench =
-                    new CoresBenchmark(into, List.of(options.trim().split(" +")), seconds, System.out);
-            if (what.equals("cores")) {
-                List<CoresBenchmark.RateResult> rows = bench.measureRates(lanes, rates);
-                write(rows);
-                CoresBenchmarkChart.write(rows, into.resolve("cores.svg"));
+            CoresBenchmark benchmark =
+                    new CoresBenchmark(outputFolder, List.of(jvmOptions.trim().split(" +")), seconds, System.out);
+            if (benchmarkName.equals("cores")) {
+                List<CoresBenchmark.RateResult> results = benchmark.measureRates(lanes, rates);
+                writeCsv(results);
+                CoresBenchmarkChart.write(results, outputFolder.resolve("cores.svg"));
             }
-            bench.measureFullGroups(lanes);
+            benchmark.measureFullGroups(lanes);
             System.out.flush();
             return 0;
         } catch (IOException e) {
@@ -67,21 +67,21 @@
         }
     }
 
-    private void write(List<CoresBenchmark.RateResult> rows) throws IOException {
+    private void writeCsv(List<CoresBenchmark.RateResult> results) throws IOException {
         try (PrintStream csv =
-                new PrintStream(Files.newOutputStream(into.resolve("cores.csv")), false, StandardCharsets.UTF_8)) {
+                new PrintStream(Files.newOutputStream(outputFolder.resolve("cores.csv")), false, StandardCharsets.UTF_8)) {
             csv.println("lanes,rate,dialled,stood,p50_us,p99_us,p999_us,cpu_ms");
-            rows.forEach(row -> csv.printf(
+            results.forEach(result -> csv.printf(
                     Locale.ROOT,
                     "%d,%.0f,%d,%d,%d,%d,%d,%.3f%n",
-                    row.lanes(),
-                    row.rate(),
-                    row.dialled(),
-                    row.established(),
-                    row.p50Micros(),
-                    row.p99Micros(),
-                    row.p999Micros(),
-                    row.cpuMs()));
+                    result.lanes(),
+                    result.rate(),
+                    result.dialled(),
+                    result.established(),
+                    result.p50Micros(),
+                    result.p99Micros(),
+                    result.p999Micros(),
+                    result.cpuMs()));
         }
     }
 }
--- a/src/main/java/martenslip/cli/CheckCommand.java
+++ b/src/main/java/martenslip/cli/CheckCommand.java
@@ -21,10 +21,10 @@
     @Override
     public Integer call() {
         try {
-            ExchangeConfiguration site = ExchangeFile.read(file);
+            ExchangeConfiguration configuration = ExchangeFile.read(file);
             System.out.println(
-                    "exchange " + site.number() + ": " + site.groups().size() + " groups, "
-                            + site.skills().size() + " skills, " + site.peers().size() + " peers");
+                    "exchange " + configuration.number() + ": " + configuration.groups().size() + " groups, "
+                            + configuration.skills().size() + " skills, " + configuration.peers().size() + " peers");
             return 0;
         } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
--- a/src/main/java/martenslip/cli/CoresBenchmarkChart.java
+++ b/src/main/java/martenslip/cli/CoresBenchmarkChart.java
@@ -12,7 +12,7 @@
 final class CoresBenchmarkChart {
     private CoresBenchmarkChart() {}
 
-    static void write(List<CoresBenchmark.RateResult> rows, Path file) throws IOException {
+    static void write(List<CoresBenchmark.RateResult> results, Path file) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart = new XYChartBuilder()
                 .width(800)
@@ -23,13 +23,13 @@
                 .build();
         chart.getStyler().setYAxisLogarithmic(true);
         for (int lanes :
-                rows.stream().map(CoresBenchmark.RateResult::lanes).distinct().toList()) {
-            List<CoresBenchmark.RateResult> line =
-                    rows.stream().filter(row -> row.lanes() == lanes).toList();
+                results.stream().map(CoresBenchmark.RateResult::lanes).distinct().toList()) {
+            List<CoresBenchmark.RateResult> laneResults =
+                    results.stream().filter(result -> result.lanes() == lanes).toList();
             chart.addSeries(
                     lanes + " lanes",
-                    line.stream().map(CoresBenchmark.RateResult::rate).toList(),
-                    line.stream().map(row -> row.p99Micros() / 1000.0).toList());
+                    laneResults.stream().map(CoresBenchmark.RateResult::rate).toList(),
+                    laneResults.stream().map(result -> result.p99Micros() / 1000.0).toList());
         }
         VectorGraphicsEncoder.saveVectorGraphic(chart, file.toString(), VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
     }
--- a/src/main/java/martenslip/cli/ExpectCommand.java
+++ b/src/main/java/martenslip/cli/ExpectCommand.java
@@ -28,50 +28,50 @@
         description = "Checks routing expectations against an exchange's file, without traffic.")
 final class ExpectCommand implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "FILE", description = "The expectations.")
-    private Path file;
+    private Path expectationsFile;
 
     @Option(names = "--site", required = true, paramLabel = "XML", description = "The exchange that they are of.")
-    private Path siteFile;
+    private Path configurationFile;
 
     @Option(
             names = "--others",
             paramLabel = "FOLDER",
             description = "Files of other exchanges: as tandems they then decide as they would.")
-    private Path others;
+    private Path otherConfigurationsFolder;
 
     @Option(names = "--cover", description = "Name skills and destinations that none speaks of.")
-    private boolean cover;
+    private boolean showUncovered;
 
     @Option(names = "--suggest", description = "Write expectations that hold today.")
-    private boolean suggest;
+    private boolean showSuggested;
 
     @Option(names = "--findings", description = "Name what is weak with no expectation written.")
-    private boolean findings;
+    private boolean showFindings;
 
     @Option(names = "--against", paramLabel = "XML", description = "An older file of the exchange: tells what changes.")
-    private Path against;
+    private Path olderConfigurationFile;
 
     @Option(names = "--junit", paramLabel = "FILE", description = "Write the outcome as JUnit does, for CI.")
-    private Path junit;
+    private Path junitReport;
 
     @Override
     public Integer call() {
         try {
-            ExchangeConfiguration site = ExchangeFile.read(siteFile);
-            Map<Integer, ExchangeConfiguration> sites = new TreeMap<>();
-            for (Path one : folder()) {
-                ExchangeConfiguration other = ExchangeFile.read(one);
-                sites.put(other.number(), other);
+            ExchangeConfiguration configuration = ExchangeFile.read(configurationFile);
+            Map<Integer, ExchangeConfiguration> configurations = new TreeMap<>();
+            for (Path otherFile : otherConfigurationFiles()) {
+                ExchangeConfiguration other = ExchangeFile.read(otherFile);
+                configurations.put(other.number(), other);
             }
-            sites.put(site.number(), site);
-            ExpectationFile.Contents read = ExpectationFile.read(file.toString(), Files.readString(file), site);
-            ExpectationChecker older = null;
-            if (against != null) {
-                Map<Integer, ExchangeConfiguration> before = new TreeMap<>(sites);
-                before.put(site.number(), ExchangeFile.read(against));
-                older = new ExpectationChecker(before, site.number(), read, RoutingPolicy::new);
+            configurations.put(configuration.number(), configuration);
+            ExpectationFile.Contents contents = ExpectationFile.read(expectationsFile.toString(), Files.readString(expectationsFile), configuration);
+            ExpectationChecker olderChecker = null;
+            if (olderConfigurationFile != null) {
+                Map<Integer, ExchangeConfiguration> olderConfigurations = new TreeMap<>(configurations);
+                olderConfigurations.put(configuration.number(), ExchangeFile.read(olderConfigurationFile));
+                olderChecker = new ExpectationChecker(olderConfigurations, configuration.number(), contents, RoutingPolicy::new);
             }
-            return check(read, new ExpectationChecker(sites, site.number(), read, RoutingPolicy::new), older);
+            return check(contents, new ExpectationChecker(configurations, configuration.number(), contents, RoutingPolicy::new), olderChecker);
         } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
             return 4;
@@ -82,100 +82,100 @@
     }
 
     /** True where all lines of the file hold for the exchange; what doesn't is printed. */
-    static boolean holds(Path lines, ExchangeConfiguration site) throws IOException, InvalidFileException {
+    static boolean allHold(Path expectationsFile, ExchangeConfiguration configuration) throws IOException, InvalidFileException {
         ExpectCommand command = new ExpectCommand();
-        command.file = lines;
-        ExpectationFile.Contents read = ExpectationFile.read(lines.toString(), Files.readString(lines), site);
+        command.expectationsFile = expectationsFile;
+        ExpectationFile.Contents contents = ExpectationFile.read(expectationsFile.toString(), Files.readString(expectationsFile), configuration);
         return command.check(
-                        read,
-                        new ExpectationChecker(Map.of(site.number(), site), site.number(), read, RoutingPolicy::new),
+                        contents,
+                        new ExpectationChecker(Map.of(configuration.number(), configuration), configuration.number(), contents, RoutingPolicy::new),
                         null)
                 == 0;
     }
 
-    private List<Path> folder() throws IOException {
-        if (others == null) {
+    private List<Path> otherConfigurationFiles() throws IOException {
+        if (otherConfigurationsFolder == null) {
             return List.of();
         }
-        try (Stream<Path> all = Files.list(others)) {
-            return all.filter(one -> one.toString().endsWith(".xml")).sorted().toList();
+        try (Stream<Path> files = Files.list(otherConfigurationsFolder)) {
+            return files.filter(file -> file.toString().endsWith(".xml")).sorted().toList();
         }
     }
 
-    private String junit(List<ExpectationChecker.Result> all) {
-        StringBuilder text = new StringBuilder("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"")
-                .append(escaped(file.toString()))
+    private String junitReport(List<ExpectationChecker.Result> results) {
+        StringBuilder report = new StringBuilder("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"")
+                .append(escapeXml(expectationsFile.toString()))
                 .append("\" tests=\"")
-                .append(all.size())
+                .append(results.size())
                 .append("\" failures=\"")
-                .append(all.stream().filter(one -> !one.holds()).count())
+                .append(results.stream().filter(result -> !result.holds()).count())
                 .append("\">\n");
-        for (ExpectationChecker.Result one : all) {
-            text.append("  <testcase classname=\"")
-                    .append(escaped(file.getFileName().toString()))
+        for (ExpectationChecker.Result result : results) {
+            report.append("  <testcase classname=\"")
+                    .append(escapeXml(expectationsFile.getFileName().toString()))
                     .append("\" name=\"line ")
-                    .append(one.expectation().line())
+                    .append(result.expectation().line())
                     .append(": ")
-                    .append(escaped(one.expectation().text()))
+                    .append(escapeXml(result.expectation().text()))
                     .append('"');
-            text.append(one.holds() ? "/>\n" : "><failure message=\"" + escaped(one.reason()) + "\"/></testcase>\n");
+            report.append(result.holds() ? "/>\n" : "><failure message=\"" + escapeXml(result.reason()) + "\"/></testcase>\n");
         }
-        return text.append("</testsuite>\n").toString();
+        return report.append("</testsuite>\n").toString();
     }
 
-    private static String escaped(String text) {
+    private static String escapeXml(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
                 .replace("\"", "&quot;");
     }
 
-    private int check(ExpectationFile.Contents read, ExpectationChecker check, ExpectationChecker older)
+    private int check(ExpectationFile.Contents contents, ExpectationChecker checker, ExpectationChecker olderChecker)
             throws IOException {
-        long began = System.nanoTime();
-        List<Contradictions.Contradiction> pairs = Contradictions.find(read.expectations());
-        for (Contradictions.Contradiction pair : pairs) {
+        long startNs = System.nanoTime();
+        List<Contradictions.Contradiction> contradictions = Contradictions.find(contents.expectations());
+        for (Contradictions.Contradiction contradiction : contradictions) {
             System.out.println(
-                    file + ":" + pair.one().line() + " and :" + pair.other().line() + " contradict each other ("
-                            + pair.reason() + ")" + (pair.state().isEmpty() ? "" : " while " + pair.state()) + "\n    "
-                            + pair.one().text() + "\n    " + pair.other().text());
+                    expectationsFile + ":" + contradiction.first().line() + " and :" + contradiction.second().line() + " contradict each other ("
+                            + contradiction.reason() + ")" + (contradiction.state().isEmpty() ? "" : " while " + contradiction.state()) + "\n    "
+                            + contradiction.first().text() + "\n    " + contradiction.second().text());
         }
-        if (!pairs.isEmpty()) {
+        if (!contradictions.isEmpty()) {
             return 3;
         }
         List<ExpectationChecker.Result> broken = new ArrayList<>();
-        List<ExpectationChecker.Result> all = new ArrayList<>();
-        for (Expectation one : read.expectations()) {
-            ExpectationChecker.Result verdict = check.check(one);
-            all.add(verdict);
-            if (older != null && older.check(one).holds() != verdict.holds()) {
+        List<ExpectationChecker.Result> results = new ArrayList<>();
+        for (Expectation expectation : contents.expectations()) {
+            ExpectationChecker.Result result = checker.check(expectation);
+            results.add(result);
+            if (olderChecker != null && olderChecker.check(expectation).holds() != result.holds()) {
                 System.out.println(
-                        file + ":" + one.line() + (verdict.holds() ? " now holds: " : " now breaks: ") + one.text());
+                        expectationsFile + ":" + expectation.line() + (result.holds() ? " now holds: " : " now breaks: ") + expectation.text());
             }
-            if (!verdict.holds()) {
-                broken.add(verdict);
-                System.out.println(file + ":" + one.line() + " broken: " + one.text() + "\n    " + verdict.reason());
+            if (!result.holds()) {
+                broken.add(result);
+                System.out.println(expectationsFile + ":" + expectation.line() + " broken: " + expectation.text() + "\n    " + result.reason());
             }
         }
         System.out.printf(
                 java.util.Locale.ROOT,
                 "%d expectations, %d hold, %d broken; %d trials in %.1f s%n",
-                read.expectations().size(),
-                read.expectations().size() - broken.size(),
+                contents.expectations().size(),
+                contents.expectations().size() - broken.size(),
                 broken.size(),
-                check.trialCount(),
-                (System.nanoTime() - began) / 1e9);
-        if (junit != null) {
-            Files.writeString(junit, junit(all));
+                checker.trialCount(),
+                (System.nanoTime() - startNs) / 1e9);
+        if (junitReport != null) {
+            Files.writeString(junitReport, junitReport(results));
         }
-        if (findings) {
-            check.findings().forEach(one -> System.out.println("finding: " + one));
+        if (showFindings) {
+            checker.findings().forEach(expectation -> System.out.println("finding: " + expectation));
         }
-        if (cover) {
-            check.uncovered(read.expectations()).forEach(one -> System.out.println("not spoken of: " + one));
+        if (showUncovered) {
+            checker.uncovered(contents.expectations()).forEach(expectation -> System.out.println("not spoken of: " + expectation));
         }
-        if (suggest) {
-            check.suggested().forEach(System.out::println);
+        if (showSuggested) {
+            checker.suggested().forEach(System.out::println);
         }
         return broken.isEmpty() ? 0 : 1;
     }
--- a/src/main/java/martenslip/cli/Main.java
+++ b/src/main/java/martenslip/cli/Main.java
@@ -17,36 +17,36 @@
 public final class Main {
     private Main() {}
 
-    public static void main(String[] args) {
-        if (args.length == 1 && args[0].equals("drill")) {
-            drill();
-        } else if (args.length == 1 && args[0].equals("serve")) {
+    public static void main(String[] arguments) {
+        if (arguments.length == 1 && arguments[0].equals("drill")) {
+            serveSimulatorProtocol();
+        } else if (arguments.length == 1 && arguments[0].equals("serve")) {
             serve();
-        } else if (args.length == 1 && args[0].equals("rehearse")) {
-            rehearse();
+        } else if (arguments.length == 1 && arguments[0].equals("rehearse")) {
+            recordClassArchive();
         } else {
-            System.exit(RootCommand.run(args));
+            System.exit(RootCommand.run(arguments));
         }
     }
 
     /** The signals are taken first of all: a SIGHUP that comes early would end the process. */
     private static void serve() {
-        ReloadSignal reloads = new ReloadSignal();
-        Signal.handle(new Signal("HUP"), any -> reloads.request());
+        ReloadSignal reloadSignal = new ReloadSignal();
+        Signal.handle(new Signal("HUP"), signal -> reloadSignal.request());
         try {
-            Path configured = ControllerService.configurationFile();
-            ControllerService serve;
+            Path configurationFile = ControllerService.configurationFile();
+            ControllerService service;
             try {
-                serve = new ControllerService(configured, RoutingPolicy::new, System.err);
+                service = new ControllerService(configurationFile, RoutingPolicy::new, System.err);
             } catch (IOException | RuntimeException e) {
-                System.err.println("martenslip: " + configured + ": " + e.getMessage());
+                System.err.println("martenslip: " + configurationFile + ": " + e.getMessage());
                 System.exit(2);
                 return;
             }
-            Signal.handle(new Signal("TERM"), any -> serve.requestShutdown());
-            serve.startServing();
-            reloads.start(serve::reload);
-            serve.await();
+            Signal.handle(new Signal("TERM"), signal -> service.requestShutdown());
+            service.startServing();
+            reloadSignal.start(service::reload);
+            service.await();
             System.exit(0);
         } catch (IOException e) {
             System.err.println("martenslip: " + e.getMessage());
@@ -57,7 +57,7 @@
     }
 
     /** For the build: the JVM keeps an archive of what this loads. */
-    private static void rehearse() {
+    private static void recordClassArchive() {
         try {
             CdsTrainingRun.run(RoutingPolicy::new);
             System.exit(0);
@@ -67,9 +67,9 @@
         }
     }
 
-    private static void drill() {
-        try (FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
-            new SimulatorProtocol(System.in, out, RoutingPolicy::new).run();
+    private static void serveSimulatorProtocol() {
+        try (FileOutputStream output = new FileOutputStream(FileDescriptor.out)) {
+            new SimulatorProtocol(System.in, output, RoutingPolicy::new).run();
         } catch (MalformedInputException | IOException e) {
             System.err.println("martenslip: " + e.getMessage());
             System.exit(1);
--- a/src/main/java/martenslip/cli/MeasureCommand.java
+++ b/src/main/java/martenslip/cli/MeasureCommand.java
@@ -20,14 +20,14 @@
     private Path file;
 
     @Option(names = "--each", paramLabel = "SECONDS", description = "A row for every so many seconds too.")
-    private int each;
+    private int intervalSeconds;
 
     @Override
     public Integer call() {
         try {
-            AddedDelay added = new AddedDelay(Span.ofMillis(each * 1000.0));
-            CaptureReader.read(file, added);
-            added.print(System.out);
+            AddedDelay addedDelay = new AddedDelay(Span.ofMillis(intervalSeconds * 1000.0));
+            CaptureReader.read(file, addedDelay);
+            addedDelay.print(System.out);
             return 0;
         } catch (IOException e) {
             System.err.println("martenslip: " + file + ": " + e.getMessage());
--- a/src/main/java/martenslip/cli/PlayCommand.java
+++ b/src/main/java/martenslip/cli/PlayCommand.java
@@ -24,7 +24,7 @@
             names = "--into",
             paramLabel = "FOLDER",
             description = "Where capture, files and logs go " + "(default: target/play/NAME).")
-    private Path into;
+    private Path outputFolder;
 
     @Option(
             names = "--java",
@@ -32,7 +32,7 @@
             description = "Options of the controllers' virtual machines " + "(default: ${DEFAULT-VALUE}).",
             defaultValue = "-XX:+UseParallelGC -XX:ParallelGCThreads=2 "
                     + "-XX:TieredStopAtLevel=1 -Xms256m -Xmx512m -Xmn128m")
-    private String options;
+    private String jvmOptions;
 
     @Option(names = "--lanes", paramLabel = "N", description = "Lanes of each controller, whatever the day says.")
     private int lanes;
@@ -41,12 +41,12 @@
     public Integer call() throws InterruptedException {
         try {
             Day day = Day.read(file);
-            Path folder = into != null ? into : Path.of("target", "play", day.name());
-            boolean kept =
-                    new ScenarioRunner(day, folder, List.of(options.trim().split(" +")), lanes, System.out).run();
+            Path folder = outputFolder != null ? outputFolder : Path.of("target", "play", day.name());
+            boolean rulesKept =
+                    new ScenarioRunner(day, folder, List.of(jvmOptions.trim().split(" +")), lanes, System.out).run();
             // Stand-ins' readers may still wait on sockets; what was to be said is said.
             System.out.flush();
-            return kept ? 0 : 1;
+            return rulesKept ? 0 : 1;
         } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
             return 1;
--- a/src/main/java/martenslip/cli/RootCommand.java
+++ b/src/main/java/martenslip/cli/RootCommand.java
@@ -23,12 +23,12 @@
 final class RootCommand {
     private RootCommand() {}
 
-    static int run(String[] args) {
-        CommandLine line = new CommandLine(new RootCommand());
-        if (args.length == 0) {
-            line.usage(System.err);
+    static int run(String[] arguments) {
+        CommandLine commandLine = new CommandLine(new RootCommand());
+        if (arguments.length == 0) {
+            commandLine.usage(System.err);
             return 2;
         }
-        return line.execute(args);
+        return commandLine.execute(arguments);
     }
 }
--- a/src/main/java/martenslip/cli/RunCommand.java
+++ b/src/main/java/martenslip/cli/RunCommand.java
@@ -29,20 +29,20 @@
     private Path file;
 
     @Option(names = "--figures", description = "Print the counts every so many seconds.", paramLabel = "SECONDS")
-    private int every;
+    private int statisticsIntervalSeconds;
 
     @Option(names = "--expect", paramLabel = "FILE", description = "Start only where these expectations hold.")
     private Path expectations;
 
     @Option(names = "--planted", hidden = true, description = "Reads stalls to plant from standard input, for plays.")
-    private boolean planted;
+    private boolean readStalls;
 
     @Override
     public Integer call() throws InterruptedException {
-        ExchangeConfiguration site;
+        ExchangeConfiguration configuration;
         try {
-            site = ExchangeFile.read(file);
-            if (expectations != null && !ExpectCommand.holds(expectations, site)) {
+            configuration = ExchangeFile.read(file);
+            if (expectations != null && !ExpectCommand.allHold(expectations, configuration)) {
                 System.err.println("martenslip: not started, as " + expectations + " does not hold for " + file);
                 return 1;
             }
@@ -53,7 +53,7 @@
             System.err.println("martenslip: " + file + " can't be read: " + e);
             return 2;
         }
-        Exchange exchange = new Exchange(site, RoutingPolicy::new);
+        Exchange exchange = new Exchange(configuration, RoutingPolicy::new);
         try {
             exchange.start();
         } catch (IOException e) {
@@ -61,59 +61,59 @@
             exchange.close();
             return 2;
         }
-        for (Hop.Protocol kind : Hop.Protocol.values()) {
-            if (exchange.port(kind) >= 0) {
-                System.out.println("ready sip:" + exchange.host() + ":" + exchange.port(kind) + ";transport="
-                        + kind.name().toLowerCase(java.util.Locale.ROOT));
+        for (Hop.Protocol protocol : Hop.Protocol.values()) {
+            if (exchange.port(protocol) >= 0) {
+                System.out.println("ready sip:" + exchange.host() + ":" + exchange.port(protocol) + ";transport="
+                        + protocol.name().toLowerCase(java.util.Locale.ROOT));
             }
         }
         System.out.flush();
-        if (planted) {
-            Thread reader = new Thread(null, () -> plant(exchange), "planted", 128 * 1024);
+        if (readStalls) {
+            Thread reader = new Thread(null, () -> readStallCommands(exchange), "planted", 128 * 1024);
             reader.setDaemon(true);
             reader.start();
         }
-        untilStopped(exchange, patience(site));
+        awaitShutdown(exchange, drainTimeout(configuration));
         return 0;
     }
 
     /** Lines of: stall LANE MS [START], where a START means amid the next send of a message that begins with it. */
-    private static void plant(Exchange exchange) {
-        BufferedReader lines = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
-        lines.lines()
+    private static void readStallCommands(Exchange exchange) {
+        BufferedReader input = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
+        input.lines()
                 .map(line -> line.split(" ", 4))
-                .filter(words -> words.length > 2 && words[0].equals("stall"))
-                .forEach(words -> exchange.injectStall(
-                        Integer.parseInt(words[1]),
-                        Span.ofMillis(Double.parseDouble(words[2])),
-                        words.length < 4 || words[3].isEmpty() ? null : words[3]));
+                .filter(fields -> fields.length > 2 && fields[0].equals("stall"))
+                .forEach(fields -> exchange.injectStall(
+                        Integer.parseInt(fields[1]),
+                        Span.ofMillis(Double.parseDouble(fields[2])),
+                        fields.length < 4 || fields[3].isEmpty() ? null : fields[3]));
     }
 
-    private static Span patience(ExchangeConfiguration site) {
-        Span longest = Span.ZERO;
-        for (Skill skill : site.skills()) {
-            longest = longest.atLeast(skill.patience());
+    private static Span drainTimeout(ExchangeConfiguration configuration) {
+        Span longestPatience = Span.ZERO;
+        for (Skill skill : configuration.skills()) {
+            longestPatience = longestPatience.atLeast(skill.patience());
         }
-        return longest.plus(Span.ofMillis(500));
+        return longestPatience.plus(Span.ofMillis(500));
     }
 
     /** SIGTERM runs the hook, which lets the process end only once what is owed is answered. */
-    private void untilStopped(Exchange exchange, Span owed) throws InterruptedException {
-        CountDownLatch over = new CountDownLatch(1);
+    private void awaitShutdown(Exchange exchange, Span drainTimeout) throws InterruptedException {
+        CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
-                boolean all = exchange.drain(owed);
-                System.out.println("ended " + (all ? "in good order " : "with answers owed ") + exchange.statistics());
+                boolean allAnswered = exchange.drain(drainTimeout);
+                System.out.println("ended " + (allAnswered ? "in good order " : "with answers owed ") + exchange.statistics());
                 System.out.flush();
                 exchange.close();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } finally {
-                over.countDown();
+                stopped.countDown();
             }
         }));
-        while (!over.await(every > 0 ? every : 3600, java.util.concurrent.TimeUnit.SECONDS)) {
-            if (every > 0) {
+        while (!stopped.await(statisticsIntervalSeconds > 0 ? statisticsIntervalSeconds : 3600, java.util.concurrent.TimeUnit.SECONDS)) {
+            if (statisticsIntervalSeconds > 0) {
                 System.out.println("figures " + exchange.statistics());
                 System.out.flush();
             }
--- a/src/main/java/martenslip/configuration/ExchangeConfiguration.java
+++ b/src/main/java/martenslip/configuration/ExchangeConfiguration.java
@@ -42,34 +42,34 @@
     public record Peer(int exchange, String uri, Hop hop) {}
 
     /** The module's plain map of names to values. {@code round} is how late a clock may be heard. */
-    public Map<String, String> settings(Span round) {
-        Map<String, String> map = new TreeMap<>();
-        map.put("classes.count", "" + skills.size());
+    public Map<String, String> settings(Span maxTimerLateness) {
+        Map<String, String> settings = new TreeMap<>();
+        settings.put("classes.count", "" + skills.size());
         for (int i = 0; i < skills.size(); i++) {
             Skill skill = skills.get(i);
-            map.put("classes." + i + ".worth", "" + skill.value());
-            map.put("classes." + i + ".aim-ns", "" + skill.answerTarget().ns());
-            map.put("classes." + i + ".hard-limit-ns", "" + skill.patience().ns());
+            settings.put("classes." + i + ".worth", "" + skill.value());
+            settings.put("classes." + i + ".aim-ns", "" + skill.answerTarget().ns());
+            settings.put("classes." + i + ".hard-limit-ns", "" + skill.patience().ns());
         }
-        map.put("family-info.home-no", "" + number);
-        map.put("family-info.release-ns", "" + rules.releaseTime().ns());
-        map.put(
+        settings.put("family-info.home-no", "" + number);
+        settings.put("family-info.release-ns", "" + rules.releaseTime().ns());
+        settings.put(
                 "family-info.mean-hold-ns",
                 joined(skills.stream().map(skill -> skill.meanHold().ns()).toList()));
-        map.put("family-info.widths", joined(skills.stream().map(Skill::width).toList()));
-        map.put("guarantees.cold-share", "" + rules.coldShare());
-        map.put("guarantees.warm-within-ns", "" + rules.warmWithin().ns());
-        map.put("guarantees.fall-multiple", "" + rules.fallMultiple());
-        map.put("policy-limits.send-cap", "" + limits.maxRings());
-        map.put("policy-limits.cancel", "true");
-        map.put("policy-limits.peers", "" + !peers.isEmpty());
-        map.put("policy-limits.retry-after", "true");
-        map.put("policy-limits.max-retry-after-ns", "" + limits.maxRetryAfter().ns());
-        map.put("policy-limits.probes", "true");
-        map.put("report.fields", joined(reportFields()));
-        map.put("discovery", "subscribe");
-        map.put("round-ns", "" + round.ns());
-        return map;
+        settings.put("family-info.widths", joined(skills.stream().map(Skill::width).toList()));
+        settings.put("guarantees.cold-share", "" + rules.coldShare());
+        settings.put("guarantees.warm-within-ns", "" + rules.warmWithin().ns());
+        settings.put("guarantees.fall-multiple", "" + rules.fallMultiple());
+        settings.put("policy-limits.send-cap", "" + limits.maxRings());
+        settings.put("policy-limits.cancel", "true");
+        settings.put("policy-limits.peers", "" + !peers.isEmpty());
+        settings.put("policy-limits.retry-after", "true");
+        settings.put("policy-limits.max-retry-after-ns", "" + limits.maxRetryAfter().ns());
+        settings.put("policy-limits.probes", "true");
+        settings.put("report.fields", joined(reportFields()));
+        settings.put("discovery", "subscribe");
+        settings.put("round-ns", "" + maxTimerLateness.ns());
+        return settings;
     }
 
     /** The values of a load report in the module's order. */
--- a/src/main/java/martenslip/configuration/ExchangeFile.java
+++ b/src/main/java/martenslip/configuration/ExchangeFile.java
@@ -17,60 +17,60 @@
 
 /** An exchange's XML file into a {@link ExchangeConfiguration}: first its schema, then what the parts say of each other. */
 public final class ExchangeFile {
-    private static final XmlFileReader SHEET = XmlFileReader.forSchema("exchange.xsd");
+    private static final XmlFileReader XML_READER = XmlFileReader.forSchema("exchange.xsd");
 
     private final XmlElement root;
-    private final List<FileError> faults = new ArrayList<>();
+    private final List<FileError> errors = new ArrayList<>();
 
     private ExchangeFile(XmlElement root) {
         this.root = root;
     }
 
     public static ExchangeConfiguration read(Path file) throws IOException, InvalidFileException {
-        return read(file.toString(), SHEET.read(file), file.toAbsolutePath().getParent());
+        return read(file.toString(), XML_READER.read(file), file.toAbsolutePath().getParent());
     }
 
     /** {@code beside} is the folder that relative paths in the file begin at. */
-    public static ExchangeConfiguration read(String name, byte[] bytes, Path beside) throws InvalidFileException {
-        return read(name, SHEET.read(name, bytes), beside);
+    public static ExchangeConfiguration read(String name, byte[] bytes, Path baseFolder) throws InvalidFileException {
+        return read(name, XML_READER.read(name, bytes), baseFolder);
     }
 
-    private static ExchangeConfiguration read(String name, XmlElement root, Path beside) throws InvalidFileException {
+    private static ExchangeConfiguration read(String name, XmlElement root, Path baseFolder) throws InvalidFileException {
         ExchangeFile file = new ExchangeFile(root);
-        ExchangeConfiguration site = file.site(beside);
-        if (!file.faults.isEmpty()) {
-            throw new InvalidFileException(name, file.faults);
+        ExchangeConfiguration configuration = file.build(baseFolder);
+        if (!file.errors.isEmpty()) {
+            throw new InvalidFileException(name, file.errors);
         }
-        return site;
+        return configuration;
     }
 
-    private ExchangeConfiguration site(Path beside) {
+    private ExchangeConfiguration build(Path baseFolder) {
         int number = root.integer("number");
         List<String> regions = new ArrayList<>();
-        for (XmlElement node : root.child("regions").children()) {
-            unique(regions.contains(node.text("name")), node, "name", "region");
-            regions.add(node.text("name"));
+        for (XmlElement regionElement : root.child("regions").children()) {
+            rejectDuplicate(regions.contains(regionElement.text("name")), regionElement, "name", "region");
+            regions.add(regionElement.text("name"));
         }
         int region = regions.indexOf(root.text("region"));
         if (region < 0) {
-            faults.add(root.error("region", "no region is called " + root.text("region")));
+            errors.add(root.error("region", "no region is called " + root.text("region")));
         }
-        XmlElement listen = root.child("listen");
-        InetSocketAddress udp = address(listen, "udp");
-        InetSocketAddress tcp = address(listen, "tcp");
-        if (udp == null && tcp == null && faults.isEmpty()) {
-            faults.add(listen.error("neither udp nor tcp is listened on"));
+        XmlElement listenElement = root.child("listen");
+        InetSocketAddress udp = address(listenElement, "udp");
+        InetSocketAddress tcp = address(listenElement, "tcp");
+        if (udp == null && tcp == null && errors.isEmpty()) {
+            errors.add(listenElement.error("neither udp nor tcp is listened on"));
         }
         List<Skill> skills = skills();
-        XmlElement listed = root.child("skills");
-        int usual = skills.stream().map(Skill::name).toList().indexOf(listed.text("usual"));
-        if (usual < 0) {
-            faults.add(listed.error("usual", "no skill is called " + listed.text("usual")));
+        XmlElement skillsElement = root.child("skills");
+        int defaultSkill = skills.stream().map(Skill::name).toList().indexOf(skillsElement.text("usual"));
+        if (defaultSkill < 0) {
+            errors.add(skillsElement.error("usual", "no skill is called " + skillsElement.text("usual")));
         }
         Map<Integer, ExchangeConfiguration.Group> groups = groups(number);
         Map<Integer, ExchangeConfiguration.Peer> peers = peers(number);
-        XmlElement limits = root.child("limits");
-        XmlElement rules = root.child("rules");
+        XmlElement limitsElement = root.child("limits");
+        XmlElement rulesElement = root.child("rules");
         return new ExchangeConfiguration(
                 number,
                 region,
@@ -81,24 +81,24 @@
                 root.child("circuits").text("uri"),
                 hop(root.child("switch-list"), "uri"),
                 root.child("switch-list").text("uri"),
-                beside.resolve(root.child("switch-list").text("kept")),
+                baseFolder.resolve(root.child("switch-list").text("kept")),
                 regions,
                 skills,
-                usual,
+                defaultSkill,
                 numbering(),
                 root.child("groups").text("trunk-context"),
                 groups,
                 new ExchangeConfiguration.Limits(
-                        limits.integer("most-rings"),
-                        limits.integer("most-open"),
-                        limits.milliseconds("come-back-ms"),
-                        limits.milliseconds("silence-ms"),
-                        limits.has("lanes") ? limits.integer("lanes") : 1),
+                        limitsElement.integer("most-rings"),
+                        limitsElement.integer("most-open"),
+                        limitsElement.milliseconds("come-back-ms"),
+                        limitsElement.milliseconds("silence-ms"),
+                        limitsElement.has("lanes") ? limitsElement.integer("lanes") : 1),
                 new ExchangeConfiguration.RuleParameters(
-                        rules.milliseconds("release-ms"),
-                        rules.decimal("cold-share"),
-                        rules.milliseconds("warm-within-ms"),
-                        rules.decimal("fall-multiple")),
+                        rulesElement.milliseconds("release-ms"),
+                        rulesElement.decimal("cold-share"),
+                        rulesElement.milliseconds("warm-within-ms"),
+                        rulesElement.decimal("fall-multiple")),
                 List.of(root.child("reports").text("fields").split("\\s+")),
                 peers);
     }
@@ -107,30 +107,30 @@
         return root.has("seed") ? Long.parseLong(root.text("seed")) : System.nanoTime();
     }
 
-    private void unique(boolean seen, XmlElement node, String attribute, String what) {
-        if (seen) {
-            faults.add(node.error(attribute, what + " " + node.text(attribute) + " stands twice"));
+    private void rejectDuplicate(boolean duplicate, XmlElement element, String attribute, String kind) {
+        if (duplicate) {
+            errors.add(element.error(attribute, kind + " " + element.text(attribute) + " stands twice"));
         }
     }
 
-    private InetSocketAddress address(XmlElement node, String port) {
-        if (!node.has(port)) {
+    private InetSocketAddress address(XmlElement element, String portAttribute) {
+        if (!element.has(portAttribute)) {
             return null;
         }
         try {
-            InetSocketAddress host = HopResolver.parseAddress(new HostPort(node.text("host"), 1));
-            return new InetSocketAddress(host.getAddress(), node.integer(port));
+            InetSocketAddress host = HopResolver.parseAddress(new HostPort(element.text("host"), 1));
+            return new InetSocketAddress(host.getAddress(), element.integer(portAttribute));
         } catch (InvalidValueException e) {
-            faults.add(node.error("host", e.getMessage()));
+            errors.add(element.error("host", e.getMessage()));
             return null;
         }
     }
 
-    private Hop hop(XmlElement node, String attribute) {
+    private Hop hop(XmlElement element, String attribute) {
         try {
-            return HopResolver.resolve(SipUri.parse(node.text(attribute)));
+            return HopResolver.resolve(SipUri.parse(element.text(attribute)));
         } catch (InvalidValueException e) {
-            faults.add(node.error(attribute, e.getMessage()));
+            errors.add(element.error(attribute, e.getMessage()));
             return null;
         }
     }
@@ -139,20 +139,20 @@
         List<Skill> skills = new ArrayList<>();
         Set<String> names = new HashSet<>();
         Set<String> priorities = new HashSet<>();
-        for (XmlElement node : root.child("skills").children()) {
-            unique(!names.add(node.text("name")), node, "name", "skill");
-            String priority = node.text("resource-priority").toLowerCase(java.util.Locale.ROOT);
-            unique(!priority.isEmpty() && !priorities.add(priority), node, "resource-priority", "priority");
+        for (XmlElement element : root.child("skills").children()) {
+            rejectDuplicate(!names.add(element.text("name")), element, "name", "skill");
+            String priority = element.text("resource-priority").toLowerCase(java.util.Locale.ROOT);
+            rejectDuplicate(!priority.isEmpty() && !priorities.add(priority), element, "resource-priority", "priority");
             Skill skill = new Skill(
-                    node.text("name"),
-                    node.decimal("value"),
-                    node.integer("width"),
-                    node.milliseconds("answer-target-ms"),
-                    node.milliseconds("patience-ms"),
-                    node.milliseconds("mean-hold-ms"),
+                    element.text("name"),
+                    element.decimal("value"),
+                    element.integer("width"),
+                    element.milliseconds("answer-target-ms"),
+                    element.milliseconds("patience-ms"),
+                    element.milliseconds("mean-hold-ms"),
                     priority);
             if (skill.answerTarget().longerThan(skill.patience())) {
-                faults.add(node.error("answer-target-ms", "longer than the patience"));
+                errors.add(element.error("answer-target-ms", "longer than the patience"));
             }
             skills.add(skill);
         }
@@ -161,41 +161,41 @@
 
     private PrefixTable numbering() {
         PrefixTable prefixes = new PrefixTable();
-        for (XmlElement node : root.child("numbering").children()) {
-            if (!prefixes.add(node.text("digits"), node.integer("exchange"))) {
-                faults.add(node.error("digits", node.text("digits") + " leads to another exchange already"));
+        for (XmlElement element : root.child("numbering").children()) {
+            if (!prefixes.add(element.text("digits"), element.integer("exchange"))) {
+                errors.add(element.error("digits", element.text("digits") + " leads to another exchange already"));
             }
         }
         return prefixes;
     }
 
-    private Map<Integer, ExchangeConfiguration.Group> groups(int number) {
+    private Map<Integer, ExchangeConfiguration.Group> groups(int ownNumber) {
         Map<Integer, ExchangeConfiguration.Group> groups = new TreeMap<>();
         Set<String> names = new HashSet<>();
-        for (XmlElement node : root.child("groups").children()) {
+        for (XmlElement element : root.child("groups").children()) {
             ExchangeConfiguration.Group group =
-                    new ExchangeConfiguration.Group(node.text("name"), node.integer("far"), node.integer("circuits"));
-            unique(!names.add(group.name()), node, "name", "group");
-            if (group.farExchange() == number) {
-                faults.add(node.error("far", "a group leads to another exchange, not to its own"));
+                    new ExchangeConfiguration.Group(element.text("name"), element.integer("far"), element.integer("circuits"));
+            rejectDuplicate(!names.add(group.name()), element, "name", "group");
+            if (group.farExchange() == ownNumber) {
+                errors.add(element.error("far", "a group leads to another exchange, not to its own"));
             }
             if (groups.put(group.farExchange(), group) != null) {
-                faults.add(node.error("far", "exchange " + group.farExchange() + " has a group already"));
+                errors.add(element.error("far", "exchange " + group.farExchange() + " has a group already"));
             }
         }
         return groups;
     }
 
-    private Map<Integer, ExchangeConfiguration.Peer> peers(int number) {
+    private Map<Integer, ExchangeConfiguration.Peer> peers(int ownNumber) {
         Map<Integer, ExchangeConfiguration.Peer> peers = new TreeMap<>();
-        for (XmlElement node : root.child("peers").children()) {
+        for (XmlElement element : root.child("peers").children()) {
             ExchangeConfiguration.Peer peer =
-                    new ExchangeConfiguration.Peer(node.integer("exchange"), node.text("uri"), hop(node, "uri"));
-            if (peer.exchange() == number) {
-                faults.add(node.error("exchange", "the exchange is no peer of itself"));
+                    new ExchangeConfiguration.Peer(element.integer("exchange"), element.text("uri"), hop(element, "uri"));
+            if (peer.exchange() == ownNumber) {
+                errors.add(element.error("exchange", "the exchange is no peer of itself"));
             }
             if (peers.put(peer.exchange(), peer) != null) {
-                faults.add(node.error("exchange", "peer " + peer.exchange() + " stands twice"));
+                errors.add(element.error("exchange", "peer " + peer.exchange() + " stands twice"));
             }
         }
         return peers;
--- a/src/main/java/martenslip/configuration/InvalidFileException.java
+++ b/src/main/java/martenslip/configuration/InvalidFileException.java
@@ -8,9 +8,9 @@
     private static final long serialVersionUID = 1L;
     private final transient List<FileError> errors;
 
-    public InvalidFileException(String name, List<FileError> faults) {
-        super(faults.stream().map(fault -> name + ": " + fault).collect(Collectors.joining("\n")));
-        this.errors = List.copyOf(faults);
+    public InvalidFileException(String fileName, List<FileError> errors) {
+        super(errors.stream().map(error -> fileName + ": " + error).collect(Collectors.joining("\n")));
+        this.errors = List.copyOf(errors);
     }
 
     public List<FileError> errors() {
--- a/src/main/java/martenslip/configuration/PrefixTable.java
+++ b/src/main/java/martenslip/configuration/PrefixTable.java
@@ -12,99 +12,99 @@
  * look-up costs the number's digits, whatever the number of prefixes. Immutable once built.
  */
 public final class PrefixTable {
-    private static final int WAYS = 11;
-    private static final int PLUS = 10;
+    private static final int BRANCHES = 11;
+    private static final int PLUS_BRANCH = 10;
 
     private static final class TrieNode {
-        final TrieNode[] next = new TrieNode[WAYS];
+        final TrieNode[] children = new TrieNode[BRANCHES];
         int exchange = -1;
     }
 
     private final TrieNode root = new TrieNode();
-    private final SortedMap<String, Integer> given = new TreeMap<>();
+    private final SortedMap<String, Integer> exchangesByPrefix = new TreeMap<>();
 
-    private static int way(char digit) {
-        return digit == '+' ? PLUS : digit >= '0' && digit <= '9' ? digit - '0' : -1;
+    private static int branch(char character) {
+        return character == '+' ? PLUS_BRANCH : character >= '0' && character <= '9' ? character - '0' : -1;
     }
 
     /** False where the prefix leads elsewhere already. Digits, with a plus sign before them or without. */
     public boolean add(String digits, int exchange) {
-        TrieNode at = root;
+        TrieNode node = root;
         for (int i = 0; i < digits.length(); i++) {
-            int way = way(digits.charAt(i));
-            if (way < 0) {
+            int branch = branch(digits.charAt(i));
+            if (branch < 0) {
                 throw new IllegalArgumentException("no digits: " + digits);
             }
-            if (at.next[way] == null) {
-                at.next[way] = new TrieNode();
+            if (node.children[branch] == null) {
+                node.children[branch] = new TrieNode();
             }
-            at = at.next[way];
+            node = node.children[branch];
         }
-        if (at.exchange >= 0) {
-            return at.exchange == exchange;
+        if (node.exchange >= 0) {
+            return node.exchange == exchange;
         }
-        at.exchange = exchange;
-        given.put(digits, exchange);
+        node.exchange = exchange;
+        exchangesByPrefix.put(digits, exchange);
         return true;
     }
 
     /** A prefix that leads to the exchange, or null: the first in the order of their text. */
     public String firstPrefixOf(int exchange) {
-        return given.entrySet().stream()
-                .filter(one -> one.getValue() == exchange)
-                .map(one -> one.getKey())
+        return exchangesByPrefix.entrySet().stream()
+                .filter(entry -> entry.getValue() == exchange)
+                .map(entry -> entry.getKey())
                 .findFirst()
                 .orElse(null);
     }
 
     /** All exchanges that some prefix leads to. */
     public SortedSet<Integer> exchanges() {
-        return new TreeSet<>(given.values());
+        return new TreeSet<>(exchangesByPrefix.values());
     }
 
     /** The exchange where the number ends, or -1. */
     public int exchangeForNumber(String number) {
-        return upTo(number, number.length());
+        return longestPrefixMatch(number, number.length());
     }
 
-    private int upTo(String number, int length) {
-        int found = -1;
-        TrieNode at = root;
-        for (int i = 0; i < length && at != null; i++) {
-            int way = way(number.charAt(i));
-            at = way < 0 ? null : at.next[way];
-            found = at != null && at.exchange >= 0 ? at.exchange : found;
+    private int longestPrefixMatch(String number, int lengthLimit) {
+        int exchange = -1;
+        TrieNode node = root;
+        for (int i = 0; i < lengthLimit && node != null; i++) {
+            int branch = branch(number.charAt(i));
+            node = branch < 0 ? null : node.children[branch];
+            exchange = node != null && node.exchange >= 0 ? node.exchange : exchange;
         }
-        return found;
+        return exchange;
     }
 
     /** Prefixes that change nothing, as a shorter one leads to the same exchange. */
     public List<String> redundant() {
-        return given.entrySet().stream()
-                .filter(one -> upTo(one.getKey(), one.getKey().length() - 1) == one.getValue())
-                .map(one -> one.getKey())
+        return exchangesByPrefix.entrySet().stream()
+                .filter(entry -> longestPrefixMatch(entry.getKey(), entry.getKey().length() - 1) == entry.getValue())
+                .map(entry -> entry.getKey())
                 .toList();
     }
 
     /** Prefixes that no number of further digits meets, as longer ones take each digit that may follow. */
     public List<String> shadowed() {
-        List<String> all = new ArrayList<>();
-        given.keySet().forEach(digits -> {
-            TrieNode at = root;
+        List<String> shadowed = new ArrayList<>();
+        exchangesByPrefix.keySet().forEach(digits -> {
+            TrieNode node = root;
             for (int i = 0; i < digits.length(); i++) {
-                at = at.next[way(digits.charAt(i))];
+                node = node.children[branch(digits.charAt(i))];
             }
-            if (takenByLonger(at)) {
-                all.add(digits);
+            if (coveredByLongerPrefixes(node)) {
+                shadowed.add(digits);
             }
         });
-        return all;
+        return shadowed;
     }
 
-    private static boolean takenByLonger(TrieNode at) {
-        for (int digit = 0; digit < PLUS; digit++) {
-            TrieNode next = at.next[digit];
-            if (next == null || next.exchange < 0 && !takenByLonger(next)) {
+    private static boolean coveredByLongerPrefixes(TrieNode node) {
+        for (int digit = 0; digit < PLUS_BRANCH; digit++) {
+            TrieNode child = node.children[digit];
+            if (child == null || child.exchange < 0 && !coveredByLongerPrefixes(child)) {
                 return false;
             }
         }
--- a/src/main/java/martenslip/configuration/XmlElement.java
+++ b/src/main/java/martenslip/configuration/XmlElement.java
@@ -36,13 +36,13 @@
         return children;
     }
 
-    public List<XmlElement> children(String wanted) {
-        return children.stream().filter(child -> child.name.equals(wanted)).toList();
+    public List<XmlElement> children(String childName) {
+        return children.stream().filter(child -> child.name.equals(childName)).toList();
     }
 
     /** The one child of the name; the schema has seen to it that it is there. */
-    public XmlElement child(String wanted) {
-        return children(wanted).get(0);
+    public XmlElement child(String childName) {
+        return children(childName).get(0);
     }
 
     /** All attributes as they stand, in their order. */
@@ -62,16 +62,16 @@
         return Integer.parseInt(text(attribute));
     }
 
-    public int integer(String attribute, int otherwise) {
-        return has(attribute) ? integer(attribute) : otherwise;
+    public int integer(String attribute, int defaultValue) {
+        return has(attribute) ? integer(attribute) : defaultValue;
     }
 
     public double decimal(String attribute) {
         return Double.parseDouble(text(attribute));
     }
 
-    public double decimal(String attribute, double otherwise) {
-        return has(attribute) ? decimal(attribute) : otherwise;
+    public double decimal(String attribute, double defaultValue) {
+        return has(attribute) ? decimal(attribute) : defaultValue;
     }
 
     /** A span that stands in milliseconds. */
--- a/src/main/java/martenslip/configuration/XmlFileReader.java
+++ b/src/main/java/martenslip/configuration/XmlFileReader.java
@@ -29,86 +29,86 @@
  * inner or outer ones. Each call has a parser of its own: any thread may call.
  */
 public final class XmlFileReader {
-    private static final int MOST_FAULTS = 20;
-    private static final int MOST_IDLE = 4;
-    private static final int MOST_BYTES = 16 << 20;
+    private static final int MAX_REPORTED_ERRORS = 20;
+    private static final int MAX_IDLE_PARSERS = 4;
+    private static final int MAX_FILE_BYTES = 16 << 20;
 
-    private final String name;
+    private final String schemaName;
     private final Schema schema;
-    private final Deque<ParserTools> idle = new ArrayDeque<>();
+    private final Deque<ParserTools> idleParsers = new ArrayDeque<>();
     /** Looking a factory up costs more than reading a short text with it. */
-    private final SAXParserFactory parsers = SAXParserFactory.newInstance();
+    private final SAXParserFactory parserFactory = SAXParserFactory.newInstance();
 
-    private XmlFileReader(String name, Schema schema) {
-        this.name = name;
+    private XmlFileReader(String schemaName, Schema schema) {
+        this.schemaName = schemaName;
         this.schema = schema;
         try {
-            parsers.setNamespaceAware(true);
-            parsers.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
-            parsers.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
+            parserFactory.setNamespaceAware(true);
+            parserFactory.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
+            parserFactory.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
         } catch (ParserConfigurationException | SAXException e) {
-            throw new IllegalStateException(name, e);
+            throw new IllegalStateException(schemaName, e);
         }
     }
 
     /** A reader for the schema that stands in the program under this name. */
-    public static XmlFileReader forSchema(String resource) {
-        try (InputStream in = XmlFileReader.class.getResourceAsStream("/martenslip/" + resource)) {
+    public static XmlFileReader forSchema(String schemaName) {
+        try (InputStream in = XmlFileReader.class.getResourceAsStream("/martenslip/" + schemaName)) {
             SchemaFactory factory = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
             factory.setProperty(XMLConstants.ACCESS_EXTERNAL_DTD, "");
             factory.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
-            return new XmlFileReader(resource, factory.newSchema(new StreamSource(in)));
+            return new XmlFileReader(schemaName, factory.newSchema(new StreamSource(in)));
         } catch (IOException | SAXException e) {
-            throw new IllegalStateException("schema " + resource, e);
+            throw new IllegalStateException("schema " + schemaName, e);
         }
     }
 
     public XmlElement read(Path file) throws IOException, InvalidFileException {
-        if (Files.size(file) > MOST_BYTES) {
+        if (Files.size(file) > MAX_FILE_BYTES) {
             throw new InvalidFileException(
-                    file.toString(), List.of(new FileError(0, "/", "over " + MOST_BYTES + " bytes")));
+                    file.toString(), List.of(new FileError(0, "/", "over " + MAX_FILE_BYTES + " bytes")));
         }
         return read(file.toString(), Files.readAllBytes(file));
     }
 
     /** {@code what} names the text in errors. */
-    public XmlElement read(String what, byte[] bytes) throws InvalidFileException {
+    public XmlElement read(String sourceName, byte[] bytes) throws InvalidFileException {
         Builder builder = new Builder();
-        ParserTools tools = take();
+        ParserTools tools = acquire();
         ValidatorHandler validator = tools.validator();
         validator.setContentHandler(builder);
         validator.setErrorHandler(builder);
         try {
             XMLReader reader = tools.reader();
             // Names are noted before the validator sees an element, so that its errors bear the element's own path.
-            XMLFilterImpl names = new XMLFilterImpl(reader) {
+            XMLFilterImpl nameTracker = new XMLFilterImpl(reader) {
                 @Override
                 public void startElement(String space, String local, String qualified, Attributes attributes)
                         throws SAXException {
-                    builder.names.addLast(local);
+                    builder.openNames.addLast(local);
                     super.startElement(space, local, qualified, attributes);
                 }
 
                 @Override
                 public void endElement(String space, String local, String qualified) throws SAXException {
                     super.endElement(space, local, qualified);
-                    builder.names.removeLast();
+                    builder.openNames.removeLast();
                 }
             };
-            names.setContentHandler(validator);
-            names.setErrorHandler(builder);
-            names.parse(new InputSource(new java.io.ByteArrayInputStream(bytes)));
+            nameTracker.setContentHandler(validator);
+            nameTracker.setErrorHandler(builder);
+            nameTracker.parse(new InputSource(new java.io.ByteArrayInputStream(bytes)));
         } catch (SAXParseException e) {
-            builder.note(e);
+            builder.addError(e);
         } catch (SAXException e) {
-            builder.faults.add(new FileError(0, builder.path(), String.valueOf(e.getMessage())));
+            builder.errors.add(new FileError(0, builder.path(), String.valueOf(e.getMessage())));
         } catch (IOException e) {
-            builder.faults.add(new FileError(0, builder.path(), "unreadable text: " + e.getMessage()));
+            builder.errors.add(new FileError(0, builder.path(), "unreadable text: " + e.getMessage()));
         } finally {
-            give(tools);
+            release(tools);
         }
-        if (!builder.faults.isEmpty()) {
-            throw new InvalidFileException(what, builder.faults);
+        if (!builder.errors.isEmpty()) {
+            throw new InvalidFileException(sourceName, builder.errors);
         }
         return builder.root;
     }
@@ -116,78 +116,78 @@
     /** A parser and a validator cost more to make than a short text costs to read, so they are used again. */
     private record ParserTools(XMLReader reader, ValidatorHandler validator) {}
 
-    private synchronized ParserTools take() {
-        ParserTools kept = idle.poll();
-        if (kept != null) {
-            return kept;
+    private synchronized ParserTools acquire() {
+        ParserTools pooled = idleParsers.poll();
+        if (pooled != null) {
+            return pooled;
         }
         try {
-            return new ParserTools(parsers.newSAXParser().getXMLReader(), schema.newValidatorHandler());
+            return new ParserTools(parserFactory.newSAXParser().getXMLReader(), schema.newValidatorHandler());
         } catch (ParserConfigurationException | SAXException e) {
-            throw new IllegalStateException(name, e);
+            throw new IllegalStateException(schemaName, e);
         }
     }
 
-    private synchronized void give(ParserTools tools) {
-        if (idle.size() < MOST_IDLE) {
-            idle.push(tools);
+    private synchronized void release(ParserTools tools) {
+        if (idleParsers.size() < MAX_IDLE_PARSERS) {
+            idleParsers.push(tools);
         }
     }
 
     private static final class Builder extends DefaultHandler {
-        private final Deque<XmlElement> open = new ArrayDeque<>();
-        private final Deque<String> names = new ArrayDeque<>();
-        private final List<FileError> faults = new ArrayList<>();
+        private final Deque<XmlElement> openElements = new ArrayDeque<>();
+        private final Deque<String> openNames = new ArrayDeque<>();
+        private final List<FileError> errors = new ArrayList<>();
         private Locator locator;
         private XmlElement root;
 
         @Override
-        public void setDocumentLocator(Locator at) {
-            locator = at;
+        public void setDocumentLocator(Locator documentLocator) {
+            locator = documentLocator;
         }
 
         @Override
-        public void startElement(String space, String local, String qualified, Attributes attributes) {
-            XmlElement node = new XmlElement(local, path(), locator == null ? 0 : locator.getLineNumber());
+        public void startElement(String namespace, String localName, String qualifiedName, Attributes attributes) {
+            XmlElement element = new XmlElement(localName, path(), locator == null ? 0 : locator.getLineNumber());
             for (int i = 0; i < attributes.getLength(); i++) {
-                node.put(attributes.getLocalName(i), attributes.getValue(i));
+                element.put(attributes.getLocalName(i), attributes.getValue(i));
             }
-            if (open.isEmpty()) {
-                root = node;
+            if (openElements.isEmpty()) {
+                root = element;
             } else {
-                open.peek().add(node);
+                openElements.peek().add(element);
             }
-            open.push(node);
+            openElements.push(element);
         }
 
         @Override
-        public void endElement(String space, String local, String qualified) {
-            open.pop();
+        public void endElement(String namespace, String localName, String qualifiedName) {
+            openElements.pop();
         }
 
         private String path() {
-            return "/" + String.join("/", names);
+            return "/" + String.join("/", openNames);
         }
 
         @Override
         public void error(SAXParseException e) {
-            note(e);
+            addError(e);
         }
 
         @Override
         public void fatalError(SAXParseException e) {
-            note(e);
+            addError(e);
         }
 
-        private void note(SAXParseException e) {
-            FileError fault = new FileError(e.getLineNumber(), path(), plain(e.getMessage()));
-            if (faults.size() < MOST_FAULTS && !faults.contains(fault)) {
-                faults.add(fault);
+        private void addError(SAXParseException exception) {
+            FileError error = new FileError(exception.getLineNumber(), path(), withoutErrorCode(exception.getMessage()));
+            if (errors.size() < MAX_REPORTED_ERRORS && !errors.contains(error)) {
+                errors.add(error);
             }
         }
 
         /** Without the parser's own code in front, which says nothing to staff. */
-        private static String plain(String message) {
+        private static String withoutErrorCode(String message) {
             return message == null ? "not XML" : message.replaceFirst("^cvc-[A-Za-z0-9.\\-]+: ", "");
         }
     }
--- a/src/main/java/martenslip/expect/ContactTrial.java
+++ b/src/main/java/martenslip/expect/ContactTrial.java
@@ -34,76 +34,76 @@
     }
 
     /** The exchanges that the first exchange's rings went to, in turn, with what became of each, and the end. */
-    public record RouteTaken(List<Integer> tries, List<String> became, FinalState end) {}
+    public record RouteTaken(List<Integer> triedExchanges, List<String> ringResults, FinalState finalState) {}
 
-    private static final Span SET_UP = Span.ofMillis(5);
-    private static final Moment START = new Moment(Span.ofMillis(1_000_000).ns());
+    private static final Span NETWORK_DELAY = Span.ofMillis(5);
+    private static final Moment START_TIME = new Moment(Span.ofMillis(1_000_000).ns());
     /** Past each rule's span, so a state is settled when the contact comes. */
     private static final String LAST_DIGITS = "00000";
 
-    private static final Span SETTLED = Span.ofMillis(60_000);
+    private static final Span SETTLING_TIME = Span.ofMillis(60_000);
 
-    private record Event(Moment at, long order, Runnable what) {}
+    private record Event(Moment at, long sequence, Runnable action) {}
 
-    private final Map<Integer, ExchangeConfiguration> sites;
-    private final Map<Integer, String> regions;
+    private final Map<Integer, ExchangeConfiguration> configurations;
+    private final Map<Integer, String> regionsByExchange;
     private final ExchangeConfiguration origin;
-    private final ControllerFactory maker;
+    private final ControllerFactory controllerFactory;
     private final long seed;
-    private final Map<Integer, Condition.State> desks = new HashMap<>();
-    private final Map<String, Integer> groups = new HashMap<>();
-    private final Map<Integer, SimulatedController> nodes = new HashMap<>();
+    private final Map<Integer, Condition.State> switchStates = new HashMap<>();
+    private final Map<String, Integer> freeCircuitsByGroup = new HashMap<>();
+    private final Map<Integer, SimulatedController> controllers = new HashMap<>();
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::order));
-    private final List<Integer> tries = new ArrayList<>();
-    private final List<String> became = new ArrayList<>();
-    private String cut;
-    private long orders;
-    private Moment now = START;
-    private FinalState end;
+            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::sequence));
+    private final List<Integer> triedExchanges = new ArrayList<>();
+    private final List<String> ringResults = new ArrayList<>();
+    private String cutRegion;
+    private long nextSequence;
+    private Moment now = START_TIME;
+    private FinalState finalState;
 
     /** {@code sites} holds the files of this and, as far as known, other exchanges. */
     public ContactTrial(
-            Map<Integer, ExchangeConfiguration> sites,
-            int origin,
-            Map<Integer, String> regions,
-            ControllerFactory maker,
+            Map<Integer, ExchangeConfiguration> configurations,
+            int originNumber,
+            Map<Integer, String> regionsByExchange,
+            ControllerFactory controllerFactory,
             List<Condition> conditions,
             long seed) {
-        this.sites = sites;
-        this.origin = sites.get(origin);
-        this.regions = regions;
-        this.maker = maker;
+        this.configurations = configurations;
+        this.origin = configurations.get(originNumber);
+        this.regionsByExchange = regionsByExchange;
+        this.controllerFactory = controllerFactory;
         this.seed = seed;
-        for (Condition one : conditions) {
-            if (one instanceof Condition.Desk desk) {
-                desks.put(desk.exchange(), desk.state());
-            } else if (one instanceof Condition.Group group) {
-                groups.put(group.name(), group.free());
-            } else if (one instanceof Condition.Cut region) {
-                cut = region.region();
+        for (Condition condition : conditions) {
+            if (condition instanceof Condition.Desk desk) {
+                switchStates.put(desk.exchange(), desk.state());
+            } else if (condition instanceof Condition.Group group) {
+                freeCircuitsByGroup.put(group.name(), group.free());
+            } else if (condition instanceof Condition.Cut region) {
+                cutRegion = region.region();
             }
         }
     }
 
     /** Offers a contact of the skill for the exchange, and gives its way; each event is taken at its time. */
     public RouteTaken offer(int skill, int destination) {
-        SimulatedController first = node(origin.number());
-        Skill is = origin.skills().get(skill);
-        Moment until = now.plus(SETTLED).plus(is.patience().times(2)).plus(Span.ofMillis(1000));
-        if (desks.containsValue(Condition.State.SILENT)) {
-            hush(first, until);
+        SimulatedController originController = controllerOf(origin.number());
+        Skill skillConfiguration = origin.skills().get(skill);
+        Moment deadline = now.plus(SETTLING_TIME).plus(skillConfiguration.patience().times(2)).plus(Span.ofMillis(1000));
+        if (switchStates.containsValue(Condition.State.SILENT)) {
+            detectSilentSwitches(originController, deadline);
         }
-        first.take(destination, skill, -1, is.patience(), null);
-        run(until);
-        return new RouteTaken(List.copyOf(tries), List.copyOf(became), end == null ? FinalState.ABANDONED : end);
+        originController.offerContact(destination, skill, -1, skillConfiguration.patience(), null);
+        runUntil(deadline);
+        return new RouteTaken(List.copyOf(triedExchanges), List.copyOf(ringResults), finalState == null ? FinalState.ABANDONED : finalState);
     }
 
     /** A switch is known as silent by a ring that it swallowed: contacts for it come first, and are let hang. */
-    private void hush(SimulatedController first, Moment until) {
-        desks.forEach((exchange, state) -> {
+    private void detectSilentSwitches(SimulatedController originController, Moment deadline) {
+        switchStates.forEach((exchange, state) -> {
             if (state == Condition.State.SILENT && exchange != origin.number()) {
-                first.take(
+                originController.offerContact(
                         exchange,
                         origin.defaultSkill(),
                         -1,
@@ -111,100 +111,100 @@
                         null);
             }
         });
-        run(until);
-        end = null;
-        tries.clear();
-        became.clear();
+        runUntil(deadline);
+        finalState = null;
+        triedExchanges.clear();
+        ringResults.clear();
     }
 
     /** Takes events at their times until the contact has its end. */
-    private void run(Moment until) {
-        while (end == null && !events.isEmpty() && events.peek().at().before(until)) {
-            Event next = events.poll();
-            now = next.at();
-            next.what().run();
+    private void runUntil(Moment deadline) {
+        while (finalState == null && !events.isEmpty() && events.peek().at().before(deadline)) {
+            Event event = events.poll();
+            now = event.at();
+            event.action().run();
         }
     }
 
-    private void later(Span span, Runnable what) {
-        events.add(new Event(now.plus(span), orders++, what));
+    private void schedule(Span delay, Runnable action) {
+        events.add(new Event(now.plus(delay), nextSequence++, action));
     }
 
-    private SimulatedController node(int number) {
-        return nodes.computeIfAbsent(number, any -> new SimulatedController(sites.get(number)));
+    private SimulatedController controllerOf(int exchange) {
+        return controllers.computeIfAbsent(exchange, ignored -> new SimulatedController(configurations.get(exchange)));
     }
 
-    private boolean away(int exchange) {
-        return desks.get(exchange) == Condition.State.GONE
-                || desks.get(exchange) == Condition.State.SILENT
+    private boolean unreachable(int exchange) {
+        return switchStates.get(exchange) == Condition.State.GONE
+                || switchStates.get(exchange) == Condition.State.SILENT
                 || severed(origin.number(), exchange);
     }
 
-    private boolean severed(int a, int b) {
-        return cut != null && cut.equals(regions.get(a)) != cut.equals(regions.get(b));
+    private boolean severed(int firstExchange, int secondExchange) {
+        return cutRegion != null && cutRegion.equals(regionsByExchange.get(firstExchange)) != cutRegion.equals(regionsByExchange.get(secondExchange));
     }
 
     private interface RingResultHandler {
-        void stood();
+        void established();
 
-        void turned(RingEndCause cause, RejectionReason blame);
+        void rejected(RingEndCause cause, RejectionReason reason);
     }
 
     /** One exchange with its module. */
     private final class SimulatedController implements Orders {
-        private final ExchangeConfiguration site;
-        private final Controller module;
-        private final Map<Long, RingResultHandler> callers = new HashMap<>();
+        private final ExchangeConfiguration configuration;
+        private final Controller controller;
+        private final Map<Long, RingResultHandler> resultHandlers = new HashMap<>();
         private final Map<Long, Contact> contacts = new HashMap<>();
-        private final Map<Long, Integer> rings = new HashMap<>();
-        private long ids;
-
-        SimulatedController(ExchangeConfiguration site) {
-            this.site = site;
-            module = maker.create(site.settings(Span.ofMillis(25)), seed * 1009 + site.number(), now, this);
-            List<SwitchEntry> lines = new ArrayList<>();
-            for (int far : site.numbering().exchanges()) {
-                Condition.State state = desks.get(far);
+        private final Map<Long, Integer> ringCounts = new HashMap<>();
+        private long lastContactId;
+
+        SimulatedController(ExchangeConfiguration configuration) {
+            this.configuration = configuration;
+            controller = controllerFactory.create(configuration.settings(Span.ofMillis(25)), seed * 1009 + configuration.number(), now, this);
+            List<SwitchEntry> entries = new ArrayList<>();
+            for (int exchange : configuration.numbering().exchanges()) {
+                Condition.State state = switchStates.get(exchange);
                 if (state != Condition.State.GONE) {
                     boolean cold = state == Condition.State.COLD;
-                    lines.add(new SwitchEntry(
-                            far + 1,
-                            far,
+                    entries.add(new SwitchEntry(
+                            exchange + 1,
+                            exchange,
                             state == Condition.State.DRAINING ? SwitchEntry.State.DRAINING : SwitchEntry.State.READY,
                             cold ? now : null,
-                            site.regions().indexOf(regions.getOrDefault(far, ""))));
+                            configuration.regions().indexOf(regionsByExchange.getOrDefault(exchange, ""))));
                 }
             }
-            module.switchListReceived(now, Controller.ListKind.FULL, lines);
-            for (ExchangeConfiguration.Group group : site.groups().values()) {
-                if (desks.get(group.farExchange()) != Condition.State.GONE) {
-                    int free = free(group);
-                    report(group.farExchange(), Math.max(0, free), free < 0 ? 0 : group.circuits());
+            controller.switchListReceived(now, Controller.ListKind.FULL, entries);
+            for (ExchangeConfiguration.Group group : configuration.groups().values()) {
+                if (switchStates.get(group.farExchange()) != Condition.State.GONE) {
+                    int freeCircuits = freeCircuits(group);
+                    reportSwitch(group.farExchange(), Math.max(0, freeCircuits), freeCircuits < 0 ? 0 : group.circuits());
                 }
             }
         }
 
-        private int free(ExchangeConfiguration.Group group) {
-            return groups.getOrDefault(group.name(), group.circuits());
+        private int freeCircuits(ExchangeConfiguration.Group group) {
+            return freeCircuitsByGroup.getOrDefault(group.name(), group.circuits());
         }
 
         /** A pressed processor says so in each field that the exchange asks for; an easy one says so too. */
-        private void report(int far, int free, int total) {
-            boolean pressed = desks.get(far) == Condition.State.PRESSED;
-            float[] report = new float[2 + site.configuredReportFields().size()];
-            report[0] = free;
-            report[1] = total;
-            for (int i = 0; i < site.configuredReportFields().size(); i++) {
-                report[2 + i] = switch (site.configuredReportFields().get(i)) {
+        private void reportSwitch(int exchange, int freeCircuits, int totalCircuits) {
+            boolean pressed = switchStates.get(exchange) == Condition.State.PRESSED;
+            float[] report = new float[2 + configuration.configuredReportFields().size()];
+            report[0] = freeCircuits;
+            report[1] = totalCircuits;
+            for (int i = 0; i < configuration.configuredReportFields().size(); i++) {
+                report[2 + i] = switch (configuration.configuredReportFields().get(i)) {
                     case "allowed" -> 100;
                     case "cut_by", "depth", "mean_ms" -> 0;
                     default -> -1;
                 };
             }
             // What a processor allows is judged against its usual, so that comes first.
-            module.switchReported(now, far + 1, true, Span.ZERO, report.clone());
-            for (int i = 0; pressed && i < site.configuredReportFields().size(); i++) {
-                report[2 + i] = switch (site.configuredReportFields().get(i)) {
+            controller.switchReported(now, exchange + 1, true, Span.ZERO, report.clone());
+            for (int i = 0; pressed && i < configuration.configuredReportFields().size(); i++) {
+                report[2 + i] = switch (configuration.configuredReportFields().get(i)) {
                     case "allowed" -> 1;
                     case "cut_by" -> 0.99f;
                     case "depth" -> 200;
@@ -213,93 +213,93 @@
                 };
             }
             if (pressed) {
-                module.switchReported(now, far + 1, true, Span.ZERO, report);
+                controller.switchReported(now, exchange + 1, true, Span.ZERO, report);
             }
         }
 
-        void take(int destination, int skill, int from, Span patience, RingResultHandler back) {
-            long id = ++ids;
-            Skill is = site.skills().get(skill);
+        void offerContact(int destination, int skill, int previousExchange, Span patience, RingResultHandler resultHandler) {
+            long contactId = ++lastContactId;
+            Skill skillConfiguration = configuration.skills().get(skill);
             // A number of the desk, led as a caller's is: a longer prefix may lead it elsewhere.
-            String number = site.numbering().firstPrefixOf(destination) + LAST_DIGITS;
+            String dialledNumber = configuration.numbering().firstPrefixOf(destination) + LAST_DIGITS;
             Contact contact = new Contact(
-                    id,
+                    contactId,
                     skill,
-                    Long.parseLong(number.replace("+", "")),
-                    site.numbering().exchangeForNumber(number),
-                    from,
-                    is.width(),
+                    Long.parseLong(dialledNumber.replace("+", "")),
+                    configuration.numbering().exchangeForNumber(dialledNumber),
+                    previousExchange,
+                    skillConfiguration.width(),
                     patience,
                     false,
-                    from >= 0,
+                    previousExchange >= 0,
                     false);
-            contacts.put(id, contact);
-            callers.put(id, back);
+            contacts.put(contactId, contact);
+            resultHandlers.put(contactId, resultHandler);
             // A drain is demanded of once its grace is over.
-            Span wait = desks.containsValue(Condition.State.DRAINING) && from < 0 ? SETTLED : Span.ZERO;
-            later(wait, () -> module.contactOffered(now, contact));
+            Span delay = switchStates.containsValue(Condition.State.DRAINING) && previousExchange < 0 ? SETTLING_TIME : Span.ZERO;
+            schedule(delay, () -> controller.contactOffered(now, contact));
         }
 
         @Override
-        public void ring(long id, long target, Span limit) {
-            Contact contact = contacts.get(id);
-            int number = rings.merge(id, 1, Integer::sum) - 1;
-            int far = (int) target - 1;
-            boolean mine = site == origin;
-            if (mine) {
-                tries.add(far);
+        public void ring(long contactId, long target, Span limit) {
+            Contact contact = contacts.get(contactId);
+            int ringNumber = ringCounts.merge(contactId, 1, Integer::sum) - 1;
+            int exchange = (int) target - 1;
+            boolean fromOrigin = configuration == origin;
+            if (fromOrigin) {
+                triedExchanges.add(exchange);
             }
-            RingResultHandler back = new RingResultHandler() {
+            RingResultHandler resultHandler = new RingResultHandler() {
                 @Override
-                public void stood() {
+                public void established() {
                     told("stood");
-                    module.established(now, id, number, target, SET_UP);
-                    finish(id, FinalState.STOOD);
+                    controller.established(now, contactId, ringNumber, target, NETWORK_DELAY);
+                    finishContact(contactId, FinalState.STOOD);
                 }
 
                 @Override
-                public void turned(RingEndCause cause, RejectionReason blame) {
+                public void rejected(RingEndCause cause, RejectionReason blame) {
                     told(cause + (blame == RejectionReason.NONE ? "" : " " + blame));
-                    module.ringEnded(now, new RingEnd(id, number, target, cause, blame, SET_UP, false, new float[0]));
+                    controller.ringEnded(now, new RingEnd(contactId, ringNumber, target, cause, blame, NETWORK_DELAY, false, new float[0]));
                 }
 
                 private void told(String what) {
-                    if (mine) {
-                        became.add(what.toLowerCase(java.util.Locale.ROOT));
+                    if (fromOrigin) {
+                        ringResults.add(what.toLowerCase(java.util.Locale.ROOT));
                     }
                 }
             };
-            later(SET_UP, () -> sent(contact, far, limit, back));
+            schedule(NETWORK_DELAY, () -> deliverRing(contact, exchange, limit, resultHandler));
         }
 
-        private void sent(Contact contact, int far, Span limit, RingResultHandler back) {
-            ExchangeConfiguration.Group group = site.groups().get(far);
-            if (away(far) || severed(site.number(), far)) {
-                later(
+        private void deliverRing(Contact contact, int exchange, Span limit, RingResultHandler resultHandler) {
+            ExchangeConfiguration.Group group = configuration.groups().get(exchange);
+            if (unreachable(exchange) || severed(configuration.number(), exchange)) {
+                schedule(
                         limit.atMost(Span.ofMillis(900)),
-                        () -> back.turned(RingEndCause.TIMED_OUT, RejectionReason.NONE));
-            } else if (desks.get(far) == Condition.State.PRESSED) {
-                back.turned(RingEndCause.TURNED_BACK, RejectionReason.PROCESSOR);
-            } else if (group != null && free(group) < contact.width()) {
-                back.turned(RingEndCause.TURNED_BACK, RejectionReason.NO_CIRCUIT);
-            } else if (far == contact.destination() || sites.size() == 1) {
-                back.stood();
-            } else if (!sites.containsKey(far)) {
-                back.turned(RingEndCause.TURNED_BACK, RejectionReason.TANDEM);
+                        () -> resultHandler.rejected(RingEndCause.TIMED_OUT, RejectionReason.NONE));
+            } else if (switchStates.get(exchange) == Condition.State.PRESSED) {
+                resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.PROCESSOR);
+            } else if (group != null && freeCircuits(group) < contact.width()) {
+                resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.NO_CIRCUIT);
+            } else if (exchange == contact.destination() || configurations.size() == 1) {
+                resultHandler.established();
+            } else if (!configurations.containsKey(exchange)) {
+                resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.TANDEM);
             } else {
-                node(far).take(contact.destination(), contact.skill(), site.number(), limit, back);
+                controllerOf(exchange).offerContact(contact.destination(), contact.skill(), configuration.number(), limit, resultHandler);
             }
         }
 
-        private void finish(long id, FinalState how) {
-            RingResultHandler back = callers.remove(id);
-            if (site == origin) {
-                end = end == null ? how : end;
-            } else if (back != null) {
-                if (how == FinalState.STOOD) {
-                    back.stood();
+        private void finishContact(long contactId, FinalState outcome) {
+            RingResultHandler resultHandler = resultHandlers.remove(contactId);
+            if (configuration == origin) {
+                finalState = finalState == null ? outcome : finalState;
+            } else if (resultHandler != null) {
+                if (outcome == FinalState.STOOD) {
+                    resultHandler.established();
                 } else {
-                    back.turned(RingEndCause.TURNED_BACK, RejectionReason.TANDEM);
+                    resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.TANDEM);
                 }
             }
         }
@@ -311,23 +311,23 @@
 
         @Override
         public void defer(long contact, Span comeBack) {
-            finish(contact, FinalState.DEFERRED);
+            finishContact(contact, FinalState.DEFERRED);
         }
 
         @Override
         public void abandon(long contact) {
-            finish(contact, FinalState.ABANDONED);
+            finishContact(contact, FinalState.ABANDONED);
         }
 
         @Override
         public void startTimer(Span delay, long token) {
-            later(delay, () -> module.timerExpired(now, token));
+            schedule(delay, () -> controller.timerExpired(now, token));
         }
 
         @Override
         public void probe(long target) {
-            boolean reached = !away((int) target - 1);
-            later(SET_UP, () -> module.switchReported(now, target, reached, SET_UP, new float[0]));
+            boolean reached = !unreachable((int) target - 1);
+            schedule(NETWORK_DELAY, () -> controller.switchReported(now, target, reached, NETWORK_DELAY, new float[0]));
         }
 
         @Override
--- a/src/main/java/martenslip/expect/Contradictions.java
+++ b/src/main/java/martenslip/expect/Contradictions.java
@@ -16,47 +16,47 @@
  */
 public final class Contradictions {
     /** The two, why, and a state in which both are demanded. */
-    public record Contradiction(Expectation one, Expectation other, String reason, List<Condition> state) {}
+    public record Contradiction(Expectation first, Expectation second, String reason, List<Condition> state) {}
 
     private Contradictions() {}
 
-    public static List<Contradiction> find(List<Expectation> all) {
-        List<Contradiction> pairs = new ArrayList<>();
-        for (int i = 0; i < all.size(); i++) {
-            for (int j = i + 1; j < all.size(); j++) {
-                List<Condition> state = together(all.get(i), all.get(j));
-                String why = state == null || !meet(all.get(i), all.get(j)) ? null : why(all.get(i), all.get(j));
-                if (why != null) {
-                    pairs.add(new Contradiction(all.get(i), all.get(j), why, state));
+    public static List<Contradiction> find(List<Expectation> expectations) {
+        List<Contradiction> contradictions = new ArrayList<>();
+        for (int i = 0; i < expectations.size(); i++) {
+            for (int j = i + 1; j < expectations.size(); j++) {
+                List<Condition> state = commonState(expectations.get(i), expectations.get(j));
+                String reason = state == null || !shareContacts(expectations.get(i), expectations.get(j)) ? null : reason(expectations.get(i), expectations.get(j));
+                if (reason != null) {
+                    contradictions.add(new Contradiction(expectations.get(i), expectations.get(j), reason, state));
                 }
             }
         }
-        if (pairs.isEmpty()) {
-            parts(all, pairs);
+        if (contradictions.isEmpty()) {
+            findExcessiveShares(expectations, contradictions);
         }
-        return pairs;
+        return contradictions;
     }
 
     /** Parts of the same contacts in the same state that go apart from each other and add up past all of them. */
-    private static void parts(List<Expectation> all, List<Contradiction> pairs) {
-        for (int i = 0; i < all.size(); i++) {
-            Expectation first = all.get(i);
-            List<Route> taken = new ArrayList<>();
-            int sum = 0;
-            for (int j = i; j < all.size() && sum <= 100; j++) {
-                Expectation one = all.get(j);
-                if (one.often() == Quantifier.AT_LEAST
-                        && one.outcome() instanceof Outcome.Routed goes
-                        && alike(first, one)
-                        && taken.stream()
-                                .allMatch(route -> apart(route, goes.routes().get(0)))) {
-                    taken.add(goes.routes().get(0));
-                    sum += one.percent();
-                    if (sum > 100) {
-                        pairs.add(new Contradiction(
+    private static void findExcessiveShares(List<Expectation> expectations, List<Contradiction> contradictions) {
+        for (int i = 0; i < expectations.size(); i++) {
+            Expectation first = expectations.get(i);
+            List<Route> disjointRoutes = new ArrayList<>();
+            int percentSum = 0;
+            for (int j = i; j < expectations.size() && percentSum <= 100; j++) {
+                Expectation expectation = expectations.get(j);
+                if (expectation.quantifier() == Quantifier.AT_LEAST
+                        && expectation.outcome() instanceof Outcome.Routed routed
+                        && sameContactsAndState(first, expectation)
+                        && disjointRoutes.stream()
+                                .allMatch(route -> disjoint(route, routed.routes().get(0)))) {
+                    disjointRoutes.add(routed.routes().get(0));
+                    percentSum += expectation.percent();
+                    if (percentSum > 100) {
+                        contradictions.add(new Contradiction(
                                 first,
-                                one,
-                                "the parts of " + taken.size() + " lines add up to " + sum + "%",
+                                expectation,
+                                "the parts of " + disjointRoutes.size() + " lines add up to " + percentSum + "%",
                                 first.conditions()));
                     }
                 }
@@ -64,91 +64,91 @@
         }
     }
 
-    private static boolean alike(Expectation a, Expectation b) {
-        return a.skill() == b.skill()
-                && a.from().equals(b.from())
-                && a.to().equals(b.to())
-                && Set.copyOf(a.conditions()).equals(Set.copyOf(b.conditions()));
+    private static boolean sameContactsAndState(Expectation first, Expectation second) {
+        return first.skill() == second.skill()
+                && first.origins().equals(second.origins())
+                && first.destinations().equals(second.destinations())
+                && Set.copyOf(first.conditions()).equals(Set.copyOf(second.conditions()));
     }
 
-    private static boolean apart(Route a, Route b) {
-        return a.via().isEmpty() != b.via().isEmpty()
-                || !a.via().isEmpty() && a.via().stream().noneMatch(b.via()::contains);
+    private static boolean disjoint(Route first, Route second) {
+        return first.via().isEmpty() != second.via().isEmpty()
+                || !first.via().isEmpty() && first.via().stream().noneMatch(second.via()::contains);
     }
 
     /** True where some contact is spoken of by both. */
-    private static boolean meet(Expectation a, Expectation b) {
-        boolean skill = a.skill() < 0 || b.skill() < 0 || a.skill() == b.skill();
-        return skill && overlap(a.from(), b.from()) && overlap(a.to(), b.to());
+    private static boolean shareContacts(Expectation first, Expectation second) {
+        boolean sameSkill = first.skill() < 0 || second.skill() < 0 || first.skill() == second.skill();
+        return sameSkill && overlap(first.origins(), second.origins()) && overlap(first.destinations(), second.destinations());
     }
 
-    private static boolean overlap(Set<Integer> a, Set<Integer> b) {
-        return a.isEmpty() || b.isEmpty() || a.stream().anyMatch(b::contains);
+    private static boolean overlap(Set<Integer> first, Set<Integer> second) {
+        return first.isEmpty() || second.isEmpty() || first.stream().anyMatch(second::contains);
     }
 
     /** The least state that meets both conditions, or null where they exclude each other. */
-    static List<Condition> together(Expectation a, Expectation b) {
-        if (a.conditions().isEmpty() != b.conditions().isEmpty()) {
+    static List<Condition> commonState(Expectation first, Expectation second) {
+        if (first.conditions().isEmpty() != second.conditions().isEmpty()) {
             return null;
         }
-        Set<Condition> all = new LinkedHashSet<>(a.conditions());
-        all.addAll(b.conditions());
-        Set<Object> spoken = new HashSet<>();
-        for (Condition one : all) {
-            Object of = one instanceof Condition.Desk desk
+        Set<Condition> conditions = new LinkedHashSet<>(first.conditions());
+        conditions.addAll(second.conditions());
+        Set<Object> subjects = new HashSet<>();
+        for (Condition condition : conditions) {
+            Object subject = condition instanceof Condition.Desk desk
                     ? (Object) desk.exchange()
-                    : one instanceof Condition.Group group ? group.name() : "cut";
-            if (!spoken.add(of)) {
+                    : condition instanceof Condition.Group group ? group.name() : "cut";
+            if (!subjects.add(subject)) {
                 return null;
             }
         }
-        return List.copyOf(all);
+        return List.copyOf(conditions);
     }
 
-    private static String why(Expectation a, Expectation b) {
-        if (a.outcome() instanceof Outcome.Routed one && b.outcome() instanceof Outcome.Routed other) {
-            return routes(a, one.routes().get(0), b, other.routes().get(0));
+    private static String reason(Expectation first, Expectation second) {
+        if (first.outcome() instanceof Outcome.Routed firstRouted && second.outcome() instanceof Outcome.Routed secondRouted) {
+            return routeConflict(first, firstRouted.routes().get(0), second, secondRouted.routes().get(0));
         }
-        boolean same = a.outcome().getClass() == b.outcome().getClass();
-        if (same) {
-            return clash(a.often(), b.often()) ? "one says never" : null;
+        boolean sameOutcome = first.outcome().getClass() == second.outcome().getClass();
+        if (sameOutcome) {
+            return exactlyOneNever(first.quantifier(), second.quantifier()) ? "one says never" : null;
         }
-        boolean goes = a.outcome() instanceof Outcome.Routed || b.outcome() instanceof Outcome.Routed;
-        if (goes) {
+        boolean anyRouted = first.outcome() instanceof Outcome.Routed || second.outcome() instanceof Outcome.Routed;
+        if (anyRouted) {
             // A contact that was rung for may still stand or be deferred.
             return null;
         }
-        return shares(a) + shares(b) > 100 ? "a contact that stands is not deferred" : null;
+        return minimumPercent(first) + minimumPercent(second) > 100 ? "a contact that stands is not deferred" : null;
     }
 
-    private static boolean clash(Quantifier a, Quantifier b) {
-        return a == Quantifier.NEVER && b != Quantifier.NEVER || b == Quantifier.NEVER && a != Quantifier.NEVER;
+    private static boolean exactlyOneNever(Quantifier first, Quantifier second) {
+        return first == Quantifier.NEVER && second != Quantifier.NEVER || second == Quantifier.NEVER && first != Quantifier.NEVER;
     }
 
     /** What part of contacts it claims, at least. */
-    private static int shares(Expectation one) {
-        return switch (one.often()) {
+    private static int minimumPercent(Expectation expectation) {
+        return switch (expectation.quantifier()) {
             case ALWAYS -> 100;
-            case AT_LEAST -> one.percent();
+            case AT_LEAST -> expectation.percent();
             case MAY -> 1;
             case NEVER -> 0;
         };
     }
 
-    private static String routes(Expectation a, Route one, Expectation b, Route other) {
-        if (a.often() == Quantifier.NEVER && b.often() == Quantifier.NEVER) {
+    private static String routeConflict(Expectation first, Route firstRoute, Expectation second, Route secondRoute) {
+        if (first.quantifier() == Quantifier.NEVER && second.quantifier() == Quantifier.NEVER) {
             return null;
         }
-        if (a.often() == Quantifier.NEVER || b.often() == Quantifier.NEVER) {
-            Route never = a.often() == Quantifier.NEVER ? one : other;
-            Route wanted = a.often() == Quantifier.NEVER ? other : one;
-            boolean within = never.via().isEmpty()
-                    ? wanted.via().isEmpty()
-                    : !wanted.via().isEmpty() && never.via().containsAll(wanted.via());
-            return within ? "one says never" : null;
+        if (first.quantifier() == Quantifier.NEVER || second.quantifier() == Quantifier.NEVER) {
+            Route forbidden = first.quantifier() == Quantifier.NEVER ? firstRoute : secondRoute;
+            Route required = first.quantifier() == Quantifier.NEVER ? secondRoute : firstRoute;
+            boolean contradictory = forbidden.via().isEmpty()
+                    ? required.via().isEmpty()
+                    : !required.via().isEmpty() && forbidden.via().containsAll(required.via());
+            return contradictory ? "one says never" : null;
         }
-        return apart(one, other) && shares(a) + shares(b) > 100
-                ? "the first ring can't go both ways" + (shares(a) + shares(b) < 200 ? " that often" : "")
+        return disjoint(firstRoute, secondRoute) && minimumPercent(first) + minimumPercent(second) > 100
+                ? "the first ring can't go both ways" + (minimumPercent(first) + minimumPercent(second) < 200 ? " that often" : "")
                 : null;
     }
 }
--- a/src/main/java/martenslip/expect/Expectation.java
+++ b/src/main/java/martenslip/expect/Expectation.java
@@ -11,9 +11,9 @@
         int line,
         String text,
         int skill,
-        Set<Integer> from,
-        Set<Integer> to,
-        Quantifier often,
+        Set<Integer> origins,
+        Set<Integer> destinations,
+        Quantifier quantifier,
         int percent,
         Outcome outcome,
         List<Condition> conditions) {
--- a/src/main/java/martenslip/expect/ExpectationChecker.java
+++ b/src/main/java/martenslip/expect/ExpectationChecker.java
@@ -26,111 +26,111 @@
         }
     }
 
-    private record TrialKey(int skill, int to, Set<Condition> conditions, long seed) {}
+    private record TrialKey(int skill, int destination, Set<Condition> conditions, long seed) {}
 
-    /** For one pair and skill; wide expectations have fewer for each, and no fewer than {@link #LEAST}. */
-    private static final int TRIALS = 60;
+    /** For one pair and skill; wide expectations have fewer for each, and no fewer than {@link #MIN_TRIALS_PER_PAIR}. */
+    private static final int TRIALS_PER_PAIR = 60;
 
-    private static final int LEAST = 6;
-    private static final int WIDE = 600;
+    private static final int MIN_TRIALS_PER_PAIR = 6;
+    private static final int MAX_TRIALS_PER_EXPECTATION = 600;
     /** For a part: its deviation is then under 3 in 100. */
-    private static final int FOR_PART = 300;
+    private static final int TRIALS_FOR_SHARE = 300;
 
-    private final Map<Integer, ExchangeConfiguration> sites;
+    private final Map<Integer, ExchangeConfiguration> configurations;
     private final ExchangeConfiguration origin;
-    private final Map<Integer, String> regions;
-    private final Map<Integer, String> names;
-    private final ControllerFactory maker;
-    private final Map<TrialKey, ContactTrial.RouteTaken> made = new HashMap<>();
+    private final Map<Integer, String> regionsByExchange;
+    private final Map<Integer, String> namesByExchange;
+    private final ControllerFactory controllerFactory;
+    private final Map<TrialKey, ContactTrial.RouteTaken> trials = new HashMap<>();
 
     public ExpectationChecker(
-            Map<Integer, ExchangeConfiguration> sites,
-            int origin,
-            ExpectationFile.Contents read,
-            ControllerFactory maker) {
-        this.sites = sites;
-        this.origin = sites.get(origin);
-        regions = read.regions();
-        names = read.names();
-        this.maker = maker;
+            Map<Integer, ExchangeConfiguration> configurations,
+            int originNumber,
+            ExpectationFile.Contents contents,
+            ControllerFactory controllerFactory) {
+        this.configurations = configurations;
+        this.origin = configurations.get(originNumber);
+        regionsByExchange = contents.regions();
+        namesByExchange = contents.names();
+        this.controllerFactory = controllerFactory;
     }
 
     /** Trials that were made, each once. */
     public int trialCount() {
-        return made.size();
+        return trials.size();
     }
 
-    private List<Integer> destinations(Expectation one) {
-        List<Integer> all = new ArrayList<>();
-        for (int far : origin.numbering().exchanges()) {
-            if (far != origin.number()
-                    && (one == null || one.to().isEmpty() || one.to().contains(far))) {
-                all.add(far);
+    private List<Integer> destinations(Expectation expectation) {
+        List<Integer> destinations = new ArrayList<>();
+        for (int exchange : origin.numbering().exchanges()) {
+            if (exchange != origin.number()
+                    && (expectation == null || expectation.destinations().isEmpty() || expectation.destinations().contains(exchange))) {
+                destinations.add(exchange);
             }
         }
-        return all;
+        return destinations;
     }
 
-    private ContactTrial.RouteTaken path(int skill, int to, List<Condition> conditions, long seed) {
-        return made.computeIfAbsent(
-                new TrialKey(skill, to, Set.copyOf(conditions), seed),
-                any -> new ContactTrial(sites, origin.number(), regions, maker, conditions, seed).offer(skill, to));
+    private ContactTrial.RouteTaken route(int skill, int destination, List<Condition> conditions, long seed) {
+        return trials.computeIfAbsent(
+                new TrialKey(skill, destination, Set.copyOf(conditions), seed),
+                key -> new ContactTrial(configurations, origin.number(), regionsByExchange, controllerFactory, conditions, seed).offer(skill, destination));
     }
 
-    public Result check(Expectation one) {
-        List<Integer> to = destinations(one);
+    public Result check(Expectation expectation) {
+        List<Integer> destinations = destinations(expectation);
         List<Integer> skills = new ArrayList<>();
         for (int i = 0; i < origin.skills().size(); i++) {
-            if (one.skill() < 0 || one.skill() == i) {
+            if (expectation.skill() < 0 || expectation.skill() == i) {
                 skills.add(i);
             }
         }
-        int pairs = Math.max(1, to.size() * skills.size());
-        int each = one.often() == Quantifier.AT_LEAST ? FOR_PART : Math.max(LEAST, Math.min(TRIALS, WIDE / pairs));
-        int trials = 0;
-        int met = 0;
-        String against = "";
-        for (int far : to) {
+        int pairCount = Math.max(1, destinations.size() * skills.size());
+        int trialsPerPair = expectation.quantifier() == Quantifier.AT_LEAST ? TRIALS_FOR_SHARE : Math.max(MIN_TRIALS_PER_PAIR, Math.min(TRIALS_PER_PAIR, MAX_TRIALS_PER_EXPECTATION / pairCount));
+        int trialCount = 0;
+        int metCount = 0;
+        String reason = "";
+        for (int destination : destinations) {
             for (int skill : skills) {
-                int here = 0;
-                for (int seed = 0; seed < each; seed++) {
-                    ContactTrial.RouteTaken path = path(skill, far, one.conditions(), seed);
-                    boolean meets = meets(one, path, far);
-                    here += meets ? 1 : 0;
-                    boolean wrong =
-                            one.often() == Quantifier.ALWAYS && !meets || one.often() == Quantifier.NEVER && meets;
-                    if (wrong && against.isEmpty()) {
-                        against = origin.skills().get(skill).name() + " to " + name(far) + " went " + told(path, far);
+                int metForPair = 0;
+                for (int seed = 0; seed < trialsPerPair; seed++) {
+                    ContactTrial.RouteTaken route = route(skill, destination, expectation.conditions(), seed);
+                    boolean satisfied = satisfies(expectation, route, destination);
+                    metForPair += satisfied ? 1 : 0;
+                    boolean violated =
+                            expectation.quantifier() == Quantifier.ALWAYS && !satisfied || expectation.quantifier() == Quantifier.NEVER && satisfied;
+                    if (violated && reason.isEmpty()) {
+                        reason = origin.skills().get(skill).name() + " to " + name(destination) + " went " + describe(route, destination);
                     }
                 }
-                trials += each;
-                met += here;
-                against = against.isEmpty() ? share(one, here, each, far, skill) : against;
+                trialCount += trialsPerPair;
+                metCount += metForPair;
+                reason = reason.isEmpty() ? shareFailure(expectation, metForPair, trialsPerPair, destination, skill) : reason;
             }
         }
-        return new Result(one, trials, met, to.isEmpty() ? "it speaks of no contact" : against);
+        return new Result(expectation, trialCount, metCount, destinations.isEmpty() ? "it speaks of no contact" : reason);
     }
 
-    private String share(Expectation one, int met, int trials, int far, int skill) {
-        String which = origin.skills().get(skill).name() + " to " + name(far);
-        if (one.often() == Quantifier.MAY && met == 0) {
-            return which + " never did in " + trials + " trials; " + most(one, far, skill);
+    private String shareFailure(Expectation expectation, int metCount, int trials, int destination, int skill) {
+        String contacts = origin.skills().get(skill).name() + " to " + name(destination);
+        if (expectation.quantifier() == Quantifier.MAY && metCount == 0) {
+            return contacts + " never did in " + trials + " trials; " + mostFrequentRoute(expectation, destination, skill);
         }
         // Below what is asked by more than chance: two deviations.
-        double part = one.percent() / 100.0;
-        double slack = 2 * Math.sqrt(part * (1 - part) / trials);
-        if (one.often() == Quantifier.AT_LEAST && (double) met / trials < part - slack) {
-            return which + " did in " + Math.round(100.0 * met / trials) + "% of " + trials + " trials; "
-                    + most(one, far, skill);
+        double expectedShare = expectation.percent() / 100.0;
+        double tolerance = 2 * Math.sqrt(expectedShare * (1 - expectedShare) / trials);
+        if (expectation.quantifier() == Quantifier.AT_LEAST && (double) metCount / trials < expectedShare - tolerance) {
+            return contacts + " did in " + Math.round(100.0 * metCount / trials) + "% of " + trials + " trials; "
+                    + mostFrequentRoute(expectation, destination, skill);
         }
         return "";
     }
 
     /** What most trials did. */
-    private String most(Expectation one, int far, int skill) {
+    private String mostFrequentRoute(Expectation expectation, int destination, int skill) {
         Map<String, Integer> counts = new TreeMap<>();
-        for (int seed = 0; seed < LEAST; seed++) {
-            counts.merge(told(path(skill, far, one.conditions(), seed), far), 1, Integer::sum);
+        for (int seed = 0; seed < MIN_TRIALS_PER_PAIR; seed++) {
+            counts.merge(describe(route(skill, destination, expectation.conditions(), seed), destination), 1, Integer::sum);
         }
         return "most went "
                 + counts.entrySet().stream()
@@ -139,117 +139,117 @@
                         .getKey();
     }
 
-    private static boolean meets(Expectation one, ContactTrial.RouteTaken path, int destination) {
-        if (one.outcome() instanceof Outcome.Established) {
-            return path.end() == ContactTrial.FinalState.STOOD;
+    private static boolean satisfies(Expectation expectation, ContactTrial.RouteTaken taken, int destination) {
+        if (expectation.outcome() instanceof Outcome.Established) {
+            return taken.finalState() == ContactTrial.FinalState.STOOD;
         }
-        if (one.outcome() instanceof Outcome.Deferred) {
-            return path.end() == ContactTrial.FinalState.DEFERRED;
+        if (expectation.outcome() instanceof Outcome.Deferred) {
+            return taken.finalState() == ContactTrial.FinalState.DEFERRED;
         }
-        List<Route> routes = ((Outcome.Routed) one.outcome()).routes();
-        if (one.often() == Quantifier.NEVER) {
-            return path.tries().stream()
-                    .anyMatch(far -> routes.get(0).takes(far, destination)
-                            && (routes.get(0).via().isEmpty() || far != destination));
+        List<Route> routes = ((Outcome.Routed) expectation.outcome()).routes();
+        if (expectation.quantifier() == Quantifier.NEVER) {
+            return taken.triedExchanges().stream()
+                    .anyMatch(exchange -> routes.get(0).takes(exchange, destination)
+                            && (routes.get(0).via().isEmpty() || exchange != destination));
         }
-        for (int i = 0; i < path.tries().size(); i++) {
+        for (int i = 0; i < taken.triedExchanges().size(); i++) {
             Route route = routes.get(Math.min(i, routes.size() - 1));
-            if (!route.takes(path.tries().get(i), destination)) {
+            if (!route.takes(taken.triedExchanges().get(i), destination)) {
                 // Without an else only the first ring is spoken of.
                 return routes.size() == 1 && i > 0;
             }
         }
-        return !path.tries().isEmpty();
+        return !taken.triedExchanges().isEmpty();
     }
 
     private String name(int exchange) {
-        return names.getOrDefault(exchange, "exchange " + exchange);
+        return namesByExchange.getOrDefault(exchange, "exchange " + exchange);
     }
 
-    private String told(ContactTrial.RouteTaken path, int destination) {
-        StringBuilder text = new StringBuilder();
-        for (int i = 0; i < path.tries().size(); i++) {
-            int far = path.tries().get(i);
-            String came = i < path.became().size() ? path.became().get(i) : "no answer";
-            text.append(i == 0 ? "" : ", then ")
-                    .append(far == destination ? "direct" : "via " + name(far))
+    private String describe(ContactTrial.RouteTaken route, int destination) {
+        StringBuilder description = new StringBuilder();
+        for (int i = 0; i < route.triedExchanges().size(); i++) {
+            int exchange = route.triedExchanges().get(i);
+            String result = i < route.ringResults().size() ? route.ringResults().get(i) : "no answer";
+            description.append(i == 0 ? "" : ", then ")
+                    .append(exchange == destination ? "direct" : "via " + name(exchange))
                     .append(" (")
-                    .append(came)
+                    .append(result)
                     .append(')');
         }
-        String end = path.end().toString().toLowerCase(java.util.Locale.ROOT);
-        return text.isEmpty() ? "nowhere and was " + end : text + " and " + (end.equals("stood") ? end : "was " + end);
+        String finalState = route.finalState().toString().toLowerCase(java.util.Locale.ROOT);
+        return description.isEmpty() ? "nowhere and was " + finalState : description + " and " + (finalState.equals("stood") ? finalState : "was " + finalState);
     }
 
     /** Skills and destinations that none of them speaks of. */
-    public List<String> uncovered(List<Expectation> all) {
-        List<String> left = new ArrayList<>();
-        for (int far : destinations(null)) {
+    public List<String> uncovered(List<Expectation> expectations) {
+        List<String> uncovered = new ArrayList<>();
+        for (int destination : destinations(null)) {
             for (int skill = 0; skill < origin.skills().size(); skill++) {
-                int which = skill;
-                boolean spoken = all.stream()
-                        .anyMatch(one -> (one.skill() < 0 || one.skill() == which)
-                                && (one.to().isEmpty() || one.to().contains(far)));
-                if (!spoken) {
-                    left.add(origin.skills().get(skill).name() + " to " + name(far));
+                int skillIndex = skill;
+                boolean covered = expectations.stream()
+                        .anyMatch(expectation -> (expectation.skill() < 0 || expectation.skill() == skillIndex)
+                                && (expectation.destinations().isEmpty() || expectation.destinations().contains(destination)));
+                if (!covered) {
+                    uncovered.add(origin.skills().get(skill).name() + " to " + name(destination));
                 }
             }
         }
-        return left;
+        return uncovered;
     }
 
     /** What is wrong or weak with no expectation written: unreachable desks, desks that hang on one tandem, prefixes. */
     public List<String> findings() {
-        List<String> found = new ArrayList<>();
+        List<String> findings = new ArrayList<>();
         int skill = origin.defaultSkill();
-        for (int far : destinations(null)) {
-            Set<Integer> by = new java.util.TreeSet<>();
-            int stood = 0;
-            for (int seed = 0; seed < TRIALS; seed++) {
-                ContactTrial.RouteTaken path = path(skill, far, List.of(), seed);
-                stood += path.end() == ContactTrial.FinalState.STOOD ? 1 : 0;
-                if (path.end() == ContactTrial.FinalState.STOOD) {
-                    by.add(path.tries().get(path.tries().size() - 1));
+        for (int destination : destinations(null)) {
+            Set<Integer> lastExchanges = new java.util.TreeSet<>();
+            int establishedCount = 0;
+            for (int seed = 0; seed < TRIALS_PER_PAIR; seed++) {
+                ContactTrial.RouteTaken route = route(skill, destination, List.of(), seed);
+                establishedCount += route.finalState() == ContactTrial.FinalState.STOOD ? 1 : 0;
+                if (route.finalState() == ContactTrial.FinalState.STOOD) {
+                    lastExchanges.add(route.triedExchanges().get(route.triedExchanges().size() - 1));
                 }
             }
-            if (stood == 0) {
-                found.add("nothing reaches " + name(far) + ": it went " + told(path(skill, far, List.of(), 0), far));
-            } else if (by.size() == 1 && !by.contains(far)) {
-                found.add(name(far) + " is reached by one tandem alone, "
-                        + name(by.iterator().next()));
+            if (establishedCount == 0) {
+                findings.add("nothing reaches " + name(destination) + ": it went " + describe(route(skill, destination, List.of(), 0), destination));
+            } else if (lastExchanges.size() == 1 && !lastExchanges.contains(destination)) {
+                findings.add(name(destination) + " is reached by one tandem alone, "
+                        + name(lastExchanges.iterator().next()));
             }
         }
         origin.numbering()
                 .redundant()
                 .forEach(digits ->
-                        found.add("prefix " + digits + " changes nothing: a shorter one leads to the same exchange"));
+                        findings.add("prefix " + digits + " changes nothing: a shorter one leads to the same exchange"));
         origin.numbering()
                 .shadowed()
                 .forEach(digits ->
-                        found.add("prefix " + digits + " is never met: longer ones take each digit that may follow"));
-        return found;
+                        findings.add("prefix " + digits + " is never met: longer ones take each digit that may follow"));
+        return findings;
     }
 
     /** An expectation for each skill and destination, as it holds today with nothing wrong. */
     public List<String> suggested() {
         List<String> lines = new ArrayList<>();
-        for (int far : destinations(null)) {
+        for (int destination : destinations(null)) {
             for (int skill = 0; skill < origin.skills().size(); skill++) {
-                Set<Integer> first = new java.util.TreeSet<>();
-                boolean stood = true;
-                for (int seed = 0; seed < TRIALS; seed++) {
-                    ContactTrial.RouteTaken path = path(skill, far, List.of(), seed);
-                    stood &= path.end() == ContactTrial.FinalState.STOOD;
-                    first.add(path.tries().isEmpty() ? -1 : path.tries().get(0));
+                Set<Integer> firstExchanges = new java.util.TreeSet<>();
+                boolean alwaysEstablished = true;
+                for (int seed = 0; seed < TRIALS_PER_PAIR; seed++) {
+                    ContactTrial.RouteTaken route = route(skill, destination, List.of(), seed);
+                    alwaysEstablished &= route.finalState() == ContactTrial.FinalState.STOOD;
+                    firstExchanges.add(route.triedExchanges().isEmpty() ? -1 : route.triedExchanges().get(0));
                 }
-                String what = origin.skills().get(skill).name() + " to " + name(far) + " ";
-                if (first.equals(Set.of(far))) {
-                    lines.add(what + "goes direct");
-                } else if (!first.contains(-1) && !first.contains(far)) {
-                    lines.add(what + "goes via "
-                            + String.join(" or ", first.stream().map(this::name).toList()));
-                } else if (stood) {
-                    lines.add(what + "stands");
+                String contacts = origin.skills().get(skill).name() + " to " + name(destination) + " ";
+                if (firstExchanges.equals(Set.of(destination))) {
+                    lines.add(contacts + "goes direct");
+                } else if (!firstExchanges.contains(-1) && !firstExchanges.contains(destination)) {
+                    lines.add(contacts + "goes via "
+                            + String.join(" or ", firstExchanges.stream().map(this::name).toList()));
+                } else if (alwaysEstablished) {
+                    lines.add(contacts + "stands");
                 }
             }
         }
--- a/src/main/java/martenslip/expect/ExpectationFile.java
+++ b/src/main/java/martenslip/expect/ExpectationFile.java
@@ -24,44 +24,44 @@
 
 /** Reads a file of expectations against an exchange's file; all faults are told at once, by line and column. */
 public final class ExpectationFile {
-    private final ExchangeConfiguration site;
-    private final List<FileError> faults = new ArrayList<>();
-    private final Map<String, Integer> desks = new LinkedHashMap<>();
-    private final Map<String, Set<Integer>> sets = new LinkedHashMap<>();
-    private final Map<Integer, String> regions = new LinkedHashMap<>();
+    private final ExchangeConfiguration configuration;
+    private final List<FileError> errors = new ArrayList<>();
+    private final Map<String, Integer> exchangesByName = new LinkedHashMap<>();
+    private final Map<String, Set<Integer>> exchangeSetsByName = new LinkedHashMap<>();
+    private final Map<Integer, String> regionsByExchange = new LinkedHashMap<>();
     private final List<Expectation> expectations = new ArrayList<>();
 
-    private ExpectationFile(ExchangeConfiguration site) {
-        this.site = site;
+    private ExpectationFile(ExchangeConfiguration configuration) {
+        this.configuration = configuration;
     }
 
     /** Names and regions of desks as the file defines them, by exchange. */
     public record Contents(List<Expectation> expectations, Map<Integer, String> names, Map<Integer, String> regions) {}
 
-    public static Contents read(String file, String text, ExchangeConfiguration site) throws InvalidFileException {
-        ExpectationFile reader = new ExpectationFile(site);
+    public static Contents read(String fileName, String text, ExchangeConfiguration configuration) throws InvalidFileException {
+        ExpectationFile reader = new ExpectationFile(configuration);
         ExpectLexer lexer = new ExpectLexer(CharStreams.fromString(text));
         ExpectParser parser = new ExpectParser(new CommonTokenStream(lexer));
         for (Recognizer<?, ?> one : List.of(lexer, parser)) {
             one.removeErrorListeners();
-            one.addErrorListener(reader.listener());
+            one.addErrorListener(reader.syntaxErrorListener());
         }
         ExpectParser.FileContext tree = parser.file();
         String[] lines = text.split("\r?\n", -1);
-        if (reader.faults.isEmpty()) {
+        if (reader.errors.isEmpty()) {
             // Names may stand below their use: they are gathered before any is looked up.
-            tree.statement().forEach(reader::define);
-            tree.statement().forEach(one -> reader.expect(one, lines));
+            tree.statement().forEach(reader::readDefinition);
+            tree.statement().forEach(one -> reader.readExpectation(one, lines));
         }
-        if (!reader.faults.isEmpty()) {
-            throw new InvalidFileException(file, reader.faults);
+        if (!reader.errors.isEmpty()) {
+            throw new InvalidFileException(fileName, reader.errors);
         }
-        Map<Integer, String> names = new LinkedHashMap<>();
-        reader.desks.forEach((name, exchange) -> names.putIfAbsent(exchange, name));
-        return new Contents(reader.expectations, names, reader.regions);
+        Map<Integer, String> namesByExchange = new LinkedHashMap<>();
+        reader.exchangesByName.forEach((name, exchange) -> namesByExchange.putIfAbsent(exchange, name));
+        return new Contents(reader.expectations, namesByExchange, reader.regionsByExchange);
     }
 
-    private BaseErrorListener listener() {
+    private BaseErrorListener syntaxErrorListener() {
         return new BaseErrorListener() {
             @Override
             public void syntaxError(
@@ -71,213 +71,213 @@
                     int column,
                     String message,
                     RecognitionException e) {
-                faults.add(new FileError(line, "column " + (column + 1), message.replace("\\n", "the line's end")));
+                errors.add(new FileError(line, "column " + (column + 1), message.replace("\\n", "the line's end")));
             }
         };
     }
 
-    private void fault(Token at, String what) {
-        faults.add(new FileError(at.getLine(), "column " + (at.getCharPositionInLine() + 1), what));
+    private void addError(Token token, String reason) {
+        errors.add(new FileError(token.getLine(), "column " + (token.getCharPositionInLine() + 1), reason));
     }
 
-    private void define(ExpectParser.StatementContext statement) {
-        if (statement instanceof ExpectParser.DeskContext desk) {
+    private void readDefinition(ExpectParser.StatementContext statement) {
+        if (statement instanceof ExpectParser.DeskDefinitionContext desk) {
             int exchange = Integer.parseInt(desk.number.getText());
-            if (site.numbering().firstPrefixOf(exchange) == null) {
-                fault(desk.number, "no number leads to exchange " + exchange);
-            } else if (desk.region != null && !site.regions().contains(desk.region.getText())) {
-                fault(
+            if (configuration.numbering().firstPrefixOf(exchange) == null) {
+                addError(desk.number, "no number leads to exchange " + exchange);
+            } else if (desk.region != null && !configuration.regions().contains(desk.region.getText())) {
+                addError(
                         desk.region,
                         "no region is called " + desk.region.getText()
-                                + nearest(desk.region.getText(), site.regions()));
-            } else if (desks.putIfAbsent(desk.name.getText(), exchange) != null) {
-                fault(desk.name, desk.name.getText() + " is defined already");
+                                + suggestion(desk.region.getText(), configuration.regions()));
+            } else if (exchangesByName.putIfAbsent(desk.name.getText(), exchange) != null) {
+                addError(desk.name, desk.name.getText() + " is defined already");
             } else if (desk.region != null) {
-                regions.put(exchange, desk.region.getText());
+                regionsByExchange.put(exchange, desk.region.getText());
             }
-        } else if (statement instanceof ExpectParser.SetOfContext set) {
-            Set<Integer> all = new LinkedHashSet<>();
+        } else if (statement instanceof ExpectParser.SetDefinitionContext set) {
+            Set<Integer> exchanges = new LinkedHashSet<>();
             for (int i = 1; i < set.NAME().size(); i++) {
-                all.addAll(exchanges(set.NAME(i).getSymbol()));
+                exchanges.addAll(exchanges(set.NAME(i).getSymbol()));
             }
-            if (sets.putIfAbsent(set.name.getText(), all) != null) {
-                fault(set.name, set.name.getText() + " is defined already");
+            if (exchangeSetsByName.putIfAbsent(set.name.getText(), exchanges) != null) {
+                addError(set.name, set.name.getText() + " is defined already");
             }
         }
     }
 
     /** The exchanges of a desk or a set; none, and a fault, where the name is neither. */
     private Set<Integer> exchanges(Token name) {
-        Integer one = desks.get(name.getText());
-        if (one != null) {
-            return Set.of(one);
+        Integer exchange = exchangesByName.get(name.getText());
+        if (exchange != null) {
+            return Set.of(exchange);
         }
-        Set<Integer> many = sets.get(name.getText());
-        if (many != null) {
-            return many;
+        Set<Integer> exchangeSet = exchangeSetsByName.get(name.getText());
+        if (exchangeSet != null) {
+            return exchangeSet;
         }
-        List<String> known = new ArrayList<>(desks.keySet());
-        known.addAll(sets.keySet());
-        fault(name, "no desk or set is called " + name.getText() + nearest(name.getText(), known));
+        List<String> knownNames = new ArrayList<>(exchangesByName.keySet());
+        knownNames.addAll(exchangeSetsByName.keySet());
+        addError(name, "no desk or set is called " + name.getText() + suggestion(name.getText(), knownNames));
         return Set.of();
     }
 
-    private static String nearest(String wrong, List<String> known) {
-        return known.stream()
-                .min(Comparator.comparingInt(one -> distance(wrong, one)))
-                .filter(one -> distance(wrong, one) <= Math.max(2, wrong.length() / 4))
-                .map(one -> "; did you mean " + one + "?")
+    private static String suggestion(String unknown, List<String> knownNames) {
+        return knownNames.stream()
+                .min(Comparator.comparingInt(candidate -> editDistance(unknown, candidate)))
+                .filter(candidate -> editDistance(unknown, candidate) <= Math.max(2, unknown.length() / 4))
+                .map(candidate -> "; did you mean " + candidate + "?")
                 .orElse("");
     }
 
     /** Letters to put in, take out or change (Levenshtein). */
-    private static int distance(String a, String b) {
-        int[] row = new int[b.length() + 1];
-        for (int j = 0; j <= b.length(); j++) {
-            row[j] = j;
+    private static int editDistance(String first, String second) {
+        int[] distances = new int[second.length() + 1];
+        for (int secondIndex = 0; secondIndex <= second.length(); secondIndex++) {
+            distances[secondIndex] = secondIndex;
         }
-        for (int i = 1; i <= a.length(); i++) {
-            int corner = row[0];
-            row[0] = i;
-            for (int j = 1; j <= b.length(); j++) {
-                int same = corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                corner = row[j];
-                row[j] = Math.min(same, Math.min(row[j], row[j - 1]) + 1);
+        for (int firstIndex = 1; firstIndex <= first.length(); firstIndex++) {
+            int diagonal = distances[0];
+            distances[0] = firstIndex;
+            for (int secondIndex = 1; secondIndex <= second.length(); secondIndex++) {
+                int substituted = diagonal + (first.charAt(firstIndex - 1) == second.charAt(secondIndex - 1) ? 0 : 1);
+                diagonal = distances[secondIndex];
+                distances[secondIndex] = Math.min(substituted, Math.min(distances[secondIndex], distances[secondIndex - 1]) + 1);
             }
         }
-        return row[b.length()];
+        return distances[second.length()];
     }
 
-    private void expect(ExpectParser.StatementContext statement, String[] lines) {
-        if (!(statement instanceof ExpectParser.ExpectationContext written)) {
+    private void readExpectation(ExpectParser.StatementContext statement, String[] lines) {
+        if (!(statement instanceof ExpectParser.ExpectationContext expectation)) {
             return;
         }
-        ExpectParser.SubjectContext subject = written.subject();
-        boolean nothing = subject.what != null && subject.what.getText().equals("nothing");
-        Outcome outcome = outcome(written.outcome());
-        Quantifier often = often(written.often());
-        if (nothing && written.often() != null) {
-            fault(written.often().getStart(), "nothing is never already");
+        ExpectParser.SubjectContext subject = expectation.subject();
+        boolean nothing = subject.scope != null && subject.scope.getText().equals("nothing");
+        Outcome outcome = outcome(expectation.outcome());
+        Quantifier quantifier = quantifier(expectation.quantifier());
+        if (nothing && expectation.quantifier() != null) {
+            addError(expectation.quantifier().getStart(), "nothing is never already");
         }
         List<Condition> conditions = new ArrayList<>();
-        if (written.conditions() != null) {
-            written.conditions().condition().forEach(one -> conditions.addAll(condition(one, outcome)));
+        if (expectation.conditions() != null) {
+            expectation.conditions().condition().forEach(condition -> conditions.addAll(conditionsOf(condition, outcome)));
         }
-        int line = written.getStart().getLine();
-        Set<Integer> from = subject.from == null ? Set.of() : exchanges(subject.from);
-        if (subject.from != null && !from.isEmpty() && !from.contains(site.number())) {
-            fault(
-                    subject.from,
-                    subject.from.getText() + " is not the exchange of this file, which is " + site.number());
+        int line = expectation.getStart().getLine();
+        Set<Integer> origins = subject.origin == null ? Set.of() : exchanges(subject.origin);
+        if (subject.origin != null && !origins.isEmpty() && !origins.contains(configuration.number())) {
+            addError(
+                    subject.origin,
+                    subject.origin.getText() + " is not the exchange of this file, which is " + configuration.number());
         }
-        int percent = written.often() instanceof ExpectParser.AtLeastContext least
+        int percent = expectation.quantifier() instanceof ExpectParser.AtLeastContext least
                 ? Integer.parseInt(least.NUMBER().getText())
                 : 100;
         if (percent > 100) {
-            fault(written.often().getStart(), "over 100%");
+            addError(expectation.quantifier().getStart(), "over 100%");
         }
         expectations.add(new Expectation(
                 line,
                 lines[line - 1].trim(),
-                skill(subject),
-                from,
-                subject.to == null ? Set.of() : new TreeSet<>(exchanges(subject.to)),
-                nothing ? Quantifier.NEVER : often,
+                skillIndex(subject),
+                origins,
+                subject.destination == null ? Set.of() : new TreeSet<>(exchanges(subject.destination)),
+                nothing ? Quantifier.NEVER : quantifier,
                 percent,
                 outcome,
                 conditions));
     }
 
-    private int skill(ExpectParser.SubjectContext subject) {
+    private int skillIndex(ExpectParser.SubjectContext subject) {
         if (subject.skill == null) {
             return -1;
         }
-        List<String> names = site.skills().stream().map(one -> one.name()).toList();
-        int at = names.indexOf(subject.skill.getText());
-        if (at < 0) {
-            fault(
+        List<String> names = configuration.skills().stream().map(skill -> skill.name()).toList();
+        int index = names.indexOf(subject.skill.getText());
+        if (index < 0) {
+            addError(
                     subject.skill,
-                    "no skill is called " + subject.skill.getText() + nearest(subject.skill.getText(), names));
+                    "no skill is called " + subject.skill.getText() + suggestion(subject.skill.getText(), names));
         }
-        return at;
+        return index;
     }
 
-    private static Quantifier often(ExpectParser.OftenContext often) {
-        if (often instanceof ExpectParser.NeverContext) {
+    private static Quantifier quantifier(ExpectParser.QuantifierContext quantifier) {
+        if (quantifier instanceof ExpectParser.NeverContext) {
             return Quantifier.NEVER;
         }
-        if (often instanceof ExpectParser.MayContext) {
+        if (quantifier instanceof ExpectParser.MayContext) {
             return Quantifier.MAY;
         }
-        return often instanceof ExpectParser.AtLeastContext ? Quantifier.AT_LEAST : Quantifier.ALWAYS;
+        return quantifier instanceof ExpectParser.AtLeastContext ? Quantifier.AT_LEAST : Quantifier.ALWAYS;
     }
 
-    private Outcome outcome(ExpectParser.OutcomeContext written) {
-        if (written instanceof ExpectParser.GoesContext goes) {
+    private Outcome outcome(ExpectParser.OutcomeContext outcome) {
+        if (outcome instanceof ExpectParser.GoesContext goes) {
             return new Outcome.Routed(goes.route().stream().map(this::route).toList());
         }
-        return written instanceof ExpectParser.StandsContext ? new Outcome.Established() : new Outcome.Deferred();
+        return outcome instanceof ExpectParser.StandsContext ? new Outcome.Established() : new Outcome.Deferred();
     }
 
-    private Route route(ExpectParser.RouteContext written) {
+    private Route route(ExpectParser.RouteContext route) {
         Set<Integer> via = new TreeSet<>();
-        if (written instanceof ExpectParser.ViaContext tandems) {
+        if (route instanceof ExpectParser.ViaContext tandems) {
             tandems.NAME().forEach(name -> via.addAll(exchanges(name.getSymbol())));
         }
         return new Route(via);
     }
 
-    private List<Condition> condition(ExpectParser.ConditionContext written, Outcome outcome) {
-        if (written instanceof ExpectParser.DeskStateContext desk) {
-            return states(exchanges(desk.NAME().getSymbol()), desk.state);
+    private List<Condition> conditionsOf(ExpectParser.ConditionContext condition, Outcome outcome) {
+        if (condition instanceof ExpectParser.DeskStateContext desk) {
+            return switchConditions(exchanges(desk.NAME().getSymbol()), desk.state);
         }
-        if (written instanceof ExpectParser.ItsStateContext its) {
+        if (condition instanceof ExpectParser.ItsStateContext its) {
             Set<Integer> via = new TreeSet<>();
-            if (outcome instanceof Outcome.Routed goes) {
-                goes.routes().forEach(route -> via.addAll(route.via()));
+            if (outcome instanceof Outcome.Routed routed) {
+                routed.routes().forEach(route -> via.addAll(route.via()));
             }
             if (via.isEmpty()) {
-                fault(its.getStart(), "it names no desk here: the outcome has no via");
+                addError(its.getStart(), "it names no desk here: the outcome has no via");
             }
-            return states(via, its.state);
+            return switchConditions(via, its.state);
         }
-        if (written instanceof ExpectParser.GroupStateContext group) {
-            return group(group.NAME().getSymbol(), group.state.getText().equals("gone") ? -1 : 0);
+        if (condition instanceof ExpectParser.GroupStateContext group) {
+            return groupConditions(group.NAME().getSymbol(), group.state.getText().equals("gone") ? -1 : 0);
         }
-        if (written instanceof ExpectParser.GroupFreeContext group) {
-            return group(
+        if (condition instanceof ExpectParser.GroupFreeContext group) {
+            return groupConditions(
                     group.NAME().getSymbol(), Integer.parseInt(group.NUMBER().getText()));
         }
-        Token region = ((ExpectParser.RegionCutContext) written).NAME().getSymbol();
-        if (!site.regions().contains(region.getText())) {
-            fault(region, "no region is called " + region.getText() + nearest(region.getText(), site.regions()));
+        Token region = ((ExpectParser.RegionCutContext) condition).NAME().getSymbol();
+        if (!configuration.regions().contains(region.getText())) {
+            addError(region, "no region is called " + region.getText() + suggestion(region.getText(), configuration.regions()));
         }
         return List.of(new Condition.Cut(region.getText()));
     }
 
-    private static List<Condition> states(Set<Integer> exchanges, Token state) {
-        Condition.State is = Condition.State.valueOf(state.getText().toUpperCase(java.util.Locale.ROOT));
+    private static List<Condition> switchConditions(Set<Integer> exchanges, Token state) {
+        Condition.State switchState = Condition.State.valueOf(state.getText().toUpperCase(java.util.Locale.ROOT));
         return exchanges.stream()
-                .<Condition>map(one -> new Condition.Desk(one, is))
+                .<Condition>map(exchange -> new Condition.Desk(exchange, switchState))
                 .toList();
     }
 
-    private List<Condition> group(Token name, int free) {
-        List<String> names = site.groups().values().stream()
+    private List<Condition> groupConditions(Token name, int freeCircuits) {
+        List<String> names = configuration.groups().values().stream()
                 .map(ExchangeConfiguration.Group::name)
                 .toList();
         if (!names.contains(name.getText())) {
-            fault(name, "no group is called " + name.getText() + nearest(name.getText(), names));
+            addError(name, "no group is called " + name.getText() + suggestion(name.getText(), names));
             return List.of();
         }
-        int circuits = site.groups().values().stream()
-                .filter(one -> one.name().equals(name.getText()))
+        int circuits = configuration.groups().values().stream()
+                .filter(group -> group.name().equals(name.getText()))
                 .findFirst()
                 .orElseThrow()
                 .circuits();
-        if (free > circuits) {
-            fault(name, name.getText() + " has " + circuits + " circuits in all");
+        if (freeCircuits > circuits) {
+            addError(name, name.getText() + " has " + circuits + " circuits in all");
         }
-        return List.of(new Condition.Group(name.getText(), free));
+        return List.of(new Condition.Group(name.getText(), freeCircuits));
     }
 }
--- a/src/main/java/martenslip/simulatorprotocol/MalformedInputException.java
+++ b/src/main/java/martenslip/simulatorprotocol/MalformedInputException.java
@@ -4,7 +4,7 @@
 public final class MalformedInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public MalformedInputException(String what, long batch, int position) {
-        super("malformed input: " + what + " (batch " + batch + ", byte " + position + " of its records)");
+    public MalformedInputException(String reason, long batchNumber, int position) {
+        super("malformed input: " + reason + " (batch " + batchNumber + ", byte " + position + " of its records)");
     }
 }
--- a/src/main/java/martenslip/simulatorprotocol/SimulatorProtocol.java
+++ b/src/main/java/martenslip/simulatorprotocol/SimulatorProtocol.java
@@ -34,255 +34,255 @@
         }
     }
 
-    private static final int MOST_BATCH = 1 << 30;
-    private static final int LISTS = 16;
-    private static final int LINE_BYTES = 24;
-    private static final float[] NO_REPORT = {};
+    private static final int MAX_BATCH_BYTES = 1 << 30;
+    private static final int SWITCH_LIST_COUNT = 16;
+    private static final int SWITCH_ENTRY_BYTES = 24;
+    private static final float[] EMPTY_REPORT = {};
 
-    private final DataInputStream in;
-    private final OutputStream out;
-    private final ControllerFactory maker;
+    private final DataInputStream input;
+    private final OutputStream output;
+    private final ControllerFactory controllerFactory;
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<SwitchEntry>> lists = new ArrayList<>();
-    private long batch;
+    private final List<List<SwitchEntry>> switchLists = new ArrayList<>();
+    private long batchNumber;
     private ByteBuffer records = ByteBuffer.allocate(0);
 
-    public SimulatorProtocol(InputStream in, OutputStream out, ControllerFactory maker) {
-        this.in = new DataInputStream(in);
-        this.out = out;
-        this.maker = maker;
-        for (int i = 0; i < LISTS; i++) {
-            lists.add(null);
+    public SimulatorProtocol(InputStream input, OutputStream output, ControllerFactory controllerFactory) {
+        this.input = new DataInputStream(input);
+        this.output = output;
+        this.controllerFactory = controllerFactory;
+        for (int i = 0; i < SWITCH_LIST_COUNT; i++) {
+            switchLists.add(null);
         }
     }
 
     public void run() throws IOException, MalformedInputException {
-        byte[] header = new byte[16];
+        byte[] headerBytes = new byte[16];
         while (true) {
-            int got = in.readNBytes(header, 0, header.length);
-            if (got == 0) {
+            int headerLength = input.readNBytes(headerBytes, 0, headerBytes.length);
+            if (headerLength == 0) {
                 return;
             }
-            if (got < header.length) {
-                throw new MalformedInputException("the batch header ends after " + got + " bytes", batch, 0);
+            if (headerLength < headerBytes.length) {
+                throw new MalformedInputException("the batch header ends after " + headerLength + " bytes", batchNumber, 0);
             }
-            ByteBuffer head = ByteBuffer.wrap(header);
-            int number = head.getInt();
-            batch = Integer.toUnsignedLong(number);
-            long length = Integer.toUnsignedLong(head.getInt());
-            if (length > MOST_BATCH) {
-                throw new MalformedInputException("a batch of " + length + " bytes", batch, 0);
+            ByteBuffer header = ByteBuffer.wrap(headerBytes);
+            int encodedBatchNumber = header.getInt();
+            batchNumber = Integer.toUnsignedLong(encodedBatchNumber);
+            long bodyLength = Integer.toUnsignedLong(header.getInt());
+            if (bodyLength > MAX_BATCH_BYTES) {
+                throw new MalformedInputException("a batch of " + bodyLength + " bytes", batchNumber, 0);
             }
-            records = ByteBuffer.wrap(read((int) length));
+            records = ByteBuffer.wrap(readFully((int) bodyLength));
             reply.begin();
-            Moment now = new Moment(head.getLong());
+            Moment now = new Moment(header.getLong());
             while (records.hasRemaining()) {
-                int start = records.position();
+                int recordStart = records.position();
                 try {
-                    event(now, start);
+                    dispatchRecord(now, recordStart);
                 } catch (BufferUnderflowException e) {
-                    throw new MalformedInputException("the record does not fit its batch", batch, start);
+                    throw new MalformedInputException("the record does not fit its batch", batchNumber, recordStart);
                 }
             }
-            ByteBuffer done = reply.finish(number);
-            out.write(done.array(), 0, done.limit());
-            out.flush();
+            ByteBuffer encodedReply = reply.finish(encodedBatchNumber);
+            output.write(encodedReply.array(), 0, encodedReply.limit());
+            output.flush();
         }
     }
 
-    private byte[] read(int length) throws IOException, MalformedInputException {
-        byte[] bytes = in.readNBytes(length);
+    private byte[] readFully(int length) throws IOException, MalformedInputException {
+        byte[] bytes = input.readNBytes(length);
         if (bytes.length < length) {
             throw new MalformedInputException(
                     "the input ends inside the batch, after " + bytes.length + " of " + length + " bytes",
-                    batch,
+                    batchNumber,
                     bytes.length);
         }
         return bytes;
     }
 
-    private void event(Moment now, int start) throws MalformedInputException {
+    private void dispatchRecord(Moment now, int recordStart) throws MalformedInputException {
         int code = Short.toUnsignedInt(records.getShort());
         if (code == 1100) {
-            switchList();
+            readSwitchList();
             return;
         }
-        int id = records.getInt();
+        int instanceId = records.getInt();
         switch (code) {
-            case 1000 -> started(now, id, start);
-            case 1010 -> listed(now, id, start);
+            case 1000 -> startInstance(now, instanceId, recordStart);
+            case 1010 -> deliverSwitchList(now, instanceId, recordStart);
             case 1020 -> {
-                Contact contact = contact();
-                tell(id, c -> c.contactOffered(now, contact));
+                Contact contact = readContact();
+                deliver(instanceId, controller -> controller.contactOffered(now, contact));
             }
             case 1030 -> {
                 long contact = records.getLong();
-                int ring = Short.toUnsignedInt(records.getShort());
-                Span took = new Span(records.getLong());
-                long target = target();
-                tell(id, c -> c.established(now, contact, ring, target, took));
+                int ringNumber = Short.toUnsignedInt(records.getShort());
+                Span elapsed = new Span(records.getLong());
+                long target = readTarget();
+                deliver(instanceId, controller -> controller.established(now, contact, ringNumber, target, elapsed));
             }
-            case 1040 -> ended(now, id, start);
+            case 1040 -> deliverRingEnd(now, instanceId, recordStart);
             case 1050 -> {
                 long contact = records.getLong();
-                tell(id, c -> c.callerGone(now, contact));
+                deliver(instanceId, controller -> controller.callerGone(now, contact));
             }
             case 1060 -> {
                 long token = records.getLong();
-                tell(id, c -> c.timerExpired(now, token));
+                deliver(instanceId, controller -> controller.timerExpired(now, token));
             }
             case 1070 -> {
-                int how = Byte.toUnsignedInt(records.get());
-                long target = target();
-                Span took = new Span(records.getLong());
-                float[] report = report();
-                tell(id, c -> c.switchReported(now, target, how == 0, took, report));
+                int outcome = Byte.toUnsignedInt(records.get());
+                long target = readTarget();
+                Span elapsed = new Span(records.getLong());
+                float[] report = readReport();
+                deliver(instanceId, controller -> controller.switchReported(now, target, outcome == 0, elapsed, report));
             }
             case 1080 -> {
                 int peer = records.getInt();
-                byte[] note = bytes(Short.toUnsignedInt(records.getShort()), start);
-                tell(id, c -> c.peerNoteReceived(now, peer, note));
+                byte[] note = readBytes(Short.toUnsignedInt(records.getShort()), recordStart);
+                deliver(instanceId, controller -> controller.peerNoteReceived(now, peer, note));
             }
             case 1090 -> {
-                tell(id, c -> c.stopped(now));
-                instances.remove(id);
+                deliver(instanceId, controller -> controller.stopped(now));
+                instances.remove(instanceId);
             }
-            default -> throw new MalformedInputException("unknown record code " + code, batch, start);
+            default -> throw new MalformedInputException("unknown record code " + code, batchNumber, recordStart);
         }
     }
 
     private interface EventHandler {
-        void to(Controller controller);
+        void deliverTo(Controller controller);
     }
 
-    private void tell(int id, EventHandler told) {
-        Instance instance = instances.get(id);
+    private void deliver(int instanceId, EventHandler handler) {
+        Instance instance = instances.get(instanceId);
         if (instance == null || instance.failed) {
             return;
         }
         try {
-            told.to(instance.controller);
+            handler.deliverTo(instance.controller);
         } catch (RuntimeException e) {
             instance.failed = true;
-            reply.fault(id, trace(e));
+            reply.writeFault(instanceId, stackTraceSummary(e));
         }
     }
 
-    private static String trace(RuntimeException e) {
-        StringBuilder text = new StringBuilder(e.toString());
-        StackTraceElement[] frames = e.getStackTrace();
+    private static String stackTraceSummary(RuntimeException exception) {
+        StringBuilder summary = new StringBuilder(exception.toString());
+        StackTraceElement[] frames = exception.getStackTrace();
         for (int i = 0; i < Math.min(5, frames.length); i++) {
-            text.append(" at ").append(frames[i]);
+            summary.append(" at ").append(frames[i]);
         }
-        return text.toString();
+        return summary.toString();
     }
 
-    private void started(Moment now, int id, int start) throws MalformedInputException {
+    private void startInstance(Moment now, int instanceId, int recordStart) throws MalformedInputException {
         long seed = records.getLong();
-        int length = records.getInt();
-        int at = records.position();
-        String text = new String(bytes(length, start), StandardCharsets.UTF_8);
+        int textLength = records.getInt();
+        int linePosition = records.position();
+        String text = new String(readBytes(textLength, recordStart), StandardCharsets.UTF_8);
         Map<String, String> settings = new LinkedHashMap<>();
         for (String line : text.split("\n")) {
-            int equals = line.indexOf('=');
-            if (equals > 0) {
-                settings.put(line.substring(0, equals), line.substring(equals + 1));
+            int equalsIndex = line.indexOf('=');
+            if (equalsIndex > 0) {
+                settings.put(line.substring(0, equalsIndex), line.substring(equalsIndex + 1));
             } else if (!line.isBlank()) {
-                throw new MalformedInputException("a settings line that is no path=value: " + line, batch, at);
+                throw new MalformedInputException("a settings line that is no path=value: " + line, batchNumber, linePosition);
             }
-            at += line.getBytes(StandardCharsets.UTF_8).length + 1;
+            linePosition += line.getBytes(StandardCharsets.UTF_8).length + 1;
         }
         try {
-            Controller made = maker.create(settings, seed, now, reply.orders(id));
-            instances.put(id, new Instance(made));
+            Controller controller = controllerFactory.create(settings, seed, now, reply.orders(instanceId));
+            instances.put(instanceId, new Instance(controller));
         } catch (RuntimeException e) {
-            reply.fault(id, trace(e));
+            reply.writeFault(instanceId, stackTraceSummary(e));
         }
     }
 
-    private void switchList() throws MalformedInputException {
-        int start = records.position() - 2;
-        int number = Short.toUnsignedInt(records.getShort());
-        if (number >= LISTS) {
-            throw new MalformedInputException("list number " + number + ", the last is " + (LISTS - 1), batch, start);
+    private void readSwitchList() throws MalformedInputException {
+        int recordStart = records.position() - 2;
+        int listNumber = Short.toUnsignedInt(records.getShort());
+        if (listNumber >= SWITCH_LIST_COUNT) {
+            throw new MalformedInputException("list number " + listNumber + ", the last is " + (SWITCH_LIST_COUNT - 1), batchNumber, recordStart);
         }
         int count = records.getInt();
-        if (count < 0 || (long) count * LINE_BYTES > records.remaining()) {
+        if (count < 0 || (long) count * SWITCH_ENTRY_BYTES > records.remaining()) {
             throw new MalformedInputException(
-                    "a list of " + Integer.toUnsignedString(count) + " lines does not fit its batch", batch, start);
+                    "a list of " + Integer.toUnsignedString(count) + " lines does not fit its batch", batchNumber, recordStart);
         }
-        List<SwitchEntry> lines = new ArrayList<>(count);
+        List<SwitchEntry> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            int at = records.position();
+            int entryPosition = records.position();
             records.getFloat();
             records.get();
             SwitchEntry.State state = switch (records.get()) {
                 case 0 -> SwitchEntry.State.DRAINING;
                 case 1 -> SwitchEntry.State.GONE;
                 case 2 -> SwitchEntry.State.READY;
-                default -> throw new MalformedInputException("unknown state of a switch", batch, at);
+                default -> throw new MalformedInputException("unknown state of a switch", batchNumber, entryPosition);
             };
-            long id = target();
+            long target = readTarget();
             int zone = Short.toUnsignedInt(records.getShort());
-            long started = records.getLong();
-            int node = Short.toUnsignedInt(records.getShort());
-            lines.add(new SwitchEntry(id, node, state, started == 0 ? null : new Moment(started), zone));
+            long startedNs = records.getLong();
+            int switchNumber = Short.toUnsignedInt(records.getShort());
+            entries.add(new SwitchEntry(target, switchNumber, state, startedNs == 0 ? null : new Moment(startedNs), zone));
         }
-        lists.set(number, List.copyOf(lines));
+        switchLists.set(listNumber, List.copyOf(entries));
     }
 
-    private void listed(Moment now, int id, int start) throws MalformedInputException {
-        int number = Short.toUnsignedInt(records.getShort());
+    private void deliverSwitchList(Moment now, int instanceId, int recordStart) throws MalformedInputException {
+        int listNumber = Short.toUnsignedInt(records.getShort());
         records.getInt();
         ListKind kind = switch (records.get()) {
             case 0 -> ListKind.CHANGES;
             case 1 -> ListKind.FULL;
             case 2 -> ListKind.CACHED;
             case 3 -> ListKind.FAILED;
-            default -> throw new MalformedInputException("unknown kind of list", batch, start);
+            default -> throw new MalformedInputException("unknown kind of list", batchNumber, recordStart);
         };
-        List<SwitchEntry> lines = kind == ListKind.FAILED ? List.of() : number < LISTS ? lists.get(number) : null;
-        if (lines == null) {
-            throw new MalformedInputException("list " + number + " was never given", batch, start);
+        List<SwitchEntry> entries = kind == ListKind.FAILED ? List.of() : listNumber < SWITCH_LIST_COUNT ? switchLists.get(listNumber) : null;
+        if (entries == null) {
+            throw new MalformedInputException("list " + listNumber + " was never given", batchNumber, recordStart);
         }
-        tell(id, c -> c.switchListReceived(now, kind, lines));
+        deliver(instanceId, controller -> controller.switchListReceived(now, kind, entries));
     }
 
-    private Contact contact() {
+    private Contact readContact() {
         long id = records.getLong();
         records.getLong();
-        long dialled = records.getLong();
-        int hint = (int) records.getFloat();
+        long dialledNumber = records.getLong();
+        int routingHint = (int) records.getFloat();
         int width = (int) records.getFloat();
         Span patience = new Span(records.getLong());
         records.getShort();
         int skill = Byte.toUnsignedInt(records.get());
         int destination = (int) records.getFloat();
-        int bits = records.getShort();
+        int flags = records.getShort();
         return new Contact(
                 id,
                 skill,
-                dialled,
+                dialledNumber,
                 destination,
-                hint,
+                routingHint,
                 width,
                 patience,
-                (bits & 2) != 0,
-                (bits & 8) != 0,
-                (bits & 16) != 0);
+                (flags & 2) != 0,
+                (flags & 8) != 0,
+                (flags & 16) != 0);
     }
 
-    private void ended(Moment now, int id, int start) throws MalformedInputException {
+    private void deliverRingEnd(Moment now, int instanceId, int recordStart) throws MalformedInputException {
         long contact = records.getLong();
-        int how = Byte.toUnsignedInt(records.get());
-        int ring = Short.toUnsignedInt(records.getShort());
-        Span took = new Span(records.getLong());
-        long target = target();
-        int why = records.getInt();
+        int causeCode = Byte.toUnsignedInt(records.get());
+        int ringNumber = Short.toUnsignedInt(records.getShort());
+        Span elapsed = new Span(records.getLong());
+        long target = readTarget();
+        int reasonCode = records.getInt();
         boolean answered = records.get() != 0;
-        float[] report = report();
-        RingEndCause cause = switch (how) {
+        float[] report = readReport();
+        RingEndCause cause = switch (causeCode) {
             case 0 -> RingEndCause.CONCLUDED;
             case 255 -> RingEndCause.BUSY;
             case 254 -> RingEndCause.TURNED_BACK;
@@ -291,27 +291,27 @@
             case 251 -> RingEndCause.CUT;
             case 250 -> RingEndCause.CALLED_OFF;
             case 249 -> RingEndCause.NOT_SENT;
-            default -> throw new MalformedInputException("unknown outcome " + how, batch, start);
+            default -> throw new MalformedInputException("unknown outcome " + causeCode, batchNumber, recordStart);
         };
-        RejectionReason blame = switch (why & 15) {
+        RejectionReason rejectionReason = switch (reasonCode & 15) {
             case 1 -> RejectionReason.NO_CIRCUIT;
-            case 2 -> why >= 16 ? RejectionReason.BEYOND_FULL : RejectionReason.TANDEM;
+            case 2 -> reasonCode >= 16 ? RejectionReason.BEYOND_FULL : RejectionReason.TANDEM;
             case 3 -> RejectionReason.PROCESSOR;
             case 4 -> RejectionReason.LINES_BUSY;
             default -> RejectionReason.NONE;
         };
-        RingEnd end = new RingEnd(contact, ring, target, cause, blame, took, answered, report);
-        tell(id, c -> c.ringEnded(now, end));
+        RingEnd end = new RingEnd(contact, ringNumber, target, cause, rejectionReason, elapsed, answered, report);
+        deliver(instanceId, controller -> controller.ringEnded(now, end));
     }
 
-    private long target() {
+    private long readTarget() {
         return Integer.toUnsignedLong(records.getInt()) << 16 | Short.toUnsignedLong(records.getShort());
     }
 
-    private float[] report() {
+    private float[] readReport() {
         int count = Byte.toUnsignedInt(records.get());
         if (count == 0) {
-            return NO_REPORT;
+            return EMPTY_REPORT;
         }
         float[] values = new float[count];
         for (int i = 0; i < count; i++) {
@@ -320,10 +320,10 @@
         return values;
     }
 
-    private byte[] bytes(int length, int start) throws MalformedInputException {
+    private byte[] readBytes(int length, int recordStart) throws MalformedInputException {
         if (length < 0 || length > records.remaining()) {
             throw new MalformedInputException(
-                    "a text of " + Integer.toUnsignedString(length) + " bytes does not fit its batch", batch, start);
+                    "a text of " + Integer.toUnsignedString(length) + " bytes does not fit its batch", batchNumber, recordStart);
         }
         byte[] bytes = new byte[length];
         records.get(bytes);
--- a/src/test/java/martenslip/configuration/ExchangeFileTest.java
+++ b/src/test/java/martenslip/configuration/ExchangeFileTest.java
@@ -21,16 +21,16 @@
     }
 
     @Test
-    public void theSampleIsRead() throws IOException, InvalidFileException {
-        ExchangeConfiguration site = ExchangeFile.read(SAMPLE);
-        assertEquals(site.groups().get(2).circuits(), 24);
-        assertEquals(site.numbering().exchangeForNumber("+91484550299999"), 2);
-        assertEquals(site.numbering().exchangeForNumber("+9148"), -1);
-        assertEquals(site.settings(Span.ofMillis(10)).get("report.fields"), "spare,total,allowed,depth");
+    public void readsSampleFile() throws IOException, InvalidFileException {
+        ExchangeConfiguration configuration = ExchangeFile.read(SAMPLE);
+        assertEquals(configuration.groups().get(2).circuits(), 24);
+        assertEquals(configuration.numbering().exchangeForNumber("+91484550299999"), 2);
+        assertEquals(configuration.numbering().exchangeForNumber("+9148"), -1);
+        assertEquals(configuration.settings(Span.ofMillis(10)).get("report.fields"), "spare,total,allowed,depth");
     }
 
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] invalidEdits() {
         return new Object[][] {
             {"region=\"north\">", "region=\"east\">", "/exchange/@region", "no region is called east"},
             {"usual=\"status\"", "usual=\"stat\"", "/exchange/skills/@usual", "no skill is called stat"},
@@ -47,23 +47,23 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aFaultIsNamedByLinePathAndReason(String good, String bad, String path, String reason)
+    public void errorNamesLinePathAndReason(String original, String replacement, String path, String reason)
             throws IOException {
         String text = Files.readString(SAMPLE);
-        assertTrue(text.contains(good), good);
-        InvalidFileException rejected = expectThrows(InvalidFileException.class, () -> read(text.replace(good, bad)));
-        String line = rejected.getMessage()
+        assertTrue(text.contains(original), original);
+        InvalidFileException rejected = expectThrows(InvalidFileException.class, () -> read(text.replace(original, replacement)));
+        String message = rejected.getMessage()
                 .lines()
-                .filter(one -> one.contains(path) && one.contains(reason))
+                .filter(line -> line.contains(path) && line.contains(reason))
                 .findFirst()
                 .orElse("none of: " + rejected.getMessage());
-        int expected = text.substring(0, text.indexOf(good)).split("\n", -1).length;
-        int told = Integer.parseInt(line.replaceFirst(".*line (\\d+),.*", "$1"));
-        assertTrue(Math.abs(told - expected) <= 1, line + "; the fault stands in line " + expected);
+        int expectedLine = text.substring(0, text.indexOf(original)).split("\n", -1).length;
+        int reportedLine = Integer.parseInt(message.replaceFirst(".*line (\\d+),.*", "$1"));
+        assertTrue(Math.abs(reportedLine - expectedLine) <= 1, message + "; the fault stands in line " + expectedLine);
     }
 
     @Test
-    public void documentTypesAndEntitiesAreNotRead() throws IOException {
+    public void rejectsDocumentTypesAndIncompleteXml() throws IOException {
         String text = Files.readString(SAMPLE)
                 .replace("<exchange ", "<!DOCTYPE exchange [<!ENTITY x SYSTEM \"file:///etc/hostname\">]><exchange ");
         assertThrows(InvalidFileException.class, () -> read(text));
--- a/src/test/java/martenslip/configuration/PrefixTableTest.java
+++ b/src/test/java/martenslip/configuration/PrefixTableTest.java
@@ -11,40 +11,40 @@
 import org.testng.annotations.Test;
 
 public class PrefixTableTest {
-    private static String digits(SplittableRandom chance, int most) {
-        StringBuilder text = new StringBuilder(chance.nextInt(3) == 0 ? "+" : "");
-        for (int left = 1 + chance.nextInt(most); left > 0; left--) {
-            text.append(chance.nextInt(4));
+    private static String randomDigits(SplittableRandom random, int maxDigits) {
+        StringBuilder text = new StringBuilder(random.nextInt(3) == 0 ? "+" : "");
+        for (int remaining = 1 + random.nextInt(maxDigits); remaining > 0; remaining--) {
+            text.append(random.nextInt(4));
         }
         return text.toString();
     }
 
     /** Against a plain search for the longest prefix. */
     @Test
-    public void theLongestPrefixLeads() {
-        SplittableRandom chance = new SplittableRandom(2);
+    public void lookupAgreesWithLinearSearch() {
+        SplittableRandom random = new SplittableRandom(2);
         for (int round = 0; round < 200; round++) {
             PrefixTable prefixes = new PrefixTable();
-            Map<String, Integer> plain = new HashMap<>();
+            Map<String, Integer> exchangesByPrefix = new HashMap<>();
             for (int i = 0; i < 20; i++) {
-                String digits = digits(chance, 5);
-                int exchange = chance.nextInt(6);
-                Integer before = plain.putIfAbsent(digits, exchange);
-                assertEquals(prefixes.add(digits, exchange), before == null || before == exchange);
+                String digits = randomDigits(random, 5);
+                int exchange = random.nextInt(6);
+                Integer previous = exchangesByPrefix.putIfAbsent(digits, exchange);
+                assertEquals(prefixes.add(digits, exchange), previous == null || previous == exchange);
             }
             for (int i = 0; i < 50; i++) {
-                String number = digits(chance, 9);
-                int best = -1;
+                String number = randomDigits(random, 9);
+                int expected = -1;
                 for (int length = 1; length <= number.length(); length++) {
-                    best = plain.getOrDefault(number.substring(0, length), best);
+                    expected = exchangesByPrefix.getOrDefault(number.substring(0, length), expected);
                 }
-                assertEquals(prefixes.exchangeForNumber(number), best, number);
+                assertEquals(prefixes.exchangeForNumber(number), expected, number);
             }
         }
     }
 
     @Test
-    public void prefixesThatChangeNothingOrAreNeverMetAreTold() {
+    public void findsRedundantAndShadowedPrefixes() {
         PrefixTable prefixes = new PrefixTable();
         assertTrue(prefixes.add("+91", 1));
         assertTrue(prefixes.add("+915", 1));
--- a/src/test/java/martenslip/expect/ExampleExpectationsTest.java
+++ b/src/test/java/martenslip/expect/ExampleExpectationsTest.java
@@ -25,114 +25,114 @@
     private static final Path FOLDER = Path.of("examples", "expect");
     private static final int[] TANDEMS = {3, 11, 19, 27, 35, 43};
 
-    private static Map<Integer, ExchangeConfiguration> others() throws IOException, InvalidFileException {
-        Map<Integer, ExchangeConfiguration> sites = new TreeMap<>();
-        try (Stream<Path> all = Files.list(FOLDER.resolve("others"))) {
-            for (Path one : all.sorted().toList()) {
-                ExchangeConfiguration site = ExchangeFile.read(one);
-                sites.put(site.number(), site);
+    private static Map<Integer, ExchangeConfiguration> otherConfigurations() throws IOException, InvalidFileException {
+        Map<Integer, ExchangeConfiguration> configurations = new TreeMap<>();
+        try (Stream<Path> files = Files.list(FOLDER.resolve("others"))) {
+            for (Path file : files.sorted().toList()) {
+                ExchangeConfiguration configuration = ExchangeFile.read(file);
+                configurations.put(configuration.number(), configuration);
             }
         }
-        return sites;
+        return configurations;
     }
 
-    private static ExchangeConfiguration site(String xml) throws InvalidFileException {
+    private static ExchangeConfiguration parseConfiguration(String xml) throws InvalidFileException {
         return ExchangeFile.read("desk07.xml", xml.getBytes(StandardCharsets.UTF_8), FOLDER);
     }
 
-    private static ExpectationFile.Contents lines(ExchangeConfiguration site) throws IOException, InvalidFileException {
-        return ExpectationFile.read("desk07.expect", Files.readString(FOLDER.resolve("desk07.expect")), site);
+    private static ExpectationFile.Contents readExpectations(ExchangeConfiguration configuration) throws IOException, InvalidFileException {
+        return ExpectationFile.read("desk07.expect", Files.readString(FOLDER.resolve("desk07.expect")), configuration);
     }
 
-    private static ExpectationChecker check(ExchangeConfiguration site, ExpectationFile.Contents read)
+    private static ExpectationChecker newChecker(ExchangeConfiguration configuration, ExpectationFile.Contents contents)
             throws IOException, InvalidFileException {
-        Map<Integer, ExchangeConfiguration> sites = others();
-        sites.put(7, site);
-        return new ExpectationChecker(sites, 7, read, RoutingPolicy::new);
+        Map<Integer, ExchangeConfiguration> configurations = otherConfigurations();
+        configurations.put(7, configuration);
+        return new ExpectationChecker(configurations, 7, contents, RoutingPolicy::new);
     }
 
     @Test
-    public void allOfItHoldsAndNoneContradictsAnother() throws Exception {
-        ExchangeConfiguration site = site(Files.readString(FOLDER.resolve("desk07.xml")));
-        ExpectationFile.Contents read = lines(site);
-        assertEquals(read.expectations().size(), 200);
-        assertEquals(Contradictions.find(read.expectations()), List.of());
-        ExpectationChecker check = check(site, read);
-        for (Expectation one : read.expectations()) {
-            ExpectationChecker.Result verdict = check.check(one);
-            assertTrue(verdict.holds(), one.text() + ": " + verdict.reason());
+    public void allExpectationsHoldWithoutContradictions() throws Exception {
+        ExchangeConfiguration configuration = parseConfiguration(Files.readString(FOLDER.resolve("desk07.xml")));
+        ExpectationFile.Contents contents = readExpectations(configuration);
+        assertEquals(contents.expectations().size(), 200);
+        assertEquals(Contradictions.find(contents.expectations()), List.of());
+        ExpectationChecker checker = newChecker(configuration, contents);
+        for (Expectation expectation : contents.expectations()) {
+            ExpectationChecker.Result result = checker.check(expectation);
+            assertTrue(result.holds(), expectation.text() + ": " + result.reason());
         }
     }
 
     /** A break is a change of the file, the lines that it may touch (by a part of their text), one that it must. */
     @DataProvider
-    public Object[][] breaks() {
-        List<Object[]> all = new ArrayList<>();
+    public Object[][] configurationFaults() {
+        List<Object[]> faults = new ArrayList<>();
         for (int tandem : TANDEMS) {
             String group = "g-" + Math.min(7, tandem) + "-" + Math.max(7, tandem);
             String desk = "desk" + tandem + ".example.org";
-            String line = "<group name=\"" + group + "\" far=\"" + tandem + "\" circuits=\"60\"/>";
-            String prefix = String.format("<prefix digits=\"+91484%02d\" exchange=\"%d\"/>", tandem, tandem);
-            all.add(new Object[] {line, line.replace("60", "1"), desk, "pickup-slot to " + desk + " goes direct"});
-            all.add(new Object[] {
-                prefix,
-                prefix + String.format("<prefix digits=\"+91484%02d00\" exchange=\"1\"/>", tandem),
+            String groupElement = "<group name=\"" + group + "\" far=\"" + tandem + "\" circuits=\"60\"/>";
+            String prefixElement = String.format("<prefix digits=\"+91484%02d\" exchange=\"%d\"/>", tandem, tandem);
+            faults.add(new Object[] {groupElement, groupElement.replace("60", "1"), desk, "pickup-slot to " + desk + " goes direct"});
+            faults.add(new Object[] {
+                prefixElement,
+                prefixElement + String.format("<prefix digits=\"+91484%02d00\" exchange=\"1\"/>", tandem),
                 desk,
                 "label-status to " + desk + " goes direct"
             });
         }
-        all.add(new Object[] {
+        faults.add(new Object[] {
             "name=\"pickup-slot\" value=\"8\" width=\"2\"",
             "name=\"pickup-slot\" value=\"8\" width=\"61\"",
             "",
             "pickup-slot to desk3.example.org goes direct"
         });
-        return all.toArray(new Object[0][]);
+        return faults.toArray(new Object[0][]);
     }
 
     @Test(dataProvider = "breaks")
-    public void aPlantedBreakIsNamedAndNoneBeside(String was, String becomes, String touched, String named)
+    public void faultBreaksOnlyRelatedExpectations(String original, String replacement, String relatedText, String expectedText)
             throws Exception {
         String xml = Files.readString(FOLDER.resolve("desk07.xml"));
-        assertTrue(xml.contains(was), was);
-        ExchangeConfiguration site = site(xml.replace(was, becomes));
+        assertTrue(xml.contains(original), original);
+        ExchangeConfiguration configuration = parseConfiguration(xml.replace(original, replacement));
         // A line may ask for more circuits than the group now has, which is told when the file is read.
-        String text = Files.readString(FOLDER.resolve("desk07.expect")).replaceAll("(?m)^.* has 30 free$", "");
-        ExpectationFile.Contents read = ExpectationFile.read("desk07.expect", text, site);
-        ExpectationChecker check = check(site, read);
+        String expectations = Files.readString(FOLDER.resolve("desk07.expect")).replaceAll("(?m)^.* has 30 free$", "");
+        ExpectationFile.Contents contents = ExpectationFile.read("desk07.expect", expectations, configuration);
+        ExpectationChecker checker = newChecker(configuration, contents);
         List<String> broken = new ArrayList<>();
-        for (Expectation one : read.expectations()) {
+        for (Expectation expectation : contents.expectations()) {
             // A tandem with a single circuit is still drawn, and what it was drawn for is deferred near full.
-            boolean mentions = one.text().contains(touched)
-                    || becomes.contains("\"1\"") && one.text().contains("tandems");
+            boolean related = expectation.text().contains(relatedText)
+                    || replacement.contains("\"1\"") && expectation.text().contains("tandems");
             // Of those that may not mind, every tenth.
-            if ((one.text().contains(touched) || one.line() % 10 == 0)
-                    && !check.check(one).holds()) {
-                broken.add(one.text());
+            if ((expectation.text().contains(relatedText) || expectation.line() % 10 == 0)
+                    && !checker.check(expectation).holds()) {
+                broken.add(expectation.text());
                 assertTrue(
-                        mentions,
-                        "broken beside: " + one.text() + ": " + check.check(one).reason());
+                        related,
+                        "broken beside: " + expectation.text() + ": " + checker.check(expectation).reason());
             }
         }
-        assertTrue(broken.stream().anyMatch(one -> one.startsWith(named)), named + " not in " + broken);
+        assertTrue(broken.stream().anyMatch(expectation -> expectation.startsWith(expectedText)), expectedText + " not in " + broken);
     }
 
     /** Removed or shrunk groups that lines speak of by name or number are told before anything is tried. */
     @Test
-    public void aLineThatTheFileCantMeetIsNamed() throws Exception {
+    public void rejectsExpectationsThatGroupCannotMeet() throws Exception {
         String xml = Files.readString(FOLDER.resolve("desk07.xml"));
         for (int tandem : TANDEMS) {
             String group = "g-" + Math.min(7, tandem) + "-" + Math.max(7, tandem);
-            String line = "<group name=\"" + group + "\" far=\"" + tandem + "\" circuits=\"60\"/>";
-            for (String becomes : new String[] {"", line.replace("60", "29")}) {
+            String groupElement = "<group name=\"" + group + "\" far=\"" + tandem + "\" circuits=\"60\"/>";
+            for (String replacement : new String[] {"", groupElement.replace("60", "29")}) {
                 try {
-                    lines(site(xml.replace(line, becomes)));
+                    readExpectations(parseConfiguration(xml.replace(groupElement, replacement)));
                 } catch (InvalidFileException e) {
                     assertTrue(e.getMessage().contains(group), e.getMessage());
                     assertFalse(e.errors().isEmpty());
                     continue;
                 }
-                throw new AssertionError("taken: " + group + " as '" + becomes + "'");
+                throw new AssertionError("taken: " + group + " as '" + replacement + "'");
             }
         }
     }
