--- a/src/test/java/martenslip/expect/ExpectationCheckerTest.java
+++ b/src/test/java/martenslip/expect/ExpectationCheckerTest.java
@@ -26,38 +26,38 @@
 
 /** A small world: exchange 0 has groups to 1, 2 and 3, none to 4; all have their own files. */
 public class ExpectationCheckerTest {
-    private static final String DESKS = "desk d0 is exchange 0 in north\ndesk d1 is exchange 1 in north\n"
+    private static final String DESK_DEFINITIONS = "desk d0 is exchange 0 in north\ndesk d1 is exchange 1 in north\n"
             + "desk d2 is exchange 2 in north\ndesk d3 is exchange 3 in south\ndesk d4 is exchange 4 in south\n";
 
-    private static ExchangeConfiguration site(int number, Map<Integer, Integer> groups) throws Exception {
-        StringBuilder prefixes = new StringBuilder();
-        StringBuilder lines = new StringBuilder();
-        for (int i = 0; i < 5; i++) {
-            prefixes.append("<prefix digits='+770")
-                    .append(i)
+    private static ExchangeConfiguration configuration(int ownNumber, Map<Integer, Integer> groups) throws Exception {
+        StringBuilder prefixElements = new StringBuilder();
+        StringBuilder groupElements = new StringBuilder();
+        for (int exchange = 0; exchange < 5; exchange++) {
+            prefixElements.append("<prefix digits='+770")
+                    .append(exchange)
                     .append("' exchange='")
-                    .append(i)
+                    .append(exchange)
                     .append("'/>");
         }
-        groups.forEach((far, circuits) -> lines.append("<group name='g-")
-                .append(Math.min(far, number))
+        groups.forEach((farExchange, circuits) -> groupElements.append("<group name='g-")
+                .append(Math.min(farExchange, ownNumber))
                 .append('-')
-                .append(Math.max(far, number))
+                .append(Math.max(farExchange, ownNumber))
                 .append("' far='")
-                .append(far)
+                .append(farExchange)
                 .append("' circuits='")
                 .append(circuits)
                 .append("'/>"));
         return ExchangeFile.read(
                 "test",
-                ("<exchange xmlns='urn:martenslip:exchange:1' number='" + number
+                ("<exchange xmlns='urn:martenslip:exchange:1' number='" + ownNumber
                                 + "' region='north' seed='1'><listen host='127.0.0.1' udp='0'/><circuits uri='sip:c@127.0.0.1:9'/>"
                                 + "<switch-list uri='sip:s@127.0.0.1:9' kept='k.xml'/><regions><region name='north'/><region name='south'/>"
                                 + "</regions><skills usual='status'><skill name='status' value='1' width='1' answer-target-ms='1200' "
                                 + "patience-ms='4000' mean-hold-ms='3000'/><skill name='slot' value='8' width='4' answer-target-ms='1200' "
                                 + "patience-ms='4000' mean-hold-ms='3000' resource-priority='q735.1'/></skills><numbering>"
-                                + prefixes
-                                + "</numbering><groups trunk-context='t.example'>" + lines
+                                + prefixElements
+                                + "</numbering><groups trunk-context='t.example'>" + groupElements
                                 + "</groups><limits most-rings='5' "
                                 + "most-open='1000' come-back-ms='1000' silence-ms='600'/><rules release-ms='500' "
                                 + "cold-share='0.3' warm-within-ms='10000' fall-multiple='3'/>"
@@ -66,26 +66,26 @@
                 Path.of("."));
     }
 
-    private static Map<Integer, ExchangeConfiguration> world(Map<Integer, Integer> own) throws Exception {
-        Map<Integer, ExchangeConfiguration> sites = new HashMap<>();
-        sites.put(0, site(0, own));
-        sites.put(1, site(1, Map.of(0, 30, 2, 30, 3, 30, 4, 30)));
-        sites.put(2, site(2, Map.of(0, 30, 1, 30, 3, 30, 4, 30)));
-        sites.put(3, site(3, Map.of(0, 30, 1, 30, 2, 30)));
-        return sites;
+    private static Map<Integer, ExchangeConfiguration> configurations(Map<Integer, Integer> originGroups) throws Exception {
+        Map<Integer, ExchangeConfiguration> configurations = new HashMap<>();
+        configurations.put(0, configuration(0, originGroups));
+        configurations.put(1, configuration(1, Map.of(0, 30, 2, 30, 3, 30, 4, 30)));
+        configurations.put(2, configuration(2, Map.of(0, 30, 1, 30, 3, 30, 4, 30)));
+        configurations.put(3, configuration(3, Map.of(0, 30, 1, 30, 2, 30)));
+        return configurations;
     }
 
-    private static final Map<Integer, Integer> OWN = Map.of(1, 30, 2, 30, 3, 30);
+    private static final Map<Integer, Integer> ORIGIN_GROUPS = Map.of(1, 30, 2, 30, 3, 30);
 
-    private static List<ExpectationChecker.Result> check(Map<Integer, ExchangeConfiguration> sites, String lines)
+    private static List<ExpectationChecker.Result> check(Map<Integer, ExchangeConfiguration> configurations, String expectations)
             throws Exception {
-        ExpectationFile.Contents read = ExpectationFile.read("test.expect", DESKS + lines, sites.get(0));
-        ExpectationChecker check = new ExpectationChecker(sites, 0, read, RoutingPolicy::new);
-        return read.expectations().stream().map(check::check).toList();
+        ExpectationFile.Contents contents = ExpectationFile.read("test.expect", DESK_DEFINITIONS + expectations, configurations.get(0));
+        ExpectationChecker checker = new ExpectationChecker(configurations, 0, contents, RoutingPolicy::new);
+        return contents.expectations().stream().map(checker::check).toList();
     }
 
     @DataProvider
-    public Object[][] holding() {
+    public Object[][] satisfiedExpectations() {
         return new Object[][] {
             {"status to d1 goes direct"},
             {"anything to d1 stands"},
@@ -105,13 +105,13 @@
     }
 
     @Test(dataProvider = "holding")
-    public void whatTheModuleDoesHolds(String line) throws Exception {
-        ExpectationChecker.Result verdict = check(world(OWN), line).get(0);
-        assertTrue(verdict.holds(), verdict.reason());
+    public void satisfiedExpectationHolds(String line) throws Exception {
+        ExpectationChecker.Result result = check(configurations(ORIGIN_GROUPS), line).get(0);
+        assertTrue(result.holds(), result.reason());
     }
 
     @DataProvider
-    public Object[][] broken() {
+    public Object[][] violatedExpectations() {
         return new Object[][] {
             {"status to d1 goes via d2", "direct (stood)"},
             {"anything to d4 is deferred", "stood"},
@@ -127,48 +127,48 @@
     }
 
     @Test(dataProvider = "broken")
-    public void whatItDoesNotIsToldWithTheWayTaken(String line, String told) throws Exception {
-        ExpectationChecker.Result verdict = check(world(OWN), line).get(0);
-        assertFalse(verdict.holds());
-        assertTrue(verdict.reason().contains(told), verdict.reason());
+    public void violationNamesRouteTaken(String line, String expectedReason) throws Exception {
+        ExpectationChecker.Result result = check(configurations(ORIGIN_GROUPS), line).get(0);
+        assertFalse(result.holds());
+        assertTrue(result.reason().contains(expectedReason), result.reason());
     }
 
     /** Faults planted in the configuration are told with the expectation that they break, and no other. */
     @Test
-    public void aChangedConfigurationBreaksWhatItTouches() throws Exception {
-        String lines = "status to d1 goes direct\nslot to d2 goes direct\nstatus to d3 goes direct\n"
+    public void changedGroupBreaksOnlyItsExpectations() throws Exception {
+        String expectations = "status to d1 goes direct\nslot to d2 goes direct\nstatus to d3 goes direct\n"
                 + "nothing goes via d3 while it is draining\nanything to d4 stands";
-        assertTrue(check(world(OWN), lines).stream().allMatch(ExpectationChecker.Result::holds));
-        List<ExpectationChecker.Result> noRoute = check(world(Map.of(2, 30, 3, 30)), lines);
+        assertTrue(check(configurations(ORIGIN_GROUPS), expectations).stream().allMatch(ExpectationChecker.Result::holds));
+        List<ExpectationChecker.Result> withoutDirectGroup = check(configurations(Map.of(2, 30, 3, 30)), expectations);
         assertEquals(
-                noRoute.stream()
-                        .filter(one -> !one.holds())
-                        .map(one -> one.expectation().text())
+                withoutDirectGroup.stream()
+                        .filter(result -> !result.holds())
+                        .map(result -> result.expectation().text())
                         .toList(),
                 List.of("status to d1 goes direct"));
-        List<ExpectationChecker.Result> shrunk = check(world(Map.of(1, 30, 2, 2, 3, 30)), lines);
+        List<ExpectationChecker.Result> withSmallGroup = check(configurations(Map.of(1, 30, 2, 2, 3, 30)), expectations);
         assertEquals(
-                shrunk.stream()
-                        .filter(one -> !one.holds())
-                        .map(one -> one.expectation().text())
+                withSmallGroup.stream()
+                        .filter(result -> !result.holds())
+                        .map(result -> result.expectation().text())
                         .toList(),
                 List.of("slot to d2 goes direct"));
     }
 
     @Test
-    public void whatIsWeakIsFoundWithoutAnExpectation() throws Exception {
-        Map<Integer, ExchangeConfiguration> sites = world(Map.of(3, 30));
-        sites.remove(1);
-        sites.remove(2);
-        ExpectationFile.Contents read = ExpectationFile.read("test.expect", DESKS, sites.get(0));
-        List<String> found = new ExpectationChecker(sites, 0, read, RoutingPolicy::new).findings();
-        assertTrue(found.contains("d1 is reached by one tandem alone, d3"), found.toString());
-        assertTrue(found.stream().anyMatch(one -> one.startsWith("nothing reaches d4")), found.toString());
-        assertEquals(found.size(), 3, found.toString());
+    public void findsWeakRoutesWithoutExpectations() throws Exception {
+        Map<Integer, ExchangeConfiguration> configurations = configurations(Map.of(3, 30));
+        configurations.remove(1);
+        configurations.remove(2);
+        ExpectationFile.Contents contents = ExpectationFile.read("test.expect", DESK_DEFINITIONS, configurations.get(0));
+        List<String> findings = new ExpectationChecker(configurations, 0, contents, RoutingPolicy::new).findings();
+        assertTrue(findings.contains("d1 is reached by one tandem alone, d3"), findings.toString());
+        assertTrue(findings.stream().anyMatch(finding -> finding.startsWith("nothing reaches d4")), findings.toString());
+        assertEquals(findings.size(), 3, findings.toString());
     }
 
     @DataProvider
-    public Object[][] malformed() {
+    public Object[][] malformedLines() {
         return new Object[][] {
             {"status to d9x goes direct", "line 6, column 11: no desk or set is called d9x"},
             {"statu to d1 stands", "no skill is called statu; did you mean status?"},
@@ -184,26 +184,26 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void aMalformedLineIsRefusedWithItsPlace(String line, String told) throws Exception {
+    public void malformedLineIsRejectedWithReason(String line, String expectedReason) throws Exception {
         try {
-            ExpectationFile.read("test.expect", DESKS + line, world(OWN).get(0));
+            ExpectationFile.read("test.expect", DESK_DEFINITIONS + line, configurations(ORIGIN_GROUPS).get(0));
         } catch (InvalidFileException e) {
-            assertTrue(e.getMessage().contains(told), e.getMessage());
+            assertTrue(e.getMessage().contains(expectedReason), e.getMessage());
             return;
         }
         throw new AssertionError("taken: " + line);
     }
 
-    private static List<Contradictions.Contradiction> contradictions(String lines) throws Exception {
+    private static List<Contradictions.Contradiction> contradictions(String expectations) throws Exception {
         return Contradictions.find(ExpectationFile.read(
                         "test.expect",
-                        DESKS + "set all = d1, d2, d3\n" + lines,
-                        world(OWN).get(0))
+                        DESK_DEFINITIONS + "set all = d1, d2, d3\n" + expectations,
+                        configurations(ORIGIN_GROUPS).get(0))
                 .expectations());
     }
 
     @DataProvider
-    public Object[][] contradictory() {
+    public Object[][] expectationPairs() {
         return new Object[][] {
             {"status to d1 goes direct\nstatus to d1 goes via d2", true},
             {"status to all goes direct\nstatus to d1 never goes direct", true},
@@ -230,54 +230,54 @@
     }
 
     @Test(dataProvider = "contradictory")
-    public void contradictionsAreFoundBeforeAnythingRuns(String lines, boolean found) throws Exception {
+    public void findsContradictions(String expectations, boolean contradictory) throws Exception {
         assertEquals(
-                !contradictions(lines).isEmpty(), found, contradictions(lines).toString());
+                !contradictions(expectations).isEmpty(), contradictory, contradictions(expectations).toString());
     }
 
     /** Against brute force: all first ways and ends of all contacts in a state, with every expectation held to them. */
     @Test
-    public void theFinderAgreesWithBruteForceOnSmallWorlds() {
-        SplittableRandom chance = new SplittableRandom(11);
-        int found = 0;
+    public void contradictionsAgreeWithExhaustiveSearch() {
+        SplittableRandom random = new SplittableRandom(11);
+        int contradictionCount = 0;
         for (int round = 0; round < 3000; round++) {
-            Expectation one = drawn(chance, 1);
-            Expectation other = drawn(chance, 2);
-            boolean said = !Contradictions.find(List.of(one, other)).isEmpty();
-            assertEquals(said, !possible(one, other), one + " against " + other);
-            found += said ? 1 : 0;
+            Expectation first = randomExpectation(random, 1);
+            Expectation second = randomExpectation(random, 2);
+            boolean contradictory = !Contradictions.find(List.of(first, second)).isEmpty();
+            assertEquals(contradictory, !compatible(first, second), first + " against " + second);
+            contradictionCount += contradictory ? 1 : 0;
         }
-        assertTrue(found > 100, "found " + found);
+        assertTrue(contradictionCount > 100, "found " + contradictionCount);
     }
 
-    private static Expectation drawn(SplittableRandom chance, int line) {
+    private static Expectation randomExpectation(SplittableRandom random, int line) {
         Set<Integer> via = new HashSet<>();
         for (int i = 1; i <= 3; i++) {
-            if (chance.nextInt(3) == 0) {
+            if (random.nextInt(3) == 0) {
                 via.add(i);
             }
         }
-        Outcome outcome = switch (chance.nextInt(4)) {
+        Outcome outcome = switch (random.nextInt(4)) {
             case 0 -> new Outcome.Established();
             case 1 -> new Outcome.Deferred();
             default -> new Outcome.Routed(List.of(new Route(via)));
         };
-        Quantifier often = chance.nextInt(3) == 0 ? Quantifier.NEVER : Quantifier.ALWAYS;
+        Quantifier quantifier = random.nextInt(3) == 0 ? Quantifier.NEVER : Quantifier.ALWAYS;
         List<Condition> conditions = new ArrayList<>();
-        if (chance.nextInt(2) == 0) {
+        if (random.nextInt(2) == 0) {
             conditions.add(new Condition.Desk(
-                    1 + chance.nextInt(2), chance.nextBoolean() ? Condition.State.COLD : Condition.State.DRAINING));
+                    1 + random.nextInt(2), random.nextBoolean() ? Condition.State.COLD : Condition.State.DRAINING));
         }
-        Set<Integer> to = chance.nextBoolean() ? Set.of() : Set.of(4 + chance.nextInt(2));
-        return new Expectation(line, "drawn", chance.nextInt(3) - 1, Set.of(), to, often, 100, outcome, conditions);
+        Set<Integer> destinations = random.nextBoolean() ? Set.of() : Set.of(4 + random.nextInt(2));
+        return new Expectation(line, "drawn", random.nextInt(3) - 1, Set.of(), destinations, quantifier, 100, outcome, conditions);
     }
 
     /** True where no contact that both speak of is left without a way that suits both, in any state of both. */
-    private static boolean possible(Expectation one, Expectation other) {
+    private static boolean compatible(Expectation first, Expectation second) {
         for (int skill = 0; skill < 2; skill++) {
-            for (int to = 4; to <= 5; to++) {
-                boolean both = speaks(one, skill, to) && speaks(other, skill, to);
-                if (both && sharedState(one, other) && !wayForBoth(one, other)) {
+            for (int destination = 4; destination <= 5; destination++) {
+                boolean bothApply = appliesTo(first, skill, destination) && appliesTo(second, skill, destination);
+                if (bothApply && haveCommonState(first, second) && !haveCommonRoute(first, second)) {
                     return false;
                 }
             }
@@ -285,34 +285,34 @@
         return true;
     }
 
-    private static boolean speaks(Expectation one, int skill, int to) {
-        return (one.skill() < 0 || one.skill() == skill)
-                && (one.to().isEmpty() || one.to().contains(to));
+    private static boolean appliesTo(Expectation expectation, int skill, int destination) {
+        return (expectation.skill() < 0 || expectation.skill() == skill)
+                && (expectation.destinations().isEmpty() || expectation.destinations().contains(destination));
     }
 
-    private static boolean sharedState(Expectation one, Expectation other) {
+    private static boolean haveCommonState(Expectation first, Expectation second) {
         // Desks 1 and 2 are each right, cold or draining; nothing wrong at all is a state of its own.
         for (int state = 0; state < 9; state++) {
-            if (demanded(one, state) && demanded(other, state)) {
+            if (appliesIn(first, state) && appliesIn(second, state)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean demanded(Expectation one, int state) {
-        if (one.conditions().isEmpty()) {
+    private static boolean appliesIn(Expectation expectation, int state) {
+        if (expectation.conditions().isEmpty()) {
             return state == 0;
         }
-        Condition.Desk desk = (Condition.Desk) one.conditions().get(0);
-        int of = desk.exchange() == 1 ? state % 3 : state / 3;
-        return of == (desk.state() == Condition.State.COLD ? 1 : 2);
+        Condition.Desk desk = (Condition.Desk) expectation.conditions().get(0);
+        int deskState = desk.exchange() == 1 ? state % 3 : state / 3;
+        return deskState == (desk.state() == Condition.State.COLD ? 1 : 2);
     }
 
-    private static boolean wayForBoth(Expectation one, Expectation other) {
-        for (int first = -1; first <= 3; first++) {
-            for (int end = 0; end <= 2; end++) {
-                if (suits(one, first, end) && suits(other, first, end)) {
+    private static boolean haveCommonRoute(Expectation first, Expectation second) {
+        for (int firstExchange = -1; firstExchange <= 3; firstExchange++) {
+            for (int finalState = 0; finalState <= 2; finalState++) {
+                if (satisfies(first, firstExchange, finalState) && satisfies(second, firstExchange, finalState)) {
                     return true;
                 }
             }
@@ -321,15 +321,15 @@
     }
 
     /** A first ring, 0 direct and -1 none, and an end: 0 standing, 1 deferred, 2 abandoned. */
-    private static boolean suits(Expectation one, int first, int end) {
-        boolean is = one.outcome() instanceof Outcome.Established
-                ? end == 0
-                : one.outcome() instanceof Outcome.Deferred ? end == 1 : goes((Outcome.Routed) one.outcome(), first);
-        return is == (one.often() != Quantifier.NEVER);
+    private static boolean satisfies(Expectation expectation, int firstExchange, int finalState) {
+        boolean matches = expectation.outcome() instanceof Outcome.Established
+                ? finalState == 0
+                : expectation.outcome() instanceof Outcome.Deferred ? finalState == 1 : routeMatches((Outcome.Routed) expectation.outcome(), firstExchange);
+        return matches == (expectation.quantifier() != Quantifier.NEVER);
     }
 
-    private static boolean goes(Outcome.Routed goes, int first) {
-        Set<Integer> via = goes.routes().get(0).via();
-        return via.isEmpty() ? first == 0 : via.contains(first);
+    private static boolean routeMatches(Outcome.Routed routed, int firstExchange) {
+        Set<Integer> via = routed.routes().get(0).via();
+        return via.isEmpty() ? firstExchange == 0 : via.contains(firstExchange);
     }
 }
