--- a/src/main/java/martenslip/cli/BenchCommand.java
+++ b/src/main/java/martenslip/cli/BenchCommand.java
@@ -13,35 +13,38 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Long measurements. */
+/** Measures delay and CPU time of an exchange over rates and numbers of lanes. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
-        description = "Measures this program on this machine; 'cores' is one exchange on several lanes.")
+        description = "Measures one exchange on several lanes on this machine.")
 final class BenchCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "WHAT", description = "cores, or full: only the groups that are full")
+    @Parameters(paramLabel = "WHAT", description = "cores: all measurements; full: only the one with full groups")
     private String benchmarkName;
 
-    @Option(names = "--lanes", split = ",", defaultValue = "1,2,4,8", description = "Counts of lanes.")
+    @Option(names = "--lanes", split = ",", defaultValue = "1,2,4,8", description = "Numbers of lanes to measure.")
     private List<Integer> lanes;
 
     @Option(
             names = "--rates",
             split = ",",
             defaultValue = "620,1200,2000,3000,4000,5000,6500,8000,10000",
-            description = "Contacts a second, rising.")
+            description = "Contacts per second, in rising order.")
     private List<Integer> rates;
 
-    @Option(names = "--seconds", defaultValue = "6", description = "How long each rate is held.")
+    @Option(names = "--seconds", defaultValue = "6", description = "Seconds for which each rate is kept up.")
     private int seconds;
 
-    @Option(names = "--into", defaultValue = "target/bench", description = "Folder for files, table and chart.")
+    @Option(
+            names = "--into",
+            defaultValue = "target/bench",
+            description = "Folder for files, table and chart (default: ${DEFAULT-VALUE}).")
     private Path outputFolder;
 
     @Option(
             names = "--java",
             defaultValue = "-XX:+UseParallelGC -XX:ParallelGCThreads=4 -Xms2g -Xmx2g -Xmn1400m",
-            description = "Options of the exchange's virtual machine.")
+            description = "JVM options of the exchange.")
     private String jvmOptions;
 
     @Override
@@ -68,8 +71,8 @@
     }
 
     private void writeCsv(List<CoresBenchmark.RateResult> results) throws IOException {
-        try (PrintStream csv =
-                new PrintStream(Files.newOutputStream(outputFolder.resolve("cores.csv")), false, StandardCharsets.UTF_8)) {
+        try (PrintStream csv = new PrintStream(
+                Files.newOutputStream(outputFolder.resolve("cores.csv")), false, StandardCharsets.UTF_8)) {
             csv.println("lanes,rate,dialled,stood,p50_us,p99_us,p999_us,cpu_ms");
             results.forEach(result -> csv.printf(
                     Locale.ROOT,
--- a/src/main/java/martenslip/cli/CheckCommand.java
+++ b/src/main/java/martenslip/cli/CheckCommand.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Checks an exchange's file without running it. */
+/** Validates an exchange's configuration file without starting the exchange. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Checks an exchange's XML file; says line, path and reason of what is wrong.")
+        description = "Checks an exchange's XML file; prints line, path and reason of each error.")
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
     private Path file;
@@ -22,9 +22,10 @@
     public Integer call() {
         try {
             ExchangeConfiguration configuration = ExchangeFile.read(file);
-            System.out.println(
-                    "exchange " + configuration.number() + ": " + configuration.groups().size() + " groups, "
-                            + configuration.skills().size() + " skills, " + configuration.peers().size() + " peers");
+            System.out.println("exchange " + configuration.number() + ": "
+                    + configuration.groups().size() + " groups, "
+                    + configuration.skills().size() + " skills, "
+                    + configuration.peers().size() + " peers");
             return 0;
         } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
--- a/src/main/java/martenslip/cli/ExpectCommand.java
+++ b/src/main/java/martenslip/cli/ExpectCommand.java
@@ -21,38 +21,50 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Exit codes: 0 all hold, 1 one is broken, 3 two contradict each other, 4 a file is malformed, 2 called wrongly. */
+/**
+ * Checks expectations. Exit codes: 0 all hold, 1 one is broken, 2 wrong arguments or unreadable file, 3 two contradict
+ * each other, 4 a file is malformed.
+ */
 @Command(
         name = "expect",
         mixinStandardHelpOptions = true,
-        description = "Checks routing expectations against an exchange's file, without traffic.")
+        description = "Checks routing expectations against an exchange's configuration, without traffic.")
 final class ExpectCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "FILE", description = "The expectations.")
+    @Parameters(index = "0", paramLabel = "FILE", description = "File with the expectations.")
     private Path expectationsFile;
 
-    @Option(names = "--site", required = true, paramLabel = "XML", description = "The exchange that they are of.")
+    @Option(
+            names = "--site",
+            required = true,
+            paramLabel = "XML",
+            description = "Configuration of the exchange that they apply to.")
     private Path configurationFile;
 
     @Option(
             names = "--others",
             paramLabel = "FOLDER",
-            description = "Files of other exchanges: as tandems they then decide as they would.")
+            description = "Folder with the configurations of other exchanges, so that these route as tandems.")
     private Path otherConfigurationsFolder;
 
-    @Option(names = "--cover", description = "Name skills and destinations that none speaks of.")
+    @Option(names = "--cover", description = "Print skills and destinations without an expectation.")
     private boolean showUncovered;
 
-    @Option(names = "--suggest", description = "Write expectations that hold today.")
+    @Option(names = "--suggest", description = "Print expectations that hold now.")
     private boolean showSuggested;
 
-    @Option(names = "--findings", description = "Name what is weak with no expectation written.")
+    @Option(
+            names = "--findings",
+            description = "Print weaknesses of the configuration, such as unreachable destinations.")
     private boolean showFindings;
 
-    @Option(names = "--against", paramLabel = "XML", description = "An older file of the exchange: tells what changes.")
+    @Option(
+            names = "--against",
+            paramLabel = "XML",
+            description = "Older configuration of the exchange: print which expectations change.")
     private Path olderConfigurationFile;
 
-    @Option(names = "--junit", paramLabel = "FILE", description = "Write the outcome as JUnit does, for CI.")
-    private Path junitReport;
+    @Option(names = "--junit", paramLabel = "FILE", description = "Write the result as a JUnit report, for CI.")
+    private Path junitFile;
 
     @Override
     public Integer call() {
@@ -64,14 +76,19 @@
                 configurations.put(other.number(), other);
             }
             configurations.put(configuration.number(), configuration);
-            ExpectationFile.Contents contents = ExpectationFile.read(expectationsFile.toString(), Files.readString(expectationsFile), configuration);
+            ExpectationFile.Contents contents = ExpectationFile.read(
+                    expectationsFile.toString(), Files.readString(expectationsFile), configuration);
             ExpectationChecker olderChecker = null;
             if (olderConfigurationFile != null) {
                 Map<Integer, ExchangeConfiguration> olderConfigurations = new TreeMap<>(configurations);
                 olderConfigurations.put(configuration.number(), ExchangeFile.read(olderConfigurationFile));
-                olderChecker = new ExpectationChecker(olderConfigurations, configuration.number(), contents, RoutingPolicy::new);
+                olderChecker = new ExpectationChecker(
+                        olderConfigurations, configuration.number(), contents, RoutingPolicy::new);
             }
-            return check(contents, new ExpectationChecker(configurations, configuration.number(), contents, RoutingPolicy::new), olderChecker);
+            return check(
+                    contents,
+                    new ExpectationChecker(configurations, configuration.number(), contents, RoutingPolicy::new),
+                    olderChecker);
         } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
             return 4;
@@ -81,14 +98,20 @@
         }
     }
 
-    /** True where all lines of the file hold for the exchange; what doesn't is printed. */
-    static boolean allHold(Path expectationsFile, ExchangeConfiguration configuration) throws IOException, InvalidFileException {
+    /** Returns whether all expectations of a file hold for the exchange; prints those that don't. */
+    static boolean allHold(Path expectationsFile, ExchangeConfiguration configuration)
+            throws IOException, InvalidFileException {
         ExpectCommand command = new ExpectCommand();
         command.expectationsFile = expectationsFile;
-        ExpectationFile.Contents contents = ExpectationFile.read(expectationsFile.toString(), Files.readString(expectationsFile), configuration);
+        ExpectationFile.Contents contents =
+                ExpectationFile.read(expectationsFile.toString(), Files.readString(expectationsFile), configuration);
         return command.check(
                         contents,
-                        new ExpectationChecker(Map.of(configuration.number(), configuration), configuration.number(), contents, RoutingPolicy::new),
+                        new ExpectationChecker(
+                                Map.of(configuration.number(), configuration),
+                                configuration.number(),
+                                contents,
+                                RoutingPolicy::new),
                         null)
                 == 0;
     }
@@ -98,10 +121,13 @@
             return List.of();
         }
         try (Stream<Path> files = Files.list(otherConfigurationsFolder)) {
-            return files.filter(file -> file.toString().endsWith(".xml")).sorted().toList();
+            return files.filter(file -> file.toString().endsWith(".xml"))
+                    .sorted()
+                    .toList();
         }
     }
 
+    /** Returns the results as a JUnit XML report. */
     private String junitReport(List<ExpectationChecker.Result> results) {
         StringBuilder report = new StringBuilder("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"")
                 .append(escapeXml(expectationsFile.toString()))
@@ -118,7 +144,10 @@
                     .append(": ")
                     .append(escapeXml(result.expectation().text()))
                     .append('"');
-            report.append(result.holds() ? "/>\n" : "><failure message=\"" + escapeXml(result.reason()) + "\"/></testcase>\n");
+            report.append(
+                    result.holds()
+                            ? "/>\n"
+                            : "><failure message=\"" + escapeXml(result.reason()) + "\"/></testcase>\n");
         }
         return report.append("</testsuite>\n").toString();
     }
@@ -130,15 +159,18 @@
                 .replace("\"", "&quot;");
     }
 
+    /** Checks for contradictions, then all expectations; prints what is wrong and returns the exit code. */
     private int check(ExpectationFile.Contents contents, ExpectationChecker checker, ExpectationChecker olderChecker)
             throws IOException {
         long startNs = System.nanoTime();
         List<Contradictions.Contradiction> contradictions = Contradictions.find(contents.expectations());
         for (Contradictions.Contradiction contradiction : contradictions) {
-            System.out.println(
-                    expectationsFile + ":" + contradiction.first().line() + " and :" + contradiction.second().line() + " contradict each other ("
-                            + contradiction.reason() + ")" + (contradiction.state().isEmpty() ? "" : " while " + contradiction.state()) + "\n    "
-                            + contradiction.first().text() + "\n    " + contradiction.second().text());
+            System.out.println(expectationsFile + ":" + contradiction.first().line() + " and :"
+                    + contradiction.second().line() + " contradict each other ("
+                    + contradiction.reason() + ")"
+                    + (contradiction.state().isEmpty() ? "" : " while " + contradiction.state()) + "\n    "
+                    + contradiction.first().text() + "\n    "
+                    + contradiction.second().text());
         }
         if (!contradictions.isEmpty()) {
             return 3;
@@ -149,12 +181,13 @@
             ExpectationChecker.Result result = checker.check(expectation);
             results.add(result);
             if (olderChecker != null && olderChecker.check(expectation).holds() != result.holds()) {
-                System.out.println(
-                        expectationsFile + ":" + expectation.line() + (result.holds() ? " now holds: " : " now breaks: ") + expectation.text());
+                System.out.println(expectationsFile + ":" + expectation.line()
+                        + (result.holds() ? " now holds: " : " now breaks: ") + expectation.text());
             }
             if (!result.holds()) {
                 broken.add(result);
-                System.out.println(expectationsFile + ":" + expectation.line() + " broken: " + expectation.text() + "\n    " + result.reason());
+                System.out.println(expectationsFile + ":" + expectation.line() + " broken: " + expectation.text()
+                        + "\n    " + result.reason());
             }
         }
         System.out.printf(
@@ -165,14 +198,15 @@
                 broken.size(),
                 checker.trialCount(),
                 (System.nanoTime() - startNs) / 1e9);
-        if (junitReport != null) {
-            Files.writeString(junitReport, junitReport(results));
+        if (junitFile != null) {
+            Files.writeString(junitFile, junitReport(results));
         }
         if (showFindings) {
-            checker.findings().forEach(expectation -> System.out.println("finding: " + expectation));
+            checker.findings().forEach(finding -> System.out.println("finding: " + finding));
         }
         if (showUncovered) {
-            checker.uncovered(contents.expectations()).forEach(expectation -> System.out.println("not spoken of: " + expectation));
+            checker.uncovered(contents.expectations())
+                    .forEach(uncovered -> System.out.println("not spoken of: " + uncovered));
         }
         if (showSuggested) {
             checker.suggested().forEach(System.out::println);
--- a/src/main/java/martenslip/cli/Main.java
+++ b/src/main/java/martenslip/cli/Main.java
@@ -12,11 +12,14 @@
 import martenslip.simulatorprotocol.SimulatorProtocol;
 import sun.misc.Signal;
 
-/** The way in. The drill's CPU is billed and a controller in service has little memory, so both are
- * reached before any library is. */
+/**
+ * The entry point. {@code drill} and {@code serve} start before any library is loaded: the CPU time of {@code drill} is
+ * billed, and {@code serve} runs with little memory.
+ */
 public final class Main {
     private Main() {}
 
+    /** Runs the command that the arguments name; the exit code is described at {@link RootCommand}. */
     public static void main(String[] arguments) {
         if (arguments.length == 1 && arguments[0].equals("drill")) {
             serveSimulatorProtocol();
@@ -29,7 +32,7 @@
         }
     }
 
-    /** The signals are taken first of all: a SIGHUP that comes early would end the process. */
+    /** Installs the signal handlers first: a SIGHUP that arrived before them would end the process. */
     private static void serve() {
         ReloadSignal reloadSignal = new ReloadSignal();
         Signal.handle(new Signal("HUP"), signal -> reloadSignal.request());
@@ -56,7 +59,7 @@
         }
     }
 
-    /** For the build: the JVM keeps an archive of what this loads. */
+    /** Used by the build: the JVM archives the classes that this loads (class data sharing). */
     private static void recordClassArchive() {
         try {
             CdsTrainingRun.run(RoutingPolicy::new);
--- a/src/main/java/martenslip/cli/MeasureCommand.java
+++ b/src/main/java/martenslip/cli/MeasureCommand.java
@@ -10,16 +10,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Reads what controllers add to a set-up from a capture. */
+/** Measures from a capture how much delay controllers add to a set-up. */
 @Command(
         name = "measure",
         mixinStandardHelpOptions = true,
-        description = "Prints what controllers add to a set-up, as a capture shows it.")
+        description = "Prints the delay that controllers add to a set-up, measured from a capture.")
 final class MeasureCommand implements Callable<Integer> {
     @Parameters(paramLabel = "CAPTURE")
     private Path file;
 
-    @Option(names = "--each", paramLabel = "SECONDS", description = "A row for every so many seconds too.")
+    @Option(
+            names = "--each",
+            paramLabel = "SECONDS",
+            description = "Also print a row for each interval of this many seconds.")
     private int intervalSeconds;
 
     @Override
--- a/src/main/java/martenslip/cli/PlayCommand.java
+++ b/src/main/java/martenslip/cli/PlayCommand.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays a day on loopback sockets and proves the rules from its capture. */
+/** Plays a day on loopback sockets and checks the rules in its capture. */
 @Command(
         name = "play",
         mixinStandardHelpOptions = true,
-        description = "Plays a day file over loopback sockets, prints a table and proves the rules.")
+        description = "Plays a day file over loopback sockets, prints a table and checks the rules.")
 final class PlayCommand implements Callable<Integer> {
     @Parameters(paramLabel = "DAY")
     private Path file;
@@ -23,18 +23,18 @@
     @Option(
             names = "--into",
             paramLabel = "FOLDER",
-            description = "Where capture, files and logs go " + "(default: target/play/NAME).")
+            description = "Folder for capture, files and logs " + "(default: target/play/NAME).")
     private Path outputFolder;
 
     @Option(
             names = "--java",
             paramLabel = "OPTIONS",
-            description = "Options of the controllers' virtual machines " + "(default: ${DEFAULT-VALUE}).",
+            description = "JVM options of the controllers " + "(default: ${DEFAULT-VALUE}).",
             defaultValue = "-XX:+UseParallelGC -XX:ParallelGCThreads=2 "
                     + "-XX:TieredStopAtLevel=1 -Xms256m -Xmx512m -Xmn128m")
     private String jvmOptions;
 
-    @Option(names = "--lanes", paramLabel = "N", description = "Lanes of each controller, whatever the day says.")
+    @Option(names = "--lanes", paramLabel = "N", description = "Lanes of each controller; overrides the day file.")
     private int lanes;
 
     @Override
@@ -44,7 +44,7 @@
             Path folder = outputFolder != null ? outputFolder : Path.of("target", "play", day.name());
             boolean rulesKept =
                     new ScenarioRunner(day, folder, List.of(jvmOptions.trim().split(" +")), lanes, System.out).run();
-            // Stand-ins' readers may still wait on sockets; what was to be said is said.
+            // Reader threads of stand-ins may still block on sockets, so the process is left without joining them.
             System.out.flush();
             return rulesKept ? 0 : 1;
         } catch (InvalidFileException e) {
--- a/src/main/java/martenslip/cli/ProveCommand.java
+++ b/src/main/java/martenslip/cli/ProveCommand.java
@@ -7,11 +7,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Proves the rules from a capture. */
+/** Checks the rules in a capture. */
 @Command(
         name = "prove",
         mixinStandardHelpOptions = true,
-        description = "Judges the five rules from a capture; exit code 1 where one is broken.")
+        description = "Checks the five rules in a capture; exit code 1 if one is broken.")
 final class ProveCommand implements Callable<Integer> {
     @Parameters(paramLabel = "CAPTURE")
     private Path file;
--- a/src/main/java/martenslip/cli/RootCommand.java
+++ b/src/main/java/martenslip/cli/RootCommand.java
@@ -3,7 +3,10 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line. Exit codes: 0 done, 1 it ran and what it checks is wrong, 2 it was called wrongly. */
+/**
+ * The command line. Exit codes: 0 success, 1 the command ran and what it checks is wrong, 2 wrong arguments or an
+ * input/output error. {@link ExpectCommand} has two more.
+ */
 @Command(
         name = "martenslip",
         mixinStandardHelpOptions = true,
--- a/src/main/java/martenslip/cli/RunCommand.java
+++ b/src/main/java/martenslip/cli/RunCommand.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Runs one exchange until SIGTERM. */
+/** Runs the controller of one exchange until SIGTERM. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
@@ -28,13 +28,16 @@
     @Parameters(paramLabel = "FILE")
     private Path file;
 
-    @Option(names = "--figures", description = "Print the counts every so many seconds.", paramLabel = "SECONDS")
+    @Option(names = "--figures", description = "Print the counts at this interval.", paramLabel = "SECONDS")
     private int statisticsIntervalSeconds;
 
-    @Option(names = "--expect", paramLabel = "FILE", description = "Start only where these expectations hold.")
+    @Option(names = "--expect", paramLabel = "FILE", description = "Start only if these expectations hold.")
     private Path expectations;
 
-    @Option(names = "--planted", hidden = true, description = "Reads stalls to plant from standard input, for plays.")
+    @Option(
+            names = "--planted",
+            hidden = true,
+            description = "Reads commands that stall lanes from standard input, for play.")
     private boolean readStalls;
 
     @Override
@@ -77,7 +80,10 @@
         return 0;
     }
 
-    /** Lines of: stall LANE MS [START], where a START means amid the next send of a message that begins with it. */
+    /**
+     * Reads lines of the form {@code stall LANE MS [START]}. With a START, the lane stalls during the next send of a
+     * message that begins with this text.
+     */
     private static void readStallCommands(Exchange exchange) {
         BufferedReader input = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
         input.lines()
@@ -89,6 +95,7 @@
                         fields.length < 4 || fields[3].isEmpty() ? null : fields[3]));
     }
 
+    /** Returns the longest patience of a skill, plus half a second. */
     private static Span drainTimeout(ExchangeConfiguration configuration) {
         Span longestPatience = Span.ZERO;
         for (Skill skill : configuration.skills()) {
@@ -97,13 +104,14 @@
         return longestPatience.plus(Span.ofMillis(500));
     }
 
-    /** SIGTERM runs the hook, which lets the process end only once what is owed is answered. */
+    /** Waits for SIGTERM, whose shutdown hook answers the open contacts before the process ends. */
     private void awaitShutdown(Exchange exchange, Span drainTimeout) throws InterruptedException {
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
                 boolean allAnswered = exchange.drain(drainTimeout);
-                System.out.println("ended " + (allAnswered ? "in good order " : "with answers owed ") + exchange.statistics());
+                System.out.println(
+                        "ended " + (allAnswered ? "in good order " : "with answers owed ") + exchange.statistics());
                 System.out.flush();
                 exchange.close();
             } catch (InterruptedException e) {
@@ -112,7 +120,9 @@
                 stopped.countDown();
             }
         }));
-        while (!stopped.await(statisticsIntervalSeconds > 0 ? statisticsIntervalSeconds : 3600, java.util.concurrent.TimeUnit.SECONDS)) {
+        while (!stopped.await(
+                statisticsIntervalSeconds > 0 ? statisticsIntervalSeconds : 3600,
+                java.util.concurrent.TimeUnit.SECONDS)) {
             if (statisticsIntervalSeconds > 0) {
                 System.out.println("figures " + exchange.statistics());
                 System.out.flush();
--- a/src/main/java/martenslip/cli/ServeCommand.java
+++ b/src/main/java/martenslip/cli/ServeCommand.java
@@ -2,8 +2,8 @@
 
 import picocli.CommandLine.Command;
 
-/** Stands in the help; {@link Main} runs it before any library is loaded. */
-@Command(name = "serve", description = "Serves on the platform, as ROUTER_CONFIG says.")
+/** Lists the command in the help; {@link Main} runs it itself, before any library is loaded. */
+@Command(name = "serve", description = "Runs as a service of the platform; ROUTER_CONFIG names its configuration file.")
 final class ServeCommand implements Runnable {
     @Override
     public void run() {
--- /dev/null
+++ b/src/main/java/martenslip/cli/package-info.java
@@ -0,0 +1,2 @@
+/** The command line: one class per subcommand. */
+package martenslip.cli;
--- a/src/main/java/martenslip/configuration/ExchangeConfiguration.java
+++ b/src/main/java/martenslip/configuration/ExchangeConfiguration.java
@@ -9,8 +9,9 @@
 import martenslip.sip.transport.Hop;
 
 /**
- * One exchange as its file describes it, checked whole. {@code groups} and {@code peers} are by the number of
- * the far exchange; {@code udp} and {@code tcp} are null where that listener is not wanted.
+ * The validated configuration of one exchange. {@code groups} and {@code peers} are keyed by the number of the far
+ * exchange; {@code udp} and {@code tcp} are null where the exchange has no such listener. {@code region} and {@code
+ * defaultSkill} are indexes into {@code regions} and {@code skills}.
  */
 public record ExchangeConfiguration(
         int number,
@@ -33,15 +34,26 @@
         RuleParameters rules,
         List<String> configuredReportFields,
         Map<Integer, Peer> peers) {
+    /** A trunk group and the number of its circuits. */
     public record Group(String name, int farExchange, int circuits) {}
 
+    /**
+     * Limits of the exchange: rings per contact, open contacts, the largest time after which a deferred caller is asked
+     * to try again, the silence after which a switch counts as silent, and the number of lanes.
+     */
     public record Limits(int maxRings, int maxOpenContacts, Span maxRetryAfter, Span silenceTimeout, int lanes) {}
 
+    /** Parameters of the rules that each controller must keep. */
     public record RuleParameters(Span releaseTime, double coldShare, Span warmWithin, double fallMultiple) {}
 
+    /** The controller of another exchange. */
     public record Peer(int exchange, String uri, Hop hop) {}
 
-    /** The module's plain map of names to values. {@code round} is how late a clock may be heard. */
+    /**
+     * Returns the settings of the routing policy by name.
+     *
+     * @param maxTimerLateness how late a timer may expire
+     */
     public Map<String, String> settings(Span maxTimerLateness) {
         Map<String, String> settings = new TreeMap<>();
         settings.put("classes.count", "" + skills.size());
@@ -49,14 +61,16 @@
             Skill skill = skills.get(i);
             settings.put("classes." + i + ".worth", "" + skill.value());
             settings.put("classes." + i + ".aim-ns", "" + skill.answerTarget().ns());
-            settings.put("classes." + i + ".hard-limit-ns", "" + skill.patience().ns());
+            settings.put(
+                    "classes." + i + ".hard-limit-ns", "" + skill.patience().ns());
         }
         settings.put("family-info.home-no", "" + number);
         settings.put("family-info.release-ns", "" + rules.releaseTime().ns());
         settings.put(
                 "family-info.mean-hold-ns",
                 joined(skills.stream().map(skill -> skill.meanHold().ns()).toList()));
-        settings.put("family-info.widths", joined(skills.stream().map(Skill::width).toList()));
+        settings.put(
+                "family-info.widths", joined(skills.stream().map(Skill::width).toList()));
         settings.put("guarantees.cold-share", "" + rules.coldShare());
         settings.put("guarantees.warm-within-ns", "" + rules.warmWithin().ns());
         settings.put("guarantees.fall-multiple", "" + rules.fallMultiple());
@@ -64,7 +78,8 @@
         settings.put("policy-limits.cancel", "true");
         settings.put("policy-limits.peers", "" + !peers.isEmpty());
         settings.put("policy-limits.retry-after", "true");
-        settings.put("policy-limits.max-retry-after-ns", "" + limits.maxRetryAfter().ns());
+        settings.put(
+                "policy-limits.max-retry-after-ns", "" + limits.maxRetryAfter().ns());
         settings.put("policy-limits.probes", "true");
         settings.put("report.fields", joined(reportFields()));
         settings.put("discovery", "subscribe");
@@ -72,7 +87,7 @@
         return settings;
     }
 
-    /** The values of a load report in the module's order. */
+    /** Returns the names of the values of a switch report, in the order in which the routing policy reads them. */
     public List<String> reportFields() {
         List<String> fields = new java.util.ArrayList<>(List.of("spare", "total"));
         fields.addAll(configuredReportFields);
--- a/src/main/java/martenslip/configuration/ExchangeFile.java
+++ b/src/main/java/martenslip/configuration/ExchangeFile.java
@@ -15,7 +15,7 @@
 import martenslip.sip.transport.Hop;
 import martenslip.sip.transport.HopResolver;
 
-/** An exchange's XML file into a {@link ExchangeConfiguration}: first its schema, then what the parts say of each other. */
+/** Reads an exchange's XML file: validates it against its schema, then checks references between its parts. */
 public final class ExchangeFile {
     private static final XmlFileReader XML_READER = XmlFileReader.forSchema("exchange.xsd");
 
@@ -26,16 +26,29 @@
         this.root = root;
     }
 
+    /**
+     * Reads the file; relative paths in it start at its folder.
+     *
+     * @throws InvalidFileException with all errors that were found
+     */
     public static ExchangeConfiguration read(Path file) throws IOException, InvalidFileException {
-        return read(file.toString(), XML_READER.read(file), file.toAbsolutePath().getParent());
+        return read(
+                file.toString(), XML_READER.read(file), file.toAbsolutePath().getParent());
     }
 
-    /** {@code beside} is the folder that relative paths in the file begin at. */
+    /**
+     * Reads the bytes of a file.
+     *
+     * @param name name of the file in error messages
+     * @param baseFolder folder at which relative paths in the file start
+     * @throws InvalidFileException with all errors that were found
+     */
     public static ExchangeConfiguration read(String name, byte[] bytes, Path baseFolder) throws InvalidFileException {
         return read(name, XML_READER.read(name, bytes), baseFolder);
     }
 
-    private static ExchangeConfiguration read(String name, XmlElement root, Path baseFolder) throws InvalidFileException {
+    private static ExchangeConfiguration read(String name, XmlElement root, Path baseFolder)
+            throws InvalidFileException {
         ExchangeFile file = new ExchangeFile(root);
         ExchangeConfiguration configuration = file.build(baseFolder);
         if (!file.errors.isEmpty()) {
@@ -59,7 +72,7 @@
         InetSocketAddress udp = address(listenElement, "udp");
         InetSocketAddress tcp = address(listenElement, "tcp");
         if (udp == null && tcp == null && errors.isEmpty()) {
-            errors.add(listenElement.error("neither udp nor tcp is listened on"));
+            errors.add(listenElement.error("neither udp nor tcp is configured"));
         }
         List<Skill> skills = skills();
         XmlElement skillsElement = root.child("skills");
@@ -109,7 +122,7 @@
 
     private void rejectDuplicate(boolean duplicate, XmlElement element, String attribute, String kind) {
         if (duplicate) {
-            errors.add(element.error(attribute, kind + " " + element.text(attribute) + " stands twice"));
+            errors.add(element.error(attribute, kind + " " + element.text(attribute) + " appears twice"));
         }
     }
 
@@ -163,7 +176,8 @@
         PrefixTable prefixes = new PrefixTable();
         for (XmlElement element : root.child("numbering").children()) {
             if (!prefixes.add(element.text("digits"), element.integer("exchange"))) {
-                errors.add(element.error("digits", element.text("digits") + " leads to another exchange already"));
+                errors.add(
+                        element.error("digits", element.text("digits") + " is already assigned to another exchange"));
             }
         }
         return prefixes;
@@ -173,11 +187,11 @@
         Map<Integer, ExchangeConfiguration.Group> groups = new TreeMap<>();
         Set<String> names = new HashSet<>();
         for (XmlElement element : root.child("groups").children()) {
-            ExchangeConfiguration.Group group =
-                    new ExchangeConfiguration.Group(element.text("name"), element.integer("far"), element.integer("circuits"));
+            ExchangeConfiguration.Group group = new ExchangeConfiguration.Group(
+                    element.text("name"), element.integer("far"), element.integer("circuits"));
             rejectDuplicate(!names.add(group.name()), element, "name", "group");
             if (group.farExchange() == ownNumber) {
-                errors.add(element.error("far", "a group leads to another exchange, not to its own"));
+                errors.add(element.error("far", "a group must lead to another exchange, not to its own"));
             }
             if (groups.put(group.farExchange(), group) != null) {
                 errors.add(element.error("far", "exchange " + group.farExchange() + " has a group already"));
@@ -189,13 +203,13 @@
     private Map<Integer, ExchangeConfiguration.Peer> peers(int ownNumber) {
         Map<Integer, ExchangeConfiguration.Peer> peers = new TreeMap<>();
         for (XmlElement element : root.child("peers").children()) {
-            ExchangeConfiguration.Peer peer =
-                    new ExchangeConfiguration.Peer(element.integer("exchange"), element.text("uri"), hop(element, "uri"));
+            ExchangeConfiguration.Peer peer = new ExchangeConfiguration.Peer(
+                    element.integer("exchange"), element.text("uri"), hop(element, "uri"));
             if (peer.exchange() == ownNumber) {
-                errors.add(element.error("exchange", "the exchange is no peer of itself"));
+                errors.add(element.error("exchange", "an exchange can't be its own peer"));
             }
             if (peers.put(peer.exchange(), peer) != null) {
-                errors.add(element.error("exchange", "peer " + peer.exchange() + " stands twice"));
+                errors.add(element.error("exchange", "peer " + peer.exchange() + " appears twice"));
             }
         }
         return peers;
--- a/src/main/java/martenslip/configuration/FileError.java
+++ b/src/main/java/martenslip/configuration/FileError.java
@@ -1,6 +1,6 @@
 package martenslip.configuration;
 
-/** What is wrong with an XML file, and where: line, path of elements, reason. */
+/** An error in a configuration or expectations file: line, path of elements or column, and reason. */
 public record FileError(int line, String path, String reason) {
     @Override
     public String toString() {
--- a/src/main/java/martenslip/configuration/PrefixTable.java
+++ b/src/main/java/martenslip/configuration/PrefixTable.java
@@ -8,8 +8,9 @@
 import java.util.TreeSet;
 
 /**
- * Numbers to exchanges by the longest prefix that was given: a trie by digits, with the plus sign as an eleventh. A
- * look-up costs the number's digits, whatever the number of prefixes. Immutable once built.
+ * Maps numbers to exchanges by longest prefix. A trie over the digits and the plus sign: a lookup takes time
+ * proportional to the number's length, independent of the number of prefixes. It must not change once it is shared
+ * between threads.
  */
 public final class PrefixTable {
     private static final int BRANCHES = 11;
@@ -17,23 +18,30 @@
 
     private static final class TrieNode {
         final TrieNode[] children = new TrieNode[BRANCHES];
+        /** The exchange that the prefix is assigned to, or -1. */
         int exchange = -1;
     }
 
     private final TrieNode root = new TrieNode();
     private final SortedMap<String, Integer> exchangesByPrefix = new TreeMap<>();
 
+    /** Returns the index of the branch for a character, or -1 where it is neither a digit nor a plus sign. */
     private static int branch(char character) {
         return character == '+' ? PLUS_BRANCH : character >= '0' && character <= '9' ? character - '0' : -1;
     }
 
-    /** False where the prefix leads elsewhere already. Digits, with a plus sign before them or without. */
+    /**
+     * Adds a prefix.
+     *
+     * @param digits digits with or without a leading plus sign
+     * @return false where the prefix is already assigned to another exchange
+     */
     public boolean add(String digits, int exchange) {
         TrieNode node = root;
         for (int i = 0; i < digits.length(); i++) {
             int branch = branch(digits.charAt(i));
             if (branch < 0) {
-                throw new IllegalArgumentException("no digits: " + digits);
+                throw new IllegalArgumentException("prefix is not made of digits: " + digits);
             }
             if (node.children[branch] == null) {
                 node.children[branch] = new TrieNode();
@@ -48,7 +56,7 @@
         return true;
     }
 
-    /** A prefix that leads to the exchange, or null: the first in the order of their text. */
+    /** Returns the first prefix, in alphabetical order, that is assigned to the exchange; null where there is none. */
     public String firstPrefixOf(int exchange) {
         return exchangesByPrefix.entrySet().stream()
                 .filter(entry -> entry.getValue() == exchange)
@@ -57,16 +65,17 @@
                 .orElse(null);
     }
 
-    /** All exchanges that some prefix leads to. */
+    /** Returns all exchanges that have a prefix. */
     public SortedSet<Integer> exchanges() {
         return new TreeSet<>(exchangesByPrefix.values());
     }
 
-    /** The exchange where the number ends, or -1. */
+    /** Returns the exchange that the longest matching prefix is assigned to, or -1. */
     public int exchangeForNumber(String number) {
         return longestPrefixMatch(number, number.length());
     }
 
+    /** Returns the exchange of the longest matching prefix of at most the given length, or -1. */
     private int longestPrefixMatch(String number, int lengthLimit) {
         int exchange = -1;
         TrieNode node = root;
@@ -78,15 +87,16 @@
         return exchange;
     }
 
-    /** Prefixes that change nothing, as a shorter one leads to the same exchange. */
+    /** Returns the prefixes without effect: without them, a shorter one leads to the same exchange. */
     public List<String> redundant() {
         return exchangesByPrefix.entrySet().stream()
-                .filter(entry -> longestPrefixMatch(entry.getKey(), entry.getKey().length() - 1) == entry.getValue())
+                .filter(entry ->
+                        longestPrefixMatch(entry.getKey(), entry.getKey().length() - 1) == entry.getValue())
                 .map(entry -> entry.getKey())
                 .toList();
     }
 
-    /** Prefixes that no number of further digits meets, as longer ones take each digit that may follow. */
+    /** Returns the prefixes whose numbers all match longer prefixes, whichever digit follows. */
     public List<String> shadowed() {
         List<String> shadowed = new ArrayList<>();
         exchangesByPrefix.keySet().forEach(digits -> {
--- a/src/main/java/martenslip/configuration/XmlFileReader.java
+++ b/src/main/java/martenslip/configuration/XmlFileReader.java
@@ -25,8 +25,8 @@
 import org.xml.sax.helpers.XMLFilterImpl;
 
 /**
- * Reads an XML file against a schema, whole or not at all. Document types are not read, so neither are entities,
- * inner or outer ones. Each call has a parser of its own: any thread may call.
+ * Reads and validates XML files against a schema; an invalid file yields errors only. Document types are rejected, and
+ * with them internal and external entities. Thread-safe: each call uses a parser of its own.
  */
 public final class XmlFileReader {
     private static final int MAX_REPORTED_ERRORS = 20;
@@ -36,7 +36,7 @@
     private final String schemaName;
     private final Schema schema;
     private final Deque<ParserTools> idleParsers = new ArrayDeque<>();
-    /** Looking a factory up costs more than reading a short text with it. */
+    /** Kept, as looking up a factory takes longer than reading a short text with it. */
     private final SAXParserFactory parserFactory = SAXParserFactory.newInstance();
 
     private XmlFileReader(String schemaName, Schema schema) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** A reader for the schema that stands in the program under this name. */
+    /** Returns a reader for the schema with this resource name below {@code /martenslip/}. */
     public static XmlFileReader forSchema(String schemaName) {
         try (InputStream in = XmlFileReader.class.getResourceAsStream("/martenslip/" + schemaName)) {
             SchemaFactory factory = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
@@ -63,15 +63,24 @@
         }
     }
 
+    /**
+     * Reads a file and returns its root element.
+     *
+     * @throws InvalidFileException with up to 20 errors, or one where the file is larger than 16 MiB
+     */
     public XmlElement read(Path file) throws IOException, InvalidFileException {
         if (Files.size(file) > MAX_FILE_BYTES) {
             throw new InvalidFileException(
-                    file.toString(), List.of(new FileError(0, "/", "over " + MAX_FILE_BYTES + " bytes")));
+                    file.toString(), List.of(new FileError(0, "/", "larger than " + MAX_FILE_BYTES + " bytes")));
         }
         return read(file.toString(), Files.readAllBytes(file));
     }
 
-    /** {@code what} names the text in errors. */
+    /**
+     * Reads a text and returns its root element.
+     *
+     * @param sourceName name of the text in error messages
+     */
     public XmlElement read(String sourceName, byte[] bytes) throws InvalidFileException {
         Builder builder = new Builder();
         ParserTools tools = acquire();
@@ -80,18 +89,19 @@
         validator.setErrorHandler(builder);
         try {
             XMLReader reader = tools.reader();
-            // Names are noted before the validator sees an element, so that its errors bear the element's own path.
+            // Records names before the validator sees an element, so that errors have the path of the element.
             XMLFilterImpl nameTracker = new XMLFilterImpl(reader) {
                 @Override
-                public void startElement(String space, String local, String qualified, Attributes attributes)
+                public void startElement(
+                        String namespace, String localName, String qualifiedName, Attributes attributes)
                         throws SAXException {
-                    builder.openNames.addLast(local);
-                    super.startElement(space, local, qualified, attributes);
+                    builder.openNames.addLast(localName);
+                    super.startElement(namespace, localName, qualifiedName, attributes);
                 }
 
                 @Override
-                public void endElement(String space, String local, String qualified) throws SAXException {
-                    super.endElement(space, local, qualified);
+                public void endElement(String namespace, String localName, String qualifiedName) throws SAXException {
+                    super.endElement(namespace, localName, qualifiedName);
                     builder.openNames.removeLast();
                 }
             };
@@ -113,7 +123,7 @@
         return builder.root;
     }
 
-    /** A parser and a validator cost more to make than a short text costs to read, so they are used again. */
+    /** Reused, as creating a parser and a validator takes longer than reading a short text with them. */
     private record ParserTools(XMLReader reader, ValidatorHandler validator) {}
 
     private synchronized ParserTools acquire() {
@@ -134,6 +144,7 @@
         }
     }
 
+    /** Builds the tree of elements and collects errors. */
     private static final class Builder extends DefaultHandler {
         private final Deque<XmlElement> openElements = new ArrayDeque<>();
         private final Deque<String> openNames = new ArrayDeque<>();
@@ -180,15 +191,16 @@
         }
 
         private void addError(SAXParseException exception) {
-            FileError error = new FileError(exception.getLineNumber(), path(), withoutErrorCode(exception.getMessage()));
+            FileError error =
+                    new FileError(exception.getLineNumber(), path(), withoutErrorCode(exception.getMessage()));
             if (errors.size() < MAX_REPORTED_ERRORS && !errors.contains(error)) {
                 errors.add(error);
             }
         }
 
-        /** Without the parser's own code in front, which says nothing to staff. */
+        /** Removes the error code that the parser puts in front, which means nothing to the operators. */
         private static String withoutErrorCode(String message) {
-            return message == null ? "not XML" : message.replaceFirst("^cvc-[A-Za-z0-9.\\-]+: ", "");
+            return message == null ? "not well-formed XML" : message.replaceFirst("^cvc-[A-Za-z0-9.\\-]+: ", "");
         }
     }
 }
--- a/src/main/java/martenslip/expect/ContactTrial.java
+++ b/src/main/java/martenslip/expect/ContactTrial.java
@@ -21,29 +21,36 @@
 import martenslip.expect.Expectation.Condition;
 
 /**
- * One contact through the very module, in a world that is told by hand: lists, groups and reports as the conditions
- * say, time driven. Tandems whose files are known decide with a module of their own; others turn back, or all lead on where no file but
- * the first is known. Deterministic by
- * its seed; without I/O.
+ * Simulates how one contact is routed. Switch list, group sizes and switch reports follow from the conditions of an
+ * expectation; events run in simulated time. An exchange whose configuration is known decides with a controller of its
+ * own. Other tandems reject the contact, or connect it where only the origin's configuration is known. The result
+ * depends on the seed and the arguments only; no I/O.
  */
 public final class ContactTrial {
+    /** How the contact ended: established, or refused by one of the two final refusals. */
     public enum FinalState {
         STOOD,
         DEFERRED,
         ABANDONED
     }
 
-    /** The exchanges that the first exchange's rings went to, in turn, with what became of each, and the end. */
+    /** The exchanges that the origin's rings went to, in order, the result of each ring, and the contact's final state. */
     public record RouteTaken(List<Integer> triedExchanges, List<String> ringResults, FinalState finalState) {}
 
     private static final Span NETWORK_DELAY = Span.ofMillis(5);
     private static final Moment START_TIME = new Moment(Span.ofMillis(1_000_000).ns());
-    /** Past each rule's span, so a state is settled when the contact comes. */
+    /** Appended to a prefix to form a dialled number. */
     private static final String LAST_DIGITS = "00000";
 
+    /** Longer than any period of the rules, so that a state is known and in force before the contact is offered. */
     private static final Span SETTLING_TIME = Span.ofMillis(60_000);
 
-    private record Event(Moment at, long sequence, Runnable action) {}
+    private static final Span DEADLINE_MARGIN = Span.ofMillis(1000);
+    private static final Span MAX_TIMER_LATENESS = Span.ofMillis(25);
+    /** After this time, or the limit of the ring if that is shorter, a ring without an answer ends. */
+    private static final Span NO_ANSWER_TIMEOUT = Span.ofMillis(900);
+
+    private record Event(Moment time, long sequence, Runnable action) {}
 
     private final Map<Integer, ExchangeConfiguration> configurations;
     private final Map<Integer, String> regionsByExchange;
@@ -54,7 +61,7 @@
     private final Map<String, Integer> freeCircuitsByGroup = new HashMap<>();
     private final Map<Integer, SimulatedController> controllers = new HashMap<>();
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::sequence));
+            new PriorityQueue<>(Comparator.comparing(Event::time).thenComparing(Event::sequence));
     private final List<Integer> triedExchanges = new ArrayList<>();
     private final List<String> ringResults = new ArrayList<>();
     private String cutRegion;
@@ -62,7 +69,13 @@
     private Moment now = START_TIME;
     private FinalState finalState;
 
-    /** {@code sites} holds the files of this and, as far as known, other exchanges. */
+    /**
+     * Prepares a trial.
+     *
+     * @param configurations configurations by exchange number: of the origin and, as far as known, of others
+     * @param originNumber number of the exchange that the contact is offered to
+     * @param conditions state of switches, groups and regions during the trial
+     */
     public ContactTrial(
             Map<Integer, ExchangeConfiguration> configurations,
             int originNumber,
@@ -86,20 +99,26 @@
         }
     }
 
-    /** Offers a contact of the skill for the exchange, and gives its way; each event is taken at its time. */
+    /** Offers a contact of the skill for the destination and returns the route that it took. Call once per trial. */
     public RouteTaken offer(int skill, int destination) {
         SimulatedController originController = controllerOf(origin.number());
         Skill skillConfiguration = origin.skills().get(skill);
-        Moment deadline = now.plus(SETTLING_TIME).plus(skillConfiguration.patience().times(2)).plus(Span.ofMillis(1000));
+        Moment deadline = now.plus(SETTLING_TIME)
+                .plus(skillConfiguration.patience().times(2))
+                .plus(DEADLINE_MARGIN);
         if (switchStates.containsValue(Condition.State.SILENT)) {
             detectSilentSwitches(originController, deadline);
         }
         originController.offerContact(destination, skill, -1, skillConfiguration.patience(), null);
         runUntil(deadline);
-        return new RouteTaken(List.copyOf(triedExchanges), List.copyOf(ringResults), finalState == null ? FinalState.ABANDONED : finalState);
+        // A contact without a final answer by the deadline counts as abandoned.
+        return new RouteTaken(
+                List.copyOf(triedExchanges),
+                List.copyOf(ringResults),
+                finalState == null ? FinalState.ABANDONED : finalState);
     }
 
-    /** A switch is known as silent by a ring that it swallowed: contacts for it come first, and are let hang. */
+    /** A controller knows a switch as silent once a ring got no answer, so a contact for each silent switch comes first. */
     private void detectSilentSwitches(SimulatedController originController, Moment deadline) {
         switchStates.forEach((exchange, state) -> {
             if (state == Condition.State.SILENT && exchange != origin.number()) {
@@ -117,11 +136,11 @@
         ringResults.clear();
     }
 
-    /** Takes events at their times until the contact has its end. */
+    /** Runs events in the order of their times until a contact of the origin ends or the deadline is reached. */
     private void runUntil(Moment deadline) {
-        while (finalState == null && !events.isEmpty() && events.peek().at().before(deadline)) {
+        while (finalState == null && !events.isEmpty() && events.peek().time().before(deadline)) {
             Event event = events.poll();
-            now = event.at();
+            now = event.time();
             event.action().run();
         }
     }
@@ -130,6 +149,7 @@
         events.add(new Event(now.plus(delay), nextSequence++, action));
     }
 
+    /** Returns the controller of an exchange; creates it at its first use. */
     private SimulatedController controllerOf(int exchange) {
         return controllers.computeIfAbsent(exchange, ignored -> new SimulatedController(configurations.get(exchange)));
     }
@@ -140,17 +160,21 @@
                 || severed(origin.number(), exchange);
     }
 
+    /** Returns whether the two exchanges are on different sides of a region that is cut off. */
     private boolean severed(int firstExchange, int secondExchange) {
-        return cutRegion != null && cutRegion.equals(regionsByExchange.get(firstExchange)) != cutRegion.equals(regionsByExchange.get(secondExchange));
+        return cutRegion != null
+                && cutRegion.equals(regionsByExchange.get(firstExchange))
+                        != cutRegion.equals(regionsByExchange.get(secondExchange));
     }
 
+    /** Receives the result of a ring at the exchange that ordered it. */
     private interface RingResultHandler {
         void established();
 
         void rejected(RingEndCause cause, RejectionReason reason);
     }
 
-    /** One exchange with its module. */
+    /** One exchange with its controller. The identifier of a switch is its exchange number + 1. */
     private final class SimulatedController implements Orders {
         private final ExchangeConfiguration configuration;
         private final Controller controller;
@@ -161,7 +185,8 @@
 
         SimulatedController(ExchangeConfiguration configuration) {
             this.configuration = configuration;
-            controller = controllerFactory.create(configuration.settings(Span.ofMillis(25)), seed * 1009 + configuration.number(), now, this);
+            controller = controllerFactory.create(
+                    configuration.settings(MAX_TIMER_LATENESS), seed * 1009 + configuration.number(), now, this);
             List<SwitchEntry> entries = new ArrayList<>();
             for (int exchange : configuration.numbering().exchanges()) {
                 Condition.State state = switchStates.get(exchange);
@@ -179,7 +204,8 @@
             for (ExchangeConfiguration.Group group : configuration.groups().values()) {
                 if (switchStates.get(group.farExchange()) != Condition.State.GONE) {
                     int freeCircuits = freeCircuits(group);
-                    reportSwitch(group.farExchange(), Math.max(0, freeCircuits), freeCircuits < 0 ? 0 : group.circuits());
+                    reportSwitch(
+                            group.farExchange(), Math.max(0, freeCircuits), freeCircuits < 0 ? 0 : group.circuits());
                 }
             }
         }
@@ -188,10 +214,11 @@
             return freeCircuitsByGroup.getOrDefault(group.name(), group.circuits());
         }
 
-        /** A pressed processor says so in each field that the exchange asks for; an easy one says so too. */
+        /** Reports the circuits toward a switch and, in each configured field, whether its processor is pressed. */
         private void reportSwitch(int exchange, int freeCircuits, int totalCircuits) {
             boolean pressed = switchStates.get(exchange) == Condition.State.PRESSED;
-            float[] report = new float[2 + configuration.configuredReportFields().size()];
+            float[] report =
+                    new float[2 + configuration.configuredReportFields().size()];
             report[0] = freeCircuits;
             report[1] = totalCircuits;
             for (int i = 0; i < configuration.configuredReportFields().size(); i++) {
@@ -201,9 +228,12 @@
                     default -> -1;
                 };
             }
-            // What a processor allows is judged against its usual, so that comes first.
+            // A controller compares what a processor allows with its usual value, so a report of normal load comes
+            // first.
             controller.switchReported(now, exchange + 1, true, Span.ZERO, report.clone());
-            for (int i = 0; pressed && i < configuration.configuredReportFields().size(); i++) {
+            for (int i = 0;
+                    pressed && i < configuration.configuredReportFields().size();
+                    i++) {
                 report[2 + i] = switch (configuration.configuredReportFields().get(i)) {
                     case "allowed" -> 1;
                     case "cut_by" -> 0.99f;
@@ -217,10 +247,12 @@
             }
         }
 
-        void offerContact(int destination, int skill, int previousExchange, Span patience, RingResultHandler resultHandler) {
+        /** Offers a contact; {@code previousExchange} is -1 for a caller's contact, which has no handler either. */
+        void offerContact(
+                int destination, int skill, int previousExchange, Span patience, RingResultHandler resultHandler) {
             long contactId = ++lastContactId;
             Skill skillConfiguration = configuration.skills().get(skill);
-            // A number of the desk, led as a caller's is: a longer prefix may lead it elsewhere.
+            // The number is routed like a caller's: a longer prefix may lead to another exchange.
             String dialledNumber = configuration.numbering().firstPrefixOf(destination) + LAST_DIGITS;
             Contact contact = new Contact(
                     contactId,
@@ -235,8 +267,10 @@
                     false);
             contacts.put(contactId, contact);
             resultHandlers.put(contactId, resultHandler);
-            // A drain is demanded of once its grace is over.
-            Span delay = switchStates.containsValue(Condition.State.DRAINING) && previousExchange < 0 ? SETTLING_TIME : Span.ZERO;
+            // Expectations about a draining switch hold once its drain grace is over.
+            Span delay = switchStates.containsValue(Condition.State.DRAINING) && previousExchange < 0
+                    ? SETTLING_TIME
+                    : Span.ZERO;
             schedule(delay, () -> controller.contactOffered(now, contact));
         }
 
@@ -252,31 +286,35 @@
             RingResultHandler resultHandler = new RingResultHandler() {
                 @Override
                 public void established() {
-                    told("stood");
+                    recordResult("stood");
                     controller.established(now, contactId, ringNumber, target, NETWORK_DELAY);
                     finishContact(contactId, FinalState.STOOD);
                 }
 
                 @Override
-                public void rejected(RingEndCause cause, RejectionReason blame) {
-                    told(cause + (blame == RejectionReason.NONE ? "" : " " + blame));
-                    controller.ringEnded(now, new RingEnd(contactId, ringNumber, target, cause, blame, NETWORK_DELAY, false, new float[0]));
+                public void rejected(RingEndCause cause, RejectionReason reason) {
+                    recordResult(cause + (reason == RejectionReason.NONE ? "" : " " + reason));
+                    controller.ringEnded(
+                            now,
+                            new RingEnd(
+                                    contactId, ringNumber, target, cause, reason, NETWORK_DELAY, false, new float[0]));
                 }
 
-                private void told(String what) {
+                private void recordResult(String result) {
                     if (fromOrigin) {
-                        ringResults.add(what.toLowerCase(java.util.Locale.ROOT));
+                        ringResults.add(result.toLowerCase(java.util.Locale.ROOT));
                     }
                 }
             };
             schedule(NETWORK_DELAY, () -> deliverRing(contact, exchange, limit, resultHandler));
         }
 
+        /** Lets a ring arrive: it times out, is rejected, is established, or goes on through a tandem. */
         private void deliverRing(Contact contact, int exchange, Span limit, RingResultHandler resultHandler) {
             ExchangeConfiguration.Group group = configuration.groups().get(exchange);
             if (unreachable(exchange) || severed(configuration.number(), exchange)) {
                 schedule(
-                        limit.atMost(Span.ofMillis(900)),
+                        limit.atMost(NO_ANSWER_TIMEOUT),
                         () -> resultHandler.rejected(RingEndCause.TIMED_OUT, RejectionReason.NONE));
             } else if (switchStates.get(exchange) == Condition.State.PRESSED) {
                 resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.PROCESSOR);
@@ -287,10 +325,13 @@
             } else if (!configurations.containsKey(exchange)) {
                 resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.TANDEM);
             } else {
-                controllerOf(exchange).offerContact(contact.destination(), contact.skill(), configuration.number(), limit, resultHandler);
+                controllerOf(exchange)
+                        .offerContact(
+                                contact.destination(), contact.skill(), configuration.number(), limit, resultHandler);
             }
         }
 
+        /** Ends a contact; the exchange that sent it here as a tandem, if any, receives the result of its ring. */
         private void finishContact(long contactId, FinalState outcome) {
             RingResultHandler resultHandler = resultHandlers.remove(contactId);
             if (configuration == origin) {
@@ -305,18 +346,18 @@
         }
 
         @Override
-        public void cancel(long contact, int ring) {
-            // Nothing is left to hear of it.
+        public void cancel(long contactId, int ringNumber) {
+            // A simulated ring ends by its own result only.
         }
 
         @Override
-        public void defer(long contact, Span comeBack) {
-            finishContact(contact, FinalState.DEFERRED);
+        public void defer(long contactId, Span retryAfter) {
+            finishContact(contactId, FinalState.DEFERRED);
         }
 
         @Override
-        public void abandon(long contact) {
-            finishContact(contact, FinalState.ABANDONED);
+        public void abandon(long contactId) {
+            finishContact(contactId, FinalState.ABANDONED);
         }
 
         @Override
@@ -332,17 +373,17 @@
 
         @Override
         public void sendNote(int peer, byte[] note) {
-            // Peers have nothing to add to a world of one contact.
+            // With a single contact, peers have nothing to exchange.
         }
 
         @Override
-        public void watchSwitchList(boolean on) {
-            // It was told whole, and stays so.
+        public void watchSwitchList(boolean watch) {
+            // The full list was delivered at the start and does not change.
         }
 
         @Override
         public void log(String line) {
-            // The way itself is what is asked for.
+            // The trial returns the route, not the log.
         }
     }
 }
--- a/src/main/java/martenslip/expect/Contradictions.java
+++ b/src/main/java/martenslip/expect/Contradictions.java
@@ -11,21 +11,27 @@
 import martenslip.expect.Expectation.Route;
 
 /**
- * Pairs of expectations that can't both hold in one state. An expectation without conditions speaks of the state in
- * which nothing is wrong, so it meets none that has some.
+ * Finds expectations that can't hold together. An expectation without conditions applies only to the state without any
+ * fault, so it never contradicts one that has conditions.
  */
 public final class Contradictions {
-    /** The two, why, and a state in which both are demanded. */
+    /** Two expectations, the reason why they contradict each other, and a state in which both apply. */
     public record Contradiction(Expectation first, Expectation second, String reason, List<Condition> state) {}
 
     private Contradictions() {}
 
+    /**
+     * Returns the pairs that contradict each other. Where there are none, returns groups of shares that add up to more
+     * than 100 percent, each as its first and last expectation.
+     */
     public static List<Contradiction> find(List<Expectation> expectations) {
         List<Contradiction> contradictions = new ArrayList<>();
         for (int i = 0; i < expectations.size(); i++) {
             for (int j = i + 1; j < expectations.size(); j++) {
                 List<Condition> state = commonState(expectations.get(i), expectations.get(j));
-                String reason = state == null || !shareContacts(expectations.get(i), expectations.get(j)) ? null : reason(expectations.get(i), expectations.get(j));
+                String reason = state == null || !shareContacts(expectations.get(i), expectations.get(j))
+                        ? null
+                        : reason(expectations.get(i), expectations.get(j));
                 if (reason != null) {
                     contradictions.add(new Contradiction(expectations.get(i), expectations.get(j), reason, state));
                 }
@@ -37,7 +43,7 @@
         return contradictions;
     }
 
-    /** Parts of the same contacts in the same state that go apart from each other and add up past all of them. */
+    /** Finds shares of the same contacts in the same state with disjoint routes that add up to more than 100 percent. */
     private static void findExcessiveShares(List<Expectation> expectations, List<Contradiction> contradictions) {
         for (int i = 0; i < expectations.size(); i++) {
             Expectation first = expectations.get(i);
@@ -49,14 +55,15 @@
                         && expectation.outcome() instanceof Outcome.Routed routed
                         && sameContactsAndState(first, expectation)
                         && disjointRoutes.stream()
-                                .allMatch(route -> disjoint(route, routed.routes().get(0)))) {
+                                .allMatch(
+                                        route -> disjoint(route, routed.routes().get(0)))) {
                     disjointRoutes.add(routed.routes().get(0));
                     percentSum += expectation.percent();
                     if (percentSum > 100) {
                         contradictions.add(new Contradiction(
                                 first,
                                 expectation,
-                                "the parts of " + disjointRoutes.size() + " lines add up to " + percentSum + "%",
+                                "the shares of " + disjointRoutes.size() + " lines add up to " + percentSum + "%",
                                 first.conditions()));
                     }
                 }
@@ -71,22 +78,26 @@
                 && Set.copyOf(first.conditions()).equals(Set.copyOf(second.conditions()));
     }
 
+    /** Returns whether no ring takes both routes. */
     private static boolean disjoint(Route first, Route second) {
         return first.via().isEmpty() != second.via().isEmpty()
                 || !first.via().isEmpty() && first.via().stream().noneMatch(second.via()::contains);
     }
 
-    /** True where some contact is spoken of by both. */
+    /** Returns whether some contact is subject to both expectations. */
     private static boolean shareContacts(Expectation first, Expectation second) {
         boolean sameSkill = first.skill() < 0 || second.skill() < 0 || first.skill() == second.skill();
-        return sameSkill && overlap(first.origins(), second.origins()) && overlap(first.destinations(), second.destinations());
+        return sameSkill
+                && overlap(first.origins(), second.origins())
+                && overlap(first.destinations(), second.destinations());
     }
 
+    /** Returns whether the sets have a common element; an empty set contains all. */
     private static boolean overlap(Set<Integer> first, Set<Integer> second) {
         return first.isEmpty() || second.isEmpty() || first.stream().anyMatch(second::contains);
     }
 
-    /** The least state that meets both conditions, or null where they exclude each other. */
+    /** Returns the smallest state in which both expectations apply, or null where their conditions exclude each other. */
     static List<Condition> commonState(Expectation first, Expectation second) {
         if (first.conditions().isEmpty() != second.conditions().isEmpty()) {
             return null;
@@ -105,27 +116,36 @@
         return List.copyOf(conditions);
     }
 
+    /** Returns why the two outcomes exclude each other, or null where they don't. */
     private static String reason(Expectation first, Expectation second) {
-        if (first.outcome() instanceof Outcome.Routed firstRouted && second.outcome() instanceof Outcome.Routed secondRouted) {
-            return routeConflict(first, firstRouted.routes().get(0), second, secondRouted.routes().get(0));
+        if (first.outcome() instanceof Outcome.Routed firstRouted
+                && second.outcome() instanceof Outcome.Routed secondRouted) {
+            return routeConflict(
+                    first,
+                    firstRouted.routes().get(0),
+                    second,
+                    secondRouted.routes().get(0));
         }
         boolean sameOutcome = first.outcome().getClass() == second.outcome().getClass();
         if (sameOutcome) {
-            return exactlyOneNever(first.quantifier(), second.quantifier()) ? "one says never" : null;
+            return exactlyOneNever(first.quantifier(), second.quantifier()) ? "one of them says never" : null;
         }
         boolean anyRouted = first.outcome() instanceof Outcome.Routed || second.outcome() instanceof Outcome.Routed;
         if (anyRouted) {
-            // A contact that was rung for may still stand or be deferred.
+            // A contact may be routed as expected and still be established or deferred.
             return null;
         }
-        return minimumPercent(first) + minimumPercent(second) > 100 ? "a contact that stands is not deferred" : null;
+        return minimumPercent(first) + minimumPercent(second) > 100
+                ? "a contact can't be both established and deferred"
+                : null;
     }
 
     private static boolean exactlyOneNever(Quantifier first, Quantifier second) {
-        return first == Quantifier.NEVER && second != Quantifier.NEVER || second == Quantifier.NEVER && first != Quantifier.NEVER;
+        return first == Quantifier.NEVER && second != Quantifier.NEVER
+                || second == Quantifier.NEVER && first != Quantifier.NEVER;
     }
 
-    /** What part of contacts it claims, at least. */
+    /** Returns the smallest percentage of contacts that must have the outcome; 1 stands for at least one contact. */
     private static int minimumPercent(Expectation expectation) {
         return switch (expectation.quantifier()) {
             case ALWAYS -> 100;
@@ -135,6 +155,7 @@
         };
     }
 
+    /** Returns why the first routes of two expectations exclude each other, or null where they don't. */
     private static String routeConflict(Expectation first, Route firstRoute, Expectation second, Route secondRoute) {
         if (first.quantifier() == Quantifier.NEVER && second.quantifier() == Quantifier.NEVER) {
             return null;
@@ -145,10 +166,11 @@
             boolean contradictory = forbidden.via().isEmpty()
                     ? required.via().isEmpty()
                     : !required.via().isEmpty() && forbidden.via().containsAll(required.via());
-            return contradictory ? "one says never" : null;
+            return contradictory ? "one of them says never" : null;
         }
         return disjoint(firstRoute, secondRoute) && minimumPercent(first) + minimumPercent(second) > 100
-                ? "the first ring can't go both ways" + (minimumPercent(first) + minimumPercent(second) < 200 ? " that often" : "")
+                ? "the first ring can't take both routes"
+                        + (minimumPercent(first) + minimumPercent(second) < 200 ? " that often" : "")
                 : null;
     }
 }
--- a/src/main/java/martenslip/expect/Expectation.java
+++ b/src/main/java/martenslip/expect/Expectation.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * One expectation as written: {@code skill}, {@code from} and {@code to} are -1 where any will do. {@code percent} is
- * for {@link Quantifier#AT_LEAST}.
+ * One expectation of a file, with its line number and text. {@code skill} is an index, or -1 for any skill; empty
+ * {@code origins} or {@code destinations} mean any exchange. {@code percent} applies to {@link Quantifier#AT_LEAST}.
  */
 public record Expectation(
         int line,
@@ -17,6 +17,7 @@
         int percent,
         Outcome outcome,
         List<Condition> conditions) {
+    /** How many of the contacts must have the outcome. */
     public enum Quantifier {
         ALWAYS,
         NEVER,
@@ -26,15 +27,17 @@
 
     /** What is expected of a contact. */
     public sealed interface Outcome {
-        /** Its rings go these ways, one after the other; the last stands for all later ones. */
+        /** The rings take these routes in this order; the last route applies to all later rings. */
         record Routed(List<Route> routes) implements Outcome {}
 
+        /** The contact is established. */
         record Established() implements Outcome {}
 
+        /** The contact is deferred. */
         record Deferred() implements Outcome {}
     }
 
-    /** One ring's way: direct where {@code via} is empty, else by one of these exchanges. */
+    /** The route of a ring: direct where {@code via} is empty, else through one of these exchanges. */
     public record Route(Set<Integer> via) {
         boolean takes(int exchange, int destination) {
             return via.isEmpty() ? exchange == destination : via.contains(exchange);
@@ -46,8 +49,9 @@
         }
     }
 
-    /** What must be so for the expectation to be demanded. */
+    /** A condition under which an expectation applies. */
     public sealed interface Condition {
+        /** State of a switch. {@code PRESSED} means that its processor is overloaded. */
         enum State {
             DRAINING,
             GONE,
@@ -56,11 +60,13 @@
             SILENT
         }
 
+        /** The switch of an exchange is in this state. */
         record Desk(int exchange, State state) implements Condition {}
 
-        /** Circuits that the group has free; -1 for a group that is gone. */
+        /** The group has this many free circuits; -1 for a group that is gone. */
         record Group(String name, int free) implements Condition {}
 
+        /** The region is cut off from all others. */
         record Cut(String region) implements Condition {}
     }
 }
--- a/src/main/java/martenslip/expect/ExpectationFile.java
+++ b/src/main/java/martenslip/expect/ExpectationFile.java
@@ -22,7 +22,7 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
 
-/** Reads a file of expectations against an exchange's file; all faults are told at once, by line and column. */
+/** Reads a file of expectations and resolves its names against the configuration of an exchange. */
 public final class ExpectationFile {
     private final ExchangeConfiguration configuration;
     private final List<FileError> errors = new ArrayList<>();
@@ -35,23 +35,30 @@
         this.configuration = configuration;
     }
 
-    /** Names and regions of desks as the file defines them, by exchange. */
+    /** The expectations of a file, and the names and regions that it defines for desks, by exchange number. */
     public record Contents(List<Expectation> expectations, Map<Integer, String> names, Map<Integer, String> regions) {}
 
-    public static Contents read(String fileName, String text, ExchangeConfiguration configuration) throws InvalidFileException {
+    /**
+     * Reads the text of a file.
+     *
+     * @param fileName name of the file in error messages
+     * @throws InvalidFileException with all errors that were found, by line and column
+     */
+    public static Contents read(String fileName, String text, ExchangeConfiguration configuration)
+            throws InvalidFileException {
         ExpectationFile reader = new ExpectationFile(configuration);
         ExpectLexer lexer = new ExpectLexer(CharStreams.fromString(text));
         ExpectParser parser = new ExpectParser(new CommonTokenStream(lexer));
-        for (Recognizer<?, ?> one : List.of(lexer, parser)) {
-            one.removeErrorListeners();
-            one.addErrorListener(reader.syntaxErrorListener());
+        for (Recognizer<?, ?> recognizer : List.of(lexer, parser)) {
+            recognizer.removeErrorListeners();
+            recognizer.addErrorListener(reader.syntaxErrorListener());
         }
         ExpectParser.FileContext tree = parser.file();
         String[] lines = text.split("\r?\n", -1);
         if (reader.errors.isEmpty()) {
-            // Names may stand below their use: they are gathered before any is looked up.
+            // A name may be used above its definition, so all definitions are read first.
             tree.statement().forEach(reader::readDefinition);
-            tree.statement().forEach(one -> reader.readExpectation(one, lines));
+            tree.statement().forEach(statement -> reader.readExpectation(statement, lines));
         }
         if (!reader.errors.isEmpty()) {
             throw new InvalidFileException(fileName, reader.errors);
@@ -71,7 +78,7 @@
                     int column,
                     String message,
                     RecognitionException e) {
-                errors.add(new FileError(line, "column " + (column + 1), message.replace("\\n", "the line's end")));
+                errors.add(new FileError(line, "column " + (column + 1), message.replace("\\n", "end of line")));
             }
         };
     }
@@ -106,7 +113,7 @@
         }
     }
 
-    /** The exchanges of a desk or a set; none, and a fault, where the name is neither. */
+    /** Returns the exchanges of a desk or a set; where the name is neither, records an error and returns none. */
     private Set<Integer> exchanges(Token name) {
         Integer exchange = exchangesByName.get(name.getText());
         if (exchange != null) {
@@ -122,6 +129,7 @@
         return Set.of();
     }
 
+    /** Returns a hint at the known name that is closest to an unknown one; empty where none is close. */
     private static String suggestion(String unknown, List<String> knownNames) {
         return knownNames.stream()
                 .min(Comparator.comparingInt(candidate -> editDistance(unknown, candidate)))
@@ -130,7 +138,7 @@
                 .orElse("");
     }
 
-    /** Letters to put in, take out or change (Levenshtein). */
+    /** Returns the Levenshtein distance: how many letters to insert, delete or replace. */
     private static int editDistance(String first, String second) {
         int[] distances = new int[second.length() + 1];
         for (int secondIndex = 0; secondIndex <= second.length(); secondIndex++) {
@@ -142,7 +150,8 @@
             for (int secondIndex = 1; secondIndex <= second.length(); secondIndex++) {
                 int substituted = diagonal + (first.charAt(firstIndex - 1) == second.charAt(secondIndex - 1) ? 0 : 1);
                 diagonal = distances[secondIndex];
-                distances[secondIndex] = Math.min(substituted, Math.min(distances[secondIndex], distances[secondIndex - 1]) + 1);
+                distances[secondIndex] =
+                        Math.min(substituted, Math.min(distances[secondIndex], distances[secondIndex - 1]) + 1);
             }
         }
         return distances[second.length()];
@@ -157,11 +166,14 @@
         Outcome outcome = outcome(expectation.outcome());
         Quantifier quantifier = quantifier(expectation.quantifier());
         if (nothing && expectation.quantifier() != null) {
-            addError(expectation.quantifier().getStart(), "nothing is never already");
+            addError(expectation.quantifier().getStart(), "'nothing' already means never");
         }
         List<Condition> conditions = new ArrayList<>();
         if (expectation.conditions() != null) {
-            expectation.conditions().condition().forEach(condition -> conditions.addAll(conditionsOf(condition, outcome)));
+            expectation
+                    .conditions()
+                    .condition()
+                    .forEach(condition -> conditions.addAll(conditionsOf(condition, outcome)));
         }
         int line = expectation.getStart().getLine();
         Set<Integer> origins = subject.origin == null ? Set.of() : exchanges(subject.origin);
@@ -170,8 +182,8 @@
                     subject.origin,
                     subject.origin.getText() + " is not the exchange of this file, which is " + configuration.number());
         }
-        int percent = expectation.quantifier() instanceof ExpectParser.AtLeastContext least
-                ? Integer.parseInt(least.NUMBER().getText())
+        int percent = expectation.quantifier() instanceof ExpectParser.AtLeastContext atLeast
+                ? Integer.parseInt(atLeast.NUMBER().getText())
                 : 100;
         if (percent > 100) {
             addError(expectation.quantifier().getStart(), "over 100%");
@@ -188,11 +200,13 @@
                 conditions));
     }
 
+    /** Returns the index of the skill, or -1 for contacts of any skill. */
     private int skillIndex(ExpectParser.SubjectContext subject) {
         if (subject.skill == null) {
             return -1;
         }
-        List<String> names = configuration.skills().stream().map(skill -> skill.name()).toList();
+        List<String> names =
+                configuration.skills().stream().map(skill -> skill.name()).toList();
         int index = names.indexOf(subject.skill.getText());
         if (index < 0) {
             addError(
@@ -237,12 +251,13 @@
                 routed.routes().forEach(route -> via.addAll(route.via()));
             }
             if (via.isEmpty()) {
-                addError(its.getStart(), "it names no desk here: the outcome has no via");
+                addError(its.getStart(), "'it' refers to no desk: the outcome has no via");
             }
             return switchConditions(via, its.state);
         }
         if (condition instanceof ExpectParser.GroupStateContext group) {
-            return groupConditions(group.NAME().getSymbol(), group.state.getText().equals("gone") ? -1 : 0);
+            return groupConditions(
+                    group.NAME().getSymbol(), group.state.getText().equals("gone") ? -1 : 0);
         }
         if (condition instanceof ExpectParser.GroupFreeContext group) {
             return groupConditions(
@@ -250,7 +265,9 @@
         }
         Token region = ((ExpectParser.RegionCutContext) condition).NAME().getSymbol();
         if (!configuration.regions().contains(region.getText())) {
-            addError(region, "no region is called " + region.getText() + suggestion(region.getText(), configuration.regions()));
+            addError(
+                    region,
+                    "no region is called " + region.getText() + suggestion(region.getText(), configuration.regions()));
         }
         return List.of(new Condition.Cut(region.getText()));
     }
--- a/src/main/java/martenslip/simulatorprotocol/SimulatorProtocol.java
+++ b/src/main/java/martenslip/simulatorprotocol/SimulatorProtocol.java
@@ -23,10 +23,15 @@
 import martenslip.control.Span;
 import martenslip.control.SwitchEntry;
 
-/** Feeds modules from the wire and writes down what they order; it judges nothing. */
+/**
+ * Serves the simulator protocol. The input is a sequence of batches, each with a header (batch number, length of the
+ * records in bytes, time in nanoseconds) and records with events for controller instances. Each batch is answered by
+ * one reply with the actions that the controllers ordered. What they decide is not checked here.
+ */
 public final class SimulatorProtocol {
     private static final class Instance {
         final Controller controller;
+        /** Set once the controller threw an exception; it then receives no further events. */
         boolean failed;
 
         Instance(Controller controller) {
@@ -34,9 +39,33 @@
         }
     }
 
+    private static final int BATCH_HEADER_BYTES = 16;
     private static final int MAX_BATCH_BYTES = 1 << 30;
     private static final int SWITCH_LIST_COUNT = 16;
     private static final int SWITCH_ENTRY_BYTES = 24;
+    private static final int MAX_REPORTED_STACK_FRAMES = 5;
+
+    private static final int START_RECORD = 1000;
+    private static final int DELIVER_SWITCH_LIST_RECORD = 1010;
+    private static final int CONTACT_OFFERED_RECORD = 1020;
+    private static final int ESTABLISHED_RECORD = 1030;
+    private static final int RING_ENDED_RECORD = 1040;
+    private static final int CALLER_GONE_RECORD = 1050;
+    private static final int TIMER_EXPIRED_RECORD = 1060;
+    private static final int SWITCH_REPORTED_RECORD = 1070;
+    private static final int PEER_NOTE_RECORD = 1080;
+    private static final int STOP_RECORD = 1090;
+    /** Defines a switch list for later records; it belongs to no instance. */
+    private static final int SWITCH_LIST_RECORD = 1100;
+
+    private static final int REDIAL_FLAG = 2;
+    private static final int IN_TRANSIT_FLAG = 8;
+    private static final int PREVIOUSLY_CUT_FLAG = 16;
+    /** The low four bits of a reason code hold the reason, the higher bits hold details. */
+    private static final int REASON_MASK = 15;
+
+    private static final int MIN_REASON_DETAIL = 16;
+
     private static final float[] EMPTY_REPORT = {};
 
     private final DataInputStream input;
@@ -44,10 +73,14 @@
     private final ControllerFactory controllerFactory;
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Integer, Instance> instances = new HashMap<>();
+    /** Switch lists by number; null where none was received. */
     private final List<List<SwitchEntry>> switchLists = new ArrayList<>();
+    /** Number of the current batch, for error messages. */
     private long batchNumber;
+    /** Records of the current batch. */
     private ByteBuffer records = ByteBuffer.allocate(0);
 
+    /** Creates a session that creates a controller for each instance that the input starts. */
     public SimulatorProtocol(InputStream input, OutputStream output, ControllerFactory controllerFactory) {
         this.input = new DataInputStream(input);
         this.output = output;
@@ -57,22 +90,25 @@
         }
     }
 
+    /** Answers batches until the input ends between two of them. */
     public void run() throws IOException, MalformedInputException {
-        byte[] headerBytes = new byte[16];
+        byte[] headerBytes = new byte[BATCH_HEADER_BYTES];
         while (true) {
             int headerLength = input.readNBytes(headerBytes, 0, headerBytes.length);
             if (headerLength == 0) {
                 return;
             }
             if (headerLength < headerBytes.length) {
-                throw new MalformedInputException("the batch header ends after " + headerLength + " bytes", batchNumber, 0);
+                throw new MalformedInputException(
+                        "the batch header ends after " + headerLength + " bytes", batchNumber, 0);
             }
             ByteBuffer header = ByteBuffer.wrap(headerBytes);
             int encodedBatchNumber = header.getInt();
             batchNumber = Integer.toUnsignedLong(encodedBatchNumber);
             long bodyLength = Integer.toUnsignedLong(header.getInt());
             if (bodyLength > MAX_BATCH_BYTES) {
-                throw new MalformedInputException("a batch of " + bodyLength + " bytes", batchNumber, 0);
+                throw new MalformedInputException(
+                        "batch of " + bodyLength + " bytes is longer than " + MAX_BATCH_BYTES, batchNumber, 0);
             }
             records = ByteBuffer.wrap(readFully((int) bodyLength));
             reply.begin();
@@ -104,47 +140,49 @@
 
     private void dispatchRecord(Moment now, int recordStart) throws MalformedInputException {
         int code = Short.toUnsignedInt(records.getShort());
-        if (code == 1100) {
+        if (code == SWITCH_LIST_RECORD) {
             readSwitchList();
             return;
         }
         int instanceId = records.getInt();
         switch (code) {
-            case 1000 -> startInstance(now, instanceId, recordStart);
-            case 1010 -> deliverSwitchList(now, instanceId, recordStart);
-            case 1020 -> {
+            case START_RECORD -> startInstance(now, instanceId, recordStart);
+            case DELIVER_SWITCH_LIST_RECORD -> deliverSwitchList(now, instanceId, recordStart);
+            case CONTACT_OFFERED_RECORD -> {
                 Contact contact = readContact();
                 deliver(instanceId, controller -> controller.contactOffered(now, contact));
             }
-            case 1030 -> {
+            case ESTABLISHED_RECORD -> {
                 long contact = records.getLong();
                 int ringNumber = Short.toUnsignedInt(records.getShort());
                 Span elapsed = new Span(records.getLong());
                 long target = readTarget();
                 deliver(instanceId, controller -> controller.established(now, contact, ringNumber, target, elapsed));
             }
-            case 1040 -> deliverRingEnd(now, instanceId, recordStart);
-            case 1050 -> {
+            case RING_ENDED_RECORD -> deliverRingEnd(now, instanceId, recordStart);
+            case CALLER_GONE_RECORD -> {
                 long contact = records.getLong();
                 deliver(instanceId, controller -> controller.callerGone(now, contact));
             }
-            case 1060 -> {
+            case TIMER_EXPIRED_RECORD -> {
                 long token = records.getLong();
                 deliver(instanceId, controller -> controller.timerExpired(now, token));
             }
-            case 1070 -> {
+            case SWITCH_REPORTED_RECORD -> {
                 int outcome = Byte.toUnsignedInt(records.get());
                 long target = readTarget();
                 Span elapsed = new Span(records.getLong());
                 float[] report = readReport();
-                deliver(instanceId, controller -> controller.switchReported(now, target, outcome == 0, elapsed, report));
+                deliver(
+                        instanceId,
+                        controller -> controller.switchReported(now, target, outcome == 0, elapsed, report));
             }
-            case 1080 -> {
+            case PEER_NOTE_RECORD -> {
                 int peer = records.getInt();
                 byte[] note = readBytes(Short.toUnsignedInt(records.getShort()), recordStart);
                 deliver(instanceId, controller -> controller.peerNoteReceived(now, peer, note));
             }
-            case 1090 -> {
+            case STOP_RECORD -> {
                 deliver(instanceId, controller -> controller.stopped(now));
                 instances.remove(instanceId);
             }
@@ -152,10 +190,12 @@
         }
     }
 
+    /** Passes one event to the controller of an instance. */
     private interface EventHandler {
         void deliverTo(Controller controller);
     }
 
+    /** Delivers an event, unless the instance is unknown or has failed. An exception of the controller fails it. */
     private void deliver(int instanceId, EventHandler handler) {
         Instance instance = instances.get(instanceId);
         if (instance == null || instance.failed) {
@@ -172,7 +212,7 @@
     private static String stackTraceSummary(RuntimeException exception) {
         StringBuilder summary = new StringBuilder(exception.toString());
         StackTraceElement[] frames = exception.getStackTrace();
-        for (int i = 0; i < Math.min(5, frames.length); i++) {
+        for (int i = 0; i < Math.min(MAX_REPORTED_STACK_FRAMES, frames.length); i++) {
             summary.append(" at ").append(frames[i]);
         }
         return summary.toString();
@@ -189,7 +229,8 @@
             if (equalsIndex > 0) {
                 settings.put(line.substring(0, equalsIndex), line.substring(equalsIndex + 1));
             } else if (!line.isBlank()) {
-                throw new MalformedInputException("a settings line that is no path=value: " + line, batchNumber, linePosition);
+                throw new MalformedInputException(
+                        "settings line is not path=value: " + line, batchNumber, linePosition);
             }
             linePosition += line.getBytes(StandardCharsets.UTF_8).length + 1;
         }
@@ -205,57 +246,70 @@
         int recordStart = records.position() - 2;
         int listNumber = Short.toUnsignedInt(records.getShort());
         if (listNumber >= SWITCH_LIST_COUNT) {
-            throw new MalformedInputException("list number " + listNumber + ", the last is " + (SWITCH_LIST_COUNT - 1), batchNumber, recordStart);
+            throw new MalformedInputException(
+                    "list number " + listNumber + " is out of range, the largest is " + (SWITCH_LIST_COUNT - 1),
+                    batchNumber,
+                    recordStart);
         }
         int count = records.getInt();
         if (count < 0 || (long) count * SWITCH_ENTRY_BYTES > records.remaining()) {
             throw new MalformedInputException(
-                    "a list of " + Integer.toUnsignedString(count) + " lines does not fit its batch", batchNumber, recordStart);
+                    "list of " + Integer.toUnsignedString(count) + " entries does not fit its batch",
+                    batchNumber,
+                    recordStart);
         }
         List<SwitchEntry> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             int entryPosition = records.position();
+            // Two fields that controllers do not use.
             records.getFloat();
             records.get();
             SwitchEntry.State state = switch (records.get()) {
                 case 0 -> SwitchEntry.State.DRAINING;
                 case 1 -> SwitchEntry.State.GONE;
                 case 2 -> SwitchEntry.State.READY;
-                default -> throw new MalformedInputException("unknown state of a switch", batchNumber, entryPosition);
+                default -> throw new MalformedInputException("unknown switch state", batchNumber, entryPosition);
             };
             long target = readTarget();
             int zone = Short.toUnsignedInt(records.getShort());
             long startedNs = records.getLong();
             int switchNumber = Short.toUnsignedInt(records.getShort());
-            entries.add(new SwitchEntry(target, switchNumber, state, startedNs == 0 ? null : new Moment(startedNs), zone));
+            entries.add(
+                    new SwitchEntry(target, switchNumber, state, startedNs == 0 ? null : new Moment(startedNs), zone));
         }
         switchLists.set(listNumber, List.copyOf(entries));
     }
 
     private void deliverSwitchList(Moment now, int instanceId, int recordStart) throws MalformedInputException {
         int listNumber = Short.toUnsignedInt(records.getShort());
+        // A field that controllers do not use.
         records.getInt();
         ListKind kind = switch (records.get()) {
             case 0 -> ListKind.CHANGES;
             case 1 -> ListKind.FULL;
             case 2 -> ListKind.CACHED;
             case 3 -> ListKind.FAILED;
-            default -> throw new MalformedInputException("unknown kind of list", batchNumber, recordStart);
+            default -> throw new MalformedInputException("unknown list kind", batchNumber, recordStart);
         };
-        List<SwitchEntry> entries = kind == ListKind.FAILED ? List.of() : listNumber < SWITCH_LIST_COUNT ? switchLists.get(listNumber) : null;
+        List<SwitchEntry> entries = kind == ListKind.FAILED
+                ? List.of()
+                : listNumber < SWITCH_LIST_COUNT ? switchLists.get(listNumber) : null;
         if (entries == null) {
-            throw new MalformedInputException("list " + listNumber + " was never given", batchNumber, recordStart);
+            throw new MalformedInputException(
+                    "list " + listNumber + " was not defined before", batchNumber, recordStart);
         }
         deliver(instanceId, controller -> controller.switchListReceived(now, kind, entries));
     }
 
     private Contact readContact() {
         long id = records.getLong();
+        // A field that controllers do not use.
         records.getLong();
         long dialledNumber = records.getLong();
         int routingHint = (int) records.getFloat();
         int width = (int) records.getFloat();
         Span patience = new Span(records.getLong());
+        // A field that controllers do not use.
         records.getShort();
         int skill = Byte.toUnsignedInt(records.get());
         int destination = (int) records.getFloat();
@@ -268,9 +322,9 @@
                 routingHint,
                 width,
                 patience,
-                (flags & 2) != 0,
-                (flags & 8) != 0,
-                (flags & 16) != 0);
+                (flags & REDIAL_FLAG) != 0,
+                (flags & IN_TRANSIT_FLAG) != 0,
+                (flags & PREVIOUSLY_CUT_FLAG) != 0);
     }
 
     private void deliverRingEnd(Moment now, int instanceId, int recordStart) throws MalformedInputException {
@@ -291,11 +345,13 @@
             case 251 -> RingEndCause.CUT;
             case 250 -> RingEndCause.CALLED_OFF;
             case 249 -> RingEndCause.NOT_SENT;
-            default -> throw new MalformedInputException("unknown outcome " + causeCode, batchNumber, recordStart);
+            default ->
+                throw new MalformedInputException("unknown ring end cause " + causeCode, batchNumber, recordStart);
         };
-        RejectionReason rejectionReason = switch (reasonCode & 15) {
+        RejectionReason rejectionReason = switch (reasonCode & REASON_MASK) {
             case 1 -> RejectionReason.NO_CIRCUIT;
-            case 2 -> reasonCode >= 16 ? RejectionReason.BEYOND_FULL : RejectionReason.TANDEM;
+            // A detail says that the tandem sent the contact back because the destination's processor was full.
+            case 2 -> reasonCode >= MIN_REASON_DETAIL ? RejectionReason.BEYOND_FULL : RejectionReason.TANDEM;
             case 3 -> RejectionReason.PROCESSOR;
             case 4 -> RejectionReason.LINES_BUSY;
             default -> RejectionReason.NONE;
@@ -304,6 +360,7 @@
         deliver(instanceId, controller -> controller.ringEnded(now, end));
     }
 
+    /** Reads the six-byte identifier of a switch: four bytes of address, two of port. */
     private long readTarget() {
         return Integer.toUnsignedLong(records.getInt()) << 16 | Short.toUnsignedLong(records.getShort());
     }
@@ -323,7 +380,9 @@
     private byte[] readBytes(int length, int recordStart) throws MalformedInputException {
         if (length < 0 || length > records.remaining()) {
             throw new MalformedInputException(
-                    "a text of " + Integer.toUnsignedString(length) + " bytes does not fit its batch", batchNumber, recordStart);
+                    "text of " + Integer.toUnsignedString(length) + " bytes does not fit its batch",
+                    batchNumber,
+                    recordStart);
         }
         byte[] bytes = new byte[length];
         records.get(bytes);
--- a/src/test/java/martenslip/SimulatorProtocolTest.java
+++ b/src/test/java/martenslip/SimulatorProtocolTest.java
@@ -13,6 +13,7 @@
 import martenslip.simulatorprotocol.SimulatorProtocol;
 import org.testng.annotations.Test;
 
+/** Encoding and decoding of the simulator protocol, with records given in hexadecimal. */
 public class SimulatorProtocolTest {
     private static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replace(" ", ""));
@@ -48,6 +49,7 @@
         return output.toByteArray();
     }
 
+    /** Offers a contact for destination 57 to instance 3. */
     private static final byte[] CONTACT_RECORD = hex("03fc 00000003 000517755d3a91c4 0000000000b71b00 91f03b7c55d20a64"
             + "43800000 3f800000 000000000e4e1c00 0000 00 42640000 0001");
 
@@ -74,8 +76,12 @@
         byte[] switchListRecord = hex("044c 0000 00000001 3f800000 00 02 0a9011f2 2bec 0000 0000000000000000 0039");
         byte[] deliverListRecord = hex("03f2 00000003 0000 00000029 02");
         byte[] reportRecord = hex("042e 00000003 00 0a9011f2 2bec 0000000000000000 02 41200000 41a00000");
-        byte[] reply =
-                replyTo(batch(startRecord("classes.count=1\npolicy-limits.send-cap=2\n"), switchListRecord, deliverListRecord, reportRecord, CONTACT_RECORD));
+        byte[] reply = replyTo(batch(
+                startRecord("classes.count=1\npolicy-limits.send-cap=2\n"),
+                switchListRecord,
+                deliverListRecord,
+                reportRecord,
+                CONTACT_RECORD));
         String replyHex = HexFormat.of().formatHex(reply);
         assertTrue(replyHex.contains("03e800000003000517755d3a91c40a9011f22bec"), replyHex);
     }
--- a/src/test/java/martenslip/cli/ExpectCommandTest.java
+++ b/src/test/java/martenslip/cli/ExpectCommandTest.java
@@ -12,6 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Exit codes and output of the expect command. */
 public class ExpectCommandTest {
     private static final Path CONFIGURATION = Path.of("examples", "expect", "desk07.xml");
     private static final String DESK_DEFINITIONS = "desk a is exchange 3\ndesk b is exchange 11\n";
@@ -23,10 +24,11 @@
     }
 
     private String writeExpectations(String text) throws IOException {
-        return Files.writeString(folder.resolve("lines.expect"), DESK_DEFINITIONS + text).toString();
+        return Files.writeString(folder.resolve("lines.expect"), DESK_DEFINITIONS + text)
+                .toString();
     }
 
-    /** Exit code, a blank, and what was said on standard output. */
+    /** Returns the exit code, a blank and the text printed on standard output. */
     private static String run(String... arguments) {
         PrintStream originalOut = System.out;
         ByteArrayOutputStream output = new ByteArrayOutputStream();
@@ -43,14 +45,18 @@
         String configuration = CONFIGURATION.toString();
         assertTrue(run("expect", writeExpectations("anything to a goes direct"), "--site", configuration)
                 .startsWith("0 "));
-        assertTrue(
-                run("expect", writeExpectations("anything to a goes via b"), "--site", configuration).startsWith("1 "));
-        assertTrue(run("expect", writeExpectations("anything to a goes via b\nanything to a goes direct"), "--site", configuration)
+        assertTrue(run("expect", writeExpectations("anything to a goes via b"), "--site", configuration)
+                .startsWith("1 "));
+        assertTrue(run(
+                        "expect",
+                        writeExpectations("anything to a goes via b\nanything to a goes direct"),
+                        "--site",
+                        configuration)
                 .startsWith("3 "));
         assertTrue(run("expect", writeExpectations("anything to a goes astray"), "--site", configuration)
                 .startsWith("4 "));
-        assertTrue(
-                run("expect", folder.resolve("none").toString(), "--site", configuration).startsWith("2 "));
+        assertTrue(run("expect", folder.resolve("none").toString(), "--site", configuration)
+                .startsWith("2 "));
     }
 
     @Test
@@ -58,7 +64,8 @@
         String configuration = Files.readString(CONFIGURATION);
         String groupElement = "<group name=\"g-3-7\" far=\"3\" circuits=\"60\"/>";
         assertTrue(configuration.contains(groupElement));
-        Path changed = Files.writeString(folder.resolve("new.xml"), configuration.replace(groupElement, groupElement.replace("60", "1")));
+        Path changed = Files.writeString(
+                folder.resolve("new.xml"), configuration.replace(groupElement, groupElement.replace("60", "1")));
         Path junitFile = folder.resolve("junit.xml");
         String output = run(
                 "expect",
--- a/src/test/java/martenslip/configuration/ExchangeFileTest.java
+++ b/src/test/java/martenslip/configuration/ExchangeFileTest.java
@@ -13,6 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Reading of exchange files: a valid one, and the errors that invalid ones yield. */
 public class ExchangeFileTest {
     private static final Path SAMPLE = Path.of("deploy/exchange.xml");
 
@@ -41,17 +42,18 @@
             {"patience-ms=\"6000\"", "patience-ms=\"600\"", "/@answer-target-ms", "longer than the patience"},
             {"host=\"127.0.0.1\"", "host=\"example.org\"", "/exchange/listen/@host", "no address"},
             {"<regions>", "<zones>", "/exchange", "regions"},
-            {"exchange=\"2\" uri", "exchange=\"1\" uri", "/exchange/peers/peer/@exchange", "stands twice"},
+            {"exchange=\"2\" uri", "exchange=\"1\" uri", "/exchange/peers/peer/@exchange", "appears twice"},
             {"circuits=\"40\"", "circuits=\"0\"", "/exchange/groups/group", "0"},
         };
     }
 
-    @Test(dataProvider = "faults")
+    @Test(dataProvider = "invalidEdits")
     public void errorNamesLinePathAndReason(String original, String replacement, String path, String reason)
             throws IOException {
         String text = Files.readString(SAMPLE);
         assertTrue(text.contains(original), original);
-        InvalidFileException rejected = expectThrows(InvalidFileException.class, () -> read(text.replace(original, replacement)));
+        InvalidFileException rejected =
+                expectThrows(InvalidFileException.class, () -> read(text.replace(original, replacement)));
         String message = rejected.getMessage()
                 .lines()
                 .filter(line -> line.contains(path) && line.contains(reason))
@@ -59,7 +61,7 @@
                 .orElse("none of: " + rejected.getMessage());
         int expectedLine = text.substring(0, text.indexOf(original)).split("\n", -1).length;
         int reportedLine = Integer.parseInt(message.replaceFirst(".*line (\\d+),.*", "$1"));
-        assertTrue(Math.abs(reportedLine - expectedLine) <= 1, message + "; the fault stands in line " + expectedLine);
+        assertTrue(Math.abs(reportedLine - expectedLine) <= 1, message + "; the error is in line " + expectedLine);
     }
 
     @Test
--- a/src/test/java/martenslip/configuration/PrefixTableTest.java
+++ b/src/test/java/martenslip/configuration/PrefixTableTest.java
@@ -10,6 +10,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
+/** Lookup in the prefix table and detection of prefixes without effect. */
 public class PrefixTableTest {
     private static String randomDigits(SplittableRandom random, int maxDigits) {
         StringBuilder text = new StringBuilder(random.nextInt(3) == 0 ? "+" : "");
@@ -19,7 +20,7 @@
         return text.toString();
     }
 
-    /** Against a plain search for the longest prefix. */
+    /** Compares with a search that tries each length of prefix. */
     @Test
     public void lookupAgreesWithLinearSearch() {
         SplittableRandom random = new SplittableRandom(2);
@@ -56,7 +57,7 @@
         for (int digit = 0; digit < 9; digit++) {
             prefixes.add("77" + digit, 5);
         }
-        assertEquals(prefixes.shadowed(), List.of(), "one digit is left to it");
+        assertEquals(prefixes.shadowed(), List.of(), "77 still serves the digit 9");
         for (int digit = 0; digit < 10; digit++) {
             prefixes.add("779" + digit, 6);
         }
--- a/src/test/java/martenslip/expect/ExampleExpectationsTest.java
+++ b/src/test/java/martenslip/expect/ExampleExpectationsTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The example of 200 lines on 51 desks: it holds, and breaks planted in the configuration are named. */
+/** The example with 200 expectations among 51 desks: all hold, and a fault in the configuration breaks the related ones. */
 public class ExampleExpectationsTest {
     private static final Path FOLDER = Path.of("examples", "expect");
     private static final int[] TANDEMS = {3, 11, 19, 27, 35, 43};
@@ -40,7 +40,8 @@
         return ExchangeFile.read("desk07.xml", xml.getBytes(StandardCharsets.UTF_8), FOLDER);
     }
 
-    private static ExpectationFile.Contents readExpectations(ExchangeConfiguration configuration) throws IOException, InvalidFileException {
+    private static ExpectationFile.Contents readExpectations(ExchangeConfiguration configuration)
+            throws IOException, InvalidFileException {
         return ExpectationFile.read("desk07.expect", Files.readString(FOLDER.resolve("desk07.expect")), configuration);
     }
 
@@ -64,7 +65,10 @@
         }
     }
 
-    /** A break is a change of the file, the lines that it may touch (by a part of their text), one that it must. */
+    /**
+     * Each row: a text of the file, its replacement, a text that all expectations contain which it may break, and the
+     * start of one that it must break.
+     */
     @DataProvider
     public Object[][] configurationFaults() {
         List<Object[]> faults = new ArrayList<>();
@@ -73,7 +77,9 @@
             String desk = "desk" + tandem + ".example.org";
             String groupElement = "<group name=\"" + group + "\" far=\"" + tandem + "\" circuits=\"60\"/>";
             String prefixElement = String.format("<prefix digits=\"+91484%02d\" exchange=\"%d\"/>", tandem, tandem);
-            faults.add(new Object[] {groupElement, groupElement.replace("60", "1"), desk, "pickup-slot to " + desk + " goes direct"});
+            faults.add(new Object[] {
+                groupElement, groupElement.replace("60", "1"), desk, "pickup-slot to " + desk + " goes direct"
+            });
             faults.add(new Object[] {
                 prefixElement,
                 prefixElement + String.format("<prefix digits=\"+91484%02d00\" exchange=\"1\"/>", tandem),
@@ -90,34 +96,38 @@
         return faults.toArray(new Object[0][]);
     }
 
-    @Test(dataProvider = "breaks")
-    public void faultBreaksOnlyRelatedExpectations(String original, String replacement, String relatedText, String expectedText)
-            throws Exception {
+    @Test(dataProvider = "configurationFaults")
+    public void faultBreaksOnlyRelatedExpectations(
+            String original, String replacement, String relatedText, String expectedText) throws Exception {
         String xml = Files.readString(FOLDER.resolve("desk07.xml"));
         assertTrue(xml.contains(original), original);
         ExchangeConfiguration configuration = parseConfiguration(xml.replace(original, replacement));
-        // A line may ask for more circuits than the group now has, which is told when the file is read.
+        // Removes lines that ask for more circuits than the group now has, as reading the file would fail.
         String expectations = Files.readString(FOLDER.resolve("desk07.expect")).replaceAll("(?m)^.* has 30 free$", "");
         ExpectationFile.Contents contents = ExpectationFile.read("desk07.expect", expectations, configuration);
         ExpectationChecker checker = newChecker(configuration, contents);
         List<String> broken = new ArrayList<>();
         for (Expectation expectation : contents.expectations()) {
-            // A tandem with a single circuit is still drawn, and what it was drawn for is deferred near full.
+            // A tandem whose group has a single circuit may still be chosen; the contact is then deferred as the group
+            // is full.
             boolean related = expectation.text().contains(relatedText)
                     || replacement.contains("\"1\"") && expectation.text().contains("tandems");
-            // Of those that may not mind, every tenth.
+            // Of the unrelated expectations, every tenth is checked.
             if ((expectation.text().contains(relatedText) || expectation.line() % 10 == 0)
                     && !checker.check(expectation).holds()) {
                 broken.add(expectation.text());
                 assertTrue(
                         related,
-                        "broken beside: " + expectation.text() + ": " + checker.check(expectation).reason());
+                        "unrelated expectation broken: " + expectation.text() + ": "
+                                + checker.check(expectation).reason());
             }
         }
-        assertTrue(broken.stream().anyMatch(expectation -> expectation.startsWith(expectedText)), expectedText + " not in " + broken);
+        assertTrue(
+                broken.stream().anyMatch(expectation -> expectation.startsWith(expectedText)),
+                expectedText + " not in " + broken);
     }
 
-    /** Removed or shrunk groups that lines speak of by name or number are told before anything is tried. */
+    /** An expectation that names a removed group, or more circuits than the group has, is an error of the file. */
     @Test
     public void rejectsExpectationsThatGroupCannotMeet() throws Exception {
         String xml = Files.readString(FOLDER.resolve("desk07.xml"));
@@ -132,7 +142,7 @@
                     assertFalse(e.errors().isEmpty());
                     continue;
                 }
-                throw new AssertionError("taken: " + group + " as '" + replacement + "'");
+                throw new AssertionError("accepted: " + group + " as '" + replacement + "'");
             }
         }
     }
--- a/src/test/java/martenslip/expect/ExpectationCheckerTest.java
+++ b/src/test/java/martenslip/expect/ExpectationCheckerTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A small world: exchange 0 has groups to 1, 2 and 3, none to 4; all have their own files. */
+/** Five exchanges: exchange 0 has groups to 1, 2 and 3 but none to 4; exchanges 0 to 3 have configurations. */
 public class ExpectationCheckerTest {
     private static final String DESK_DEFINITIONS = "desk d0 is exchange 0 in north\ndesk d1 is exchange 1 in north\n"
             + "desk d2 is exchange 2 in north\ndesk d3 is exchange 3 in south\ndesk d4 is exchange 4 in south\n";
@@ -33,13 +33,15 @@
         StringBuilder prefixElements = new StringBuilder();
         StringBuilder groupElements = new StringBuilder();
         for (int exchange = 0; exchange < 5; exchange++) {
-            prefixElements.append("<prefix digits='+770")
+            prefixElements
+                    .append("<prefix digits='+770")
                     .append(exchange)
                     .append("' exchange='")
                     .append(exchange)
                     .append("'/>");
         }
-        groups.forEach((farExchange, circuits) -> groupElements.append("<group name='g-")
+        groups.forEach((farExchange, circuits) -> groupElements
+                .append("<group name='g-")
                 .append(Math.min(farExchange, ownNumber))
                 .append('-')
                 .append(Math.max(farExchange, ownNumber))
@@ -66,7 +68,8 @@
                 Path.of("."));
     }
 
-    private static Map<Integer, ExchangeConfiguration> configurations(Map<Integer, Integer> originGroups) throws Exception {
+    private static Map<Integer, ExchangeConfiguration> configurations(Map<Integer, Integer> originGroups)
+            throws Exception {
         Map<Integer, ExchangeConfiguration> configurations = new HashMap<>();
         configurations.put(0, configuration(0, originGroups));
         configurations.put(1, configuration(1, Map.of(0, 30, 2, 30, 3, 30, 4, 30)));
@@ -77,9 +80,10 @@
 
     private static final Map<Integer, Integer> ORIGIN_GROUPS = Map.of(1, 30, 2, 30, 3, 30);
 
-    private static List<ExpectationChecker.Result> check(Map<Integer, ExchangeConfiguration> configurations, String expectations)
-            throws Exception {
-        ExpectationFile.Contents contents = ExpectationFile.read("test.expect", DESK_DEFINITIONS + expectations, configurations.get(0));
+    private static List<ExpectationChecker.Result> check(
+            Map<Integer, ExchangeConfiguration> configurations, String expectations) throws Exception {
+        ExpectationFile.Contents contents =
+                ExpectationFile.read("test.expect", DESK_DEFINITIONS + expectations, configurations.get(0));
         ExpectationChecker checker = new ExpectationChecker(configurations, 0, contents, RoutingPolicy::new);
         return contents.expectations().stream().map(checker::check).toList();
     }
@@ -104,9 +108,10 @@
         };
     }
 
-    @Test(dataProvider = "holding")
+    @Test(dataProvider = "satisfiedExpectations")
     public void satisfiedExpectationHolds(String line) throws Exception {
-        ExpectationChecker.Result result = check(configurations(ORIGIN_GROUPS), line).get(0);
+        ExpectationChecker.Result result =
+                check(configurations(ORIGIN_GROUPS), line).get(0);
         assertTrue(result.holds(), result.reason());
     }
 
@@ -126,19 +131,21 @@
         };
     }
 
-    @Test(dataProvider = "broken")
+    @Test(dataProvider = "violatedExpectations")
     public void violationNamesRouteTaken(String line, String expectedReason) throws Exception {
-        ExpectationChecker.Result result = check(configurations(ORIGIN_GROUPS), line).get(0);
+        ExpectationChecker.Result result =
+                check(configurations(ORIGIN_GROUPS), line).get(0);
         assertFalse(result.holds());
         assertTrue(result.reason().contains(expectedReason), result.reason());
     }
 
-    /** Faults planted in the configuration are told with the expectation that they break, and no other. */
+    /** Removing a group or its circuits breaks the expectation that needs it and no other. */
     @Test
     public void changedGroupBreaksOnlyItsExpectations() throws Exception {
         String expectations = "status to d1 goes direct\nslot to d2 goes direct\nstatus to d3 goes direct\n"
                 + "nothing goes via d3 while it is draining\nanything to d4 stands";
-        assertTrue(check(configurations(ORIGIN_GROUPS), expectations).stream().allMatch(ExpectationChecker.Result::holds));
+        assertTrue(
+                check(configurations(ORIGIN_GROUPS), expectations).stream().allMatch(ExpectationChecker.Result::holds));
         List<ExpectationChecker.Result> withoutDirectGroup = check(configurations(Map.of(2, 30, 3, 30)), expectations);
         assertEquals(
                 withoutDirectGroup.stream()
@@ -146,7 +153,8 @@
                         .map(result -> result.expectation().text())
                         .toList(),
                 List.of("status to d1 goes direct"));
-        List<ExpectationChecker.Result> withSmallGroup = check(configurations(Map.of(1, 30, 2, 2, 3, 30)), expectations);
+        List<ExpectationChecker.Result> withSmallGroup =
+                check(configurations(Map.of(1, 30, 2, 2, 3, 30)), expectations);
         assertEquals(
                 withSmallGroup.stream()
                         .filter(result -> !result.holds())
@@ -160,10 +168,12 @@
         Map<Integer, ExchangeConfiguration> configurations = configurations(Map.of(3, 30));
         configurations.remove(1);
         configurations.remove(2);
-        ExpectationFile.Contents contents = ExpectationFile.read("test.expect", DESK_DEFINITIONS, configurations.get(0));
+        ExpectationFile.Contents contents =
+                ExpectationFile.read("test.expect", DESK_DEFINITIONS, configurations.get(0));
         List<String> findings = new ExpectationChecker(configurations, 0, contents, RoutingPolicy::new).findings();
         assertTrue(findings.contains("d1 is reached by one tandem alone, d3"), findings.toString());
-        assertTrue(findings.stream().anyMatch(finding -> finding.startsWith("nothing reaches d4")), findings.toString());
+        assertTrue(
+                findings.stream().anyMatch(finding -> finding.startsWith("nothing reaches d4")), findings.toString());
         assertEquals(findings.size(), 3, findings.toString());
     }
 
@@ -177,21 +187,24 @@
             {"status to d1 stands while group g-0-9 is full", "no group is called g-0-9; did you mean g-0-1?"},
             {"status to d1 stands while group g-0-1 has 31 free", "has 30 circuits in all"},
             {"status from d1 to d2 stands", "is not the exchange of this file"},
-            {"status to d1 stands while it is cold", "it names no desk here"},
+            {"status to d1 stands while it is cold", "'it' refers to no desk"},
             {"desk d1 is exchange 1", "defined already"},
             {"desk q is exchange 77", "no number leads to exchange 77"}
         };
     }
 
-    @Test(dataProvider = "malformed")
+    @Test(dataProvider = "malformedLines")
     public void malformedLineIsRejectedWithReason(String line, String expectedReason) throws Exception {
         try {
-            ExpectationFile.read("test.expect", DESK_DEFINITIONS + line, configurations(ORIGIN_GROUPS).get(0));
+            ExpectationFile.read(
+                    "test.expect",
+                    DESK_DEFINITIONS + line,
+                    configurations(ORIGIN_GROUPS).get(0));
         } catch (InvalidFileException e) {
             assertTrue(e.getMessage().contains(expectedReason), e.getMessage());
             return;
         }
-        throw new AssertionError("taken: " + line);
+        throw new AssertionError("accepted: " + line);
     }
 
     private static List<Contradictions.Contradiction> contradictions(String expectations) throws Exception {
@@ -229,13 +242,15 @@
         };
     }
 
-    @Test(dataProvider = "contradictory")
+    @Test(dataProvider = "expectationPairs")
     public void findsContradictions(String expectations, boolean contradictory) throws Exception {
         assertEquals(
-                !contradictions(expectations).isEmpty(), contradictory, contradictions(expectations).toString());
+                !contradictions(expectations).isEmpty(),
+                contradictory,
+                contradictions(expectations).toString());
     }
 
-    /** Against brute force: all first ways and ends of all contacts in a state, with every expectation held to them. */
+    /** Compares with a search through all first rings and final states of all contacts in all states. */
     @Test
     public void contradictionsAgreeWithExhaustiveSearch() {
         SplittableRandom random = new SplittableRandom(11);
@@ -269,10 +284,11 @@
                     1 + random.nextInt(2), random.nextBoolean() ? Condition.State.COLD : Condition.State.DRAINING));
         }
         Set<Integer> destinations = random.nextBoolean() ? Set.of() : Set.of(4 + random.nextInt(2));
-        return new Expectation(line, "drawn", random.nextInt(3) - 1, Set.of(), destinations, quantifier, 100, outcome, conditions);
+        return new Expectation(
+                line, "drawn", random.nextInt(3) - 1, Set.of(), destinations, quantifier, 100, outcome, conditions);
     }
 
-    /** True where no contact that both speak of is left without a way that suits both, in any state of both. */
+    /** Returns whether each contact that both apply to has a route that satisfies both, in each state of both. */
     private static boolean compatible(Expectation first, Expectation second) {
         for (int skill = 0; skill < 2; skill++) {
             for (int destination = 4; destination <= 5; destination++) {
@@ -287,11 +303,12 @@
 
     private static boolean appliesTo(Expectation expectation, int skill, int destination) {
         return (expectation.skill() < 0 || expectation.skill() == skill)
-                && (expectation.destinations().isEmpty() || expectation.destinations().contains(destination));
+                && (expectation.destinations().isEmpty()
+                        || expectation.destinations().contains(destination));
     }
 
     private static boolean haveCommonState(Expectation first, Expectation second) {
-        // Desks 1 and 2 are each right, cold or draining; nothing wrong at all is a state of its own.
+        // Desks 1 and 2 are each ready, cold or draining; state 0 is the one without any fault.
         for (int state = 0; state < 9; state++) {
             if (appliesIn(first, state) && appliesIn(second, state)) {
                 return true;
@@ -320,11 +337,13 @@
         return false;
     }
 
-    /** A first ring, 0 direct and -1 none, and an end: 0 standing, 1 deferred, 2 abandoned. */
+    /** {@code firstExchange} is 0 for direct and -1 for no ring; final states are 0 established, 1 deferred, 2 abandoned. */
     private static boolean satisfies(Expectation expectation, int firstExchange, int finalState) {
         boolean matches = expectation.outcome() instanceof Outcome.Established
                 ? finalState == 0
-                : expectation.outcome() instanceof Outcome.Deferred ? finalState == 1 : routeMatches((Outcome.Routed) expectation.outcome(), firstExchange);
+                : expectation.outcome() instanceof Outcome.Deferred
+                        ? finalState == 1
+                        : routeMatches((Outcome.Routed) expectation.outcome(), firstExchange);
         return matches == (expectation.quantifier() != Quantifier.NEVER);
     }
 
