--- a/src/main/java/martenslip/cli/PlayCommand.java
+++ b/src/main/java/martenslip/cli/PlayCommand.java
@@ -44,7 +44,8 @@
             Path folder = outputFolder != null ? outputFolder : Path.of("target", "play", day.name());
             boolean rulesKept =
                     new ScenarioRunner(day, folder, List.of(jvmOptions.trim().split(" +")), lanes, System.out).run();
-            // Reader threads of stand-ins may still block on sockets, so the process is left without joining them.
+            // The process ends while reader threads of stand-ins may still block on sockets, so the output is flushed
+            // first.
             System.out.flush();
             return rulesKept ? 0 : 1;
         } catch (InvalidFileException e) {
--- a/src/main/java/martenslip/configuration/ExchangeConfiguration.java
+++ b/src/main/java/martenslip/configuration/ExchangeConfiguration.java
@@ -39,7 +39,7 @@
 
     /**
      * Limits of the exchange: rings per contact, open contacts, the largest time after which a deferred caller is asked
-     * to try again, the silence after which a switch counts as silent, and the number of lanes.
+     * to try again, the time without a response after which a ring counts as unanswered, and the number of lanes.
      */
     public record Limits(int maxRings, int maxOpenContacts, Span maxRetryAfter, Span silenceTimeout, int lanes) {}
 
--- a/src/main/java/martenslip/configuration/XmlFileReader.java
+++ b/src/main/java/martenslip/configuration/XmlFileReader.java
@@ -66,7 +66,7 @@
     /**
      * Reads a file and returns its root element.
      *
-     * @throws InvalidFileException with up to 20 errors, or one where the file is larger than 16 MiB
+     * @throws InvalidFileException with the first errors of the file, or one error where it is larger than 16 MiB
      */
     public XmlElement read(Path file) throws IOException, InvalidFileException {
         if (Files.size(file) > MAX_FILE_BYTES) {
@@ -80,6 +80,7 @@
      * Reads a text and returns its root element.
      *
      * @param sourceName name of the text in error messages
+     * @throws InvalidFileException with the first errors of the text
      */
     public XmlElement read(String sourceName, byte[] bytes) throws InvalidFileException {
         Builder builder = new Builder();
--- a/src/main/java/martenslip/simulatorprotocol/SimulatorProtocol.java
+++ b/src/main/java/martenslip/simulatorprotocol/SimulatorProtocol.java
@@ -360,7 +360,7 @@
         deliver(instanceId, controller -> controller.ringEnded(now, end));
     }
 
-    /** Reads the six-byte identifier of a switch: four bytes of address, two of port. */
+    /** Reads the identifier of a switch: six bytes, the most significant first. */
     private long readTarget() {
         return Integer.toUnsignedLong(records.getInt()) << 16 | Short.toUnsignedLong(records.getShort());
     }
