--- a/src/main/java/martenslip/expect/ContactTrial.java
+++ b/src/main/java/martenslip/expect/ContactTrial.java
@@ -21,89 +21,108 @@
 import martenslip.expect.Expectation.Condition;
 
 /**
- * One contact through the very module, in a world that is told by hand: lists, groups and reports as the conditions
- * say, time driven. Tandems whose files are known decide with a module of their own; others turn back, or all lead on where no file but
- * the first is known. Deterministic by
- * its seed; without I/O.
+ * Simulates how one contact is routed. Switch list, group sizes and switch reports follow from the conditions of an
+ * expectation; events run in simulated time. An exchange whose configuration is known decides with a controller of its
+ * own. Other tandems reject the contact, or connect it where only the origin's configuration is known. The result
+ * depends on the seed and the arguments only; no I/O.
  */
 public final class ContactTrial {
+    /** How the contact ended: established, or refused by one of the two final refusals. */
     public enum FinalState {
         STOOD,
         DEFERRED,
         ABANDONED
     }
 
-    /** The exchanges that the first exchange's rings went to, in turn, with what became of each, and the end. */
-    public record RouteTaken(List<Integer> tries, List<String> became, FinalState end) {}
+    /** The exchanges that the origin's rings went to, in order, the result of each ring, and the contact's final state. */
+    public record RouteTaken(List<Integer> triedExchanges, List<String> ringResults, FinalState finalState) {}
 
-    private static final Span SET_UP = Span.ofMillis(5);
-    private static final Moment START = new Moment(Span.ofMillis(1_000_000).ns());
-    /** Past each rule's span, so a state is settled when the contact comes. */
+    private static final Span NETWORK_DELAY = Span.ofMillis(5);
+    private static final Moment START_TIME = new Moment(Span.ofMillis(1_000_000).ns());
+    /** Appended to a prefix to form a dialled number. */
     private static final String LAST_DIGITS = "00000";
 
-    private static final Span SETTLED = Span.ofMillis(60_000);
+    /** Longer than any period of the rules, so that a state is known and in force before the contact is offered. */
+    private static final Span SETTLING_TIME = Span.ofMillis(60_000);
 
-    private record Event(Moment at, long order, Runnable what) {}
+    private static final Span DEADLINE_MARGIN = Span.ofMillis(1000);
+    private static final Span MAX_TIMER_LATENESS = Span.ofMillis(25);
+    /** After this time, or the limit of the ring if that is shorter, a ring without an answer ends. */
+    private static final Span NO_ANSWER_TIMEOUT = Span.ofMillis(900);
 
-    private final Map<Integer, ExchangeConfiguration> sites;
-    private final Map<Integer, String> regions;
+    private record Event(Moment time, long sequence, Runnable action) {}
+
+    private final Map<Integer, ExchangeConfiguration> configurations;
+    private final Map<Integer, String> regionsByExchange;
     private final ExchangeConfiguration origin;
-    private final ControllerFactory maker;
+    private final ControllerFactory controllerFactory;
     private final long seed;
-    private final Map<Integer, Condition.State> desks = new HashMap<>();
-    private final Map<String, Integer> groups = new HashMap<>();
-    private final Map<Integer, SimulatedController> nodes = new HashMap<>();
+    private final Map<Integer, Condition.State> switchStates = new HashMap<>();
+    private final Map<String, Integer> freeCircuitsByGroup = new HashMap<>();
+    private final Map<Integer, SimulatedController> controllers = new HashMap<>();
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::order));
-    private final List<Integer> tries = new ArrayList<>();
-    private final List<String> became = new ArrayList<>();
-    private String cut;
-    private long orders;
-    private Moment now = START;
-    private FinalState end;
-
-    /** {@code sites} holds the files of this and, as far as known, other exchanges. */
+            new PriorityQueue<>(Comparator.comparing(Event::time).thenComparing(Event::sequence));
+    private final List<Integer> triedExchanges = new ArrayList<>();
+    private final List<String> ringResults = new ArrayList<>();
+    private String cutRegion;
+    private long nextSequence;
+    private Moment now = START_TIME;
+    private FinalState finalState;
+
+    /**
+     * Prepares a trial.
+     *
+     * @param configurations configurations by exchange number: of the origin and, as far as known, of others
+     * @param originNumber number of the exchange that the contact is offered to
+     * @param conditions state of switches, groups and regions during the trial
+     */
     public ContactTrial(
-            Map<Integer, ExchangeConfiguration> sites,
-            int origin,
-            Map<Integer, String> regions,
-            ControllerFactory maker,
+            Map<Integer, ExchangeConfiguration> configurations,
+            int originNumber,
+            Map<Integer, String> regionsByExchange,
+            ControllerFactory controllerFactory,
             List<Condition> conditions,
             long seed) {
-        this.sites = sites;
-        this.origin = sites.get(origin);
-        this.regions = regions;
-        this.maker = maker;
+        this.configurations = configurations;
+        this.origin = configurations.get(originNumber);
+        this.regionsByExchange = regionsByExchange;
+        this.controllerFactory = controllerFactory;
         this.seed = seed;
-        for (Condition one : conditions) {
-            if (one instanceof Condition.Desk desk) {
-                desks.put(desk.exchange(), desk.state());
-            } else if (one instanceof Condition.Group group) {
-                groups.put(group.name(), group.free());
-            } else if (one instanceof Condition.Cut region) {
-                cut = region.region();
+        for (Condition condition : conditions) {
+            if (condition instanceof Condition.Desk desk) {
+                switchStates.put(desk.exchange(), desk.state());
+            } else if (condition instanceof Condition.Group group) {
+                freeCircuitsByGroup.put(group.name(), group.free());
+            } else if (condition instanceof Condition.Cut region) {
+                cutRegion = region.region();
             }
         }
     }
 
-    /** Offers a contact of the skill for the exchange, and gives its way; each event is taken at its time. */
+    /** Offers a contact of the skill for the destination and returns the route that it took. Call once per trial. */
     public RouteTaken offer(int skill, int destination) {
-        SimulatedController first = node(origin.number());
-        Skill is = origin.skills().get(skill);
-        Moment until = now.plus(SETTLED).plus(is.patience().times(2)).plus(Span.ofMillis(1000));
-        if (desks.containsValue(Condition.State.SILENT)) {
-            hush(first, until);
+        SimulatedController originController = controllerOf(origin.number());
+        Skill skillConfiguration = origin.skills().get(skill);
+        Moment deadline = now.plus(SETTLING_TIME)
+                .plus(skillConfiguration.patience().times(2))
+                .plus(DEADLINE_MARGIN);
+        if (switchStates.containsValue(Condition.State.SILENT)) {
+            detectSilentSwitches(originController, deadline);
         }
-        first.take(destination, skill, -1, is.patience(), null);
-        run(until);
-        return new RouteTaken(List.copyOf(tries), List.copyOf(became), end == null ? FinalState.ABANDONED : end);
+        originController.offerContact(destination, skill, -1, skillConfiguration.patience(), null);
+        runUntil(deadline);
+        // A contact without a final answer by the deadline counts as abandoned.
+        return new RouteTaken(
+                List.copyOf(triedExchanges),
+                List.copyOf(ringResults),
+                finalState == null ? FinalState.ABANDONED : finalState);
     }
 
-    /** A switch is known as silent by a ring that it swallowed: contacts for it come first, and are let hang. */
-    private void hush(SimulatedController first, Moment until) {
-        desks.forEach((exchange, state) -> {
+    /** A controller knows a switch as silent once a ring got no answer, so a contact for each silent switch comes first. */
+    private void detectSilentSwitches(SimulatedController originController, Moment deadline) {
+        switchStates.forEach((exchange, state) -> {
             if (state == Condition.State.SILENT && exchange != origin.number()) {
-                first.take(
+                originController.offerContact(
                         exchange,
                         origin.defaultSkill(),
                         -1,
@@ -111,100 +130,111 @@
                         null);
             }
         });
-        run(until);
-        end = null;
-        tries.clear();
-        became.clear();
+        runUntil(deadline);
+        finalState = null;
+        triedExchanges.clear();
+        ringResults.clear();
     }
 
-    /** Takes events at their times until the contact has its end. */
-    private void run(Moment until) {
-        while (end == null && !events.isEmpty() && events.peek().at().before(until)) {
-            Event next = events.poll();
-            now = next.at();
-            next.what().run();
+    /** Runs events in the order of their times until a contact of the origin ends or the deadline is reached. */
+    private void runUntil(Moment deadline) {
+        while (finalState == null && !events.isEmpty() && events.peek().time().before(deadline)) {
+            Event event = events.poll();
+            now = event.time();
+            event.action().run();
         }
     }
 
-    private void later(Span span, Runnable what) {
-        events.add(new Event(now.plus(span), orders++, what));
+    private void schedule(Span delay, Runnable action) {
+        events.add(new Event(now.plus(delay), nextSequence++, action));
     }
 
-    private SimulatedController node(int number) {
-        return nodes.computeIfAbsent(number, any -> new SimulatedController(sites.get(number)));
+    /** Returns the controller of an exchange; creates it at its first use. */
+    private SimulatedController controllerOf(int exchange) {
+        return controllers.computeIfAbsent(exchange, ignored -> new SimulatedController(configurations.get(exchange)));
     }
 
-    private boolean away(int exchange) {
-        return desks.get(exchange) == Condition.State.GONE
-                || desks.get(exchange) == Condition.State.SILENT
+    private boolean unreachable(int exchange) {
+        return switchStates.get(exchange) == Condition.State.GONE
+                || switchStates.get(exchange) == Condition.State.SILENT
                 || severed(origin.number(), exchange);
     }
 
-    private boolean severed(int a, int b) {
-        return cut != null && cut.equals(regions.get(a)) != cut.equals(regions.get(b));
+    /** Returns whether the two exchanges are on different sides of a region that is cut off. */
+    private boolean severed(int firstExchange, int secondExchange) {
+        return cutRegion != null
+                && cutRegion.equals(regionsByExchange.get(firstExchange))
+                        != cutRegion.equals(regionsByExchange.get(secondExchange));
     }
 
+    /** Receives the result of a ring at the exchange that ordered it. */
     private interface RingResultHandler {
-        void stood();
+        void established();
 
-        void turned(RingEndCause cause, RejectionReason blame);
+        void rejected(RingEndCause cause, RejectionReason reason);
     }
 
-    /** One exchange with its module. */
+    /** One exchange with its controller. The identifier of a switch is its exchange number + 1. */
     private final class SimulatedController implements Orders {
-        private final ExchangeConfiguration site;
-        private final Controller module;
-        private final Map<Long, RingResultHandler> callers = new HashMap<>();
+        private final ExchangeConfiguration configuration;
+        private final Controller controller;
+        private final Map<Long, RingResultHandler> resultHandlers = new HashMap<>();
         private final Map<Long, Contact> contacts = new HashMap<>();
-        private final Map<Long, Integer> rings = new HashMap<>();
-        private long ids;
-
-        SimulatedController(ExchangeConfiguration site) {
-            this.site = site;
-            module = maker.create(site.settings(Span.ofMillis(25)), seed * 1009 + site.number(), now, this);
-            List<SwitchEntry> lines = new ArrayList<>();
-            for (int far : site.numbering().exchanges()) {
-                Condition.State state = desks.get(far);
+        private final Map<Long, Integer> ringCounts = new HashMap<>();
+        private long lastContactId;
+
+        SimulatedController(ExchangeConfiguration configuration) {
+            this.configuration = configuration;
+            controller = controllerFactory.create(
+                    configuration.settings(MAX_TIMER_LATENESS), seed * 1009 + configuration.number(), now, this);
+            List<SwitchEntry> entries = new ArrayList<>();
+            for (int exchange : configuration.numbering().exchanges()) {
+                Condition.State state = switchStates.get(exchange);
                 if (state != Condition.State.GONE) {
                     boolean cold = state == Condition.State.COLD;
-                    lines.add(new SwitchEntry(
-                            far + 1,
-                            far,
+                    entries.add(new SwitchEntry(
+                            exchange + 1,
+                            exchange,
                             state == Condition.State.DRAINING ? SwitchEntry.State.DRAINING : SwitchEntry.State.READY,
                             cold ? now : null,
-                            site.regions().indexOf(regions.getOrDefault(far, ""))));
+                            configuration.regions().indexOf(regionsByExchange.getOrDefault(exchange, ""))));
                 }
             }
-            module.switchListReceived(now, Controller.ListKind.FULL, lines);
-            for (ExchangeConfiguration.Group group : site.groups().values()) {
-                if (desks.get(group.farExchange()) != Condition.State.GONE) {
-                    int free = free(group);
-                    report(group.farExchange(), Math.max(0, free), free < 0 ? 0 : group.circuits());
+            controller.switchListReceived(now, Controller.ListKind.FULL, entries);
+            for (ExchangeConfiguration.Group group : configuration.groups().values()) {
+                if (switchStates.get(group.farExchange()) != Condition.State.GONE) {
+                    int freeCircuits = freeCircuits(group);
+                    reportSwitch(
+                            group.farExchange(), Math.max(0, freeCircuits), freeCircuits < 0 ? 0 : group.circuits());
                 }
             }
         }
 
-        private int free(ExchangeConfiguration.Group group) {
-            return groups.getOrDefault(group.name(), group.circuits());
+        private int freeCircuits(ExchangeConfiguration.Group group) {
+            return freeCircuitsByGroup.getOrDefault(group.name(), group.circuits());
         }
 
-        /** A pressed processor says so in each field that the exchange asks for; an easy one says so too. */
-        private void report(int far, int free, int total) {
-            boolean pressed = desks.get(far) == Condition.State.PRESSED;
-            float[] report = new float[2 + site.configuredReportFields().size()];
-            report[0] = free;
-            report[1] = total;
-            for (int i = 0; i < site.configuredReportFields().size(); i++) {
-                report[2 + i] = switch (site.configuredReportFields().get(i)) {
+        /** Reports the circuits toward a switch and, in each configured field, whether its processor is pressed. */
+        private void reportSwitch(int exchange, int freeCircuits, int totalCircuits) {
+            boolean pressed = switchStates.get(exchange) == Condition.State.PRESSED;
+            float[] report =
+                    new float[2 + configuration.configuredReportFields().size()];
+            report[0] = freeCircuits;
+            report[1] = totalCircuits;
+            for (int i = 0; i < configuration.configuredReportFields().size(); i++) {
+                report[2 + i] = switch (configuration.configuredReportFields().get(i)) {
                     case "allowed" -> 100;
                     case "cut_by", "depth", "mean_ms" -> 0;
                     default -> -1;
                 };
             }
-            // What a processor allows is judged against its usual, so that comes first.
-            module.switchReported(now, far + 1, true, Span.ZERO, report.clone());
-            for (int i = 0; pressed && i < site.configuredReportFields().size(); i++) {
-                report[2 + i] = switch (site.configuredReportFields().get(i)) {
+            // A controller compares what a processor allows with its usual value, so a report of normal load comes
+            // first.
+            controller.switchReported(now, exchange + 1, true, Span.ZERO, report.clone());
+            for (int i = 0;
+                    pressed && i < configuration.configuredReportFields().size();
+                    i++) {
+                report[2 + i] = switch (configuration.configuredReportFields().get(i)) {
                     case "allowed" -> 1;
                     case "cut_by" -> 0.99f;
                     case "depth" -> 200;
@@ -213,136 +243,147 @@
                 };
             }
             if (pressed) {
-                module.switchReported(now, far + 1, true, Span.ZERO, report);
+                controller.switchReported(now, exchange + 1, true, Span.ZERO, report);
             }
         }
 
-        void take(int destination, int skill, int from, Span patience, RingResultHandler back) {
-            long id = ++ids;
-            Skill is = site.skills().get(skill);
-            // A number of the desk, led as a caller's is: a longer prefix may lead it elsewhere.
-            String number = site.numbering().firstPrefixOf(destination) + LAST_DIGITS;
+        /** Offers a contact; {@code previousExchange} is -1 for a caller's contact, which has no handler either. */
+        void offerContact(
+                int destination, int skill, int previousExchange, Span patience, RingResultHandler resultHandler) {
+            long contactId = ++lastContactId;
+            Skill skillConfiguration = configuration.skills().get(skill);
+            // The number is routed like a caller's: a longer prefix may lead to another exchange.
+            String dialledNumber = configuration.numbering().firstPrefixOf(destination) + LAST_DIGITS;
             Contact contact = new Contact(
-                    id,
+                    contactId,
                     skill,
-                    Long.parseLong(number.replace("+", "")),
-                    site.numbering().exchangeForNumber(number),
-                    from,
-                    is.width(),
+                    Long.parseLong(dialledNumber.replace("+", "")),
+                    configuration.numbering().exchangeForNumber(dialledNumber),
+                    previousExchange,
+                    skillConfiguration.width(),
                     patience,
                     false,
-                    from >= 0,
+                    previousExchange >= 0,
                     false);
-            contacts.put(id, contact);
-            callers.put(id, back);
-            // A drain is demanded of once its grace is over.
-            Span wait = desks.containsValue(Condition.State.DRAINING) && from < 0 ? SETTLED : Span.ZERO;
-            later(wait, () -> module.contactOffered(now, contact));
+            contacts.put(contactId, contact);
+            resultHandlers.put(contactId, resultHandler);
+            // Expectations about a draining switch hold once its drain grace is over.
+            Span delay = switchStates.containsValue(Condition.State.DRAINING) && previousExchange < 0
+                    ? SETTLING_TIME
+                    : Span.ZERO;
+            schedule(delay, () -> controller.contactOffered(now, contact));
         }
 
         @Override
-        public void ring(long id, long target, Span limit) {
-            Contact contact = contacts.get(id);
-            int number = rings.merge(id, 1, Integer::sum) - 1;
-            int far = (int) target - 1;
-            boolean mine = site == origin;
-            if (mine) {
-                tries.add(far);
+        public void ring(long contactId, long target, Span limit) {
+            Contact contact = contacts.get(contactId);
+            int ringNumber = ringCounts.merge(contactId, 1, Integer::sum) - 1;
+            int exchange = (int) target - 1;
+            boolean fromOrigin = configuration == origin;
+            if (fromOrigin) {
+                triedExchanges.add(exchange);
             }
-            RingResultHandler back = new RingResultHandler() {
+            RingResultHandler resultHandler = new RingResultHandler() {
                 @Override
-                public void stood() {
-                    told("stood");
-                    module.established(now, id, number, target, SET_UP);
-                    finish(id, FinalState.STOOD);
+                public void established() {
+                    recordResult("stood");
+                    controller.established(now, contactId, ringNumber, target, NETWORK_DELAY);
+                    finishContact(contactId, FinalState.STOOD);
                 }
 
                 @Override
-                public void turned(RingEndCause cause, RejectionReason blame) {
-                    told(cause + (blame == RejectionReason.NONE ? "" : " " + blame));
-                    module.ringEnded(now, new RingEnd(id, number, target, cause, blame, SET_UP, false, new float[0]));
+                public void rejected(RingEndCause cause, RejectionReason reason) {
+                    recordResult(cause + (reason == RejectionReason.NONE ? "" : " " + reason));
+                    controller.ringEnded(
+                            now,
+                            new RingEnd(
+                                    contactId, ringNumber, target, cause, reason, NETWORK_DELAY, false, new float[0]));
                 }
 
-                private void told(String what) {
-                    if (mine) {
-                        became.add(what.toLowerCase(java.util.Locale.ROOT));
+                private void recordResult(String result) {
+                    if (fromOrigin) {
+                        ringResults.add(result.toLowerCase(java.util.Locale.ROOT));
                     }
                 }
             };
-            later(SET_UP, () -> sent(contact, far, limit, back));
+            schedule(NETWORK_DELAY, () -> deliverRing(contact, exchange, limit, resultHandler));
         }
 
-        private void sent(Contact contact, int far, Span limit, RingResultHandler back) {
-            ExchangeConfiguration.Group group = site.groups().get(far);
-            if (away(far) || severed(site.number(), far)) {
-                later(
-                        limit.atMost(Span.ofMillis(900)),
-                        () -> back.turned(RingEndCause.TIMED_OUT, RejectionReason.NONE));
-            } else if (desks.get(far) == Condition.State.PRESSED) {
-                back.turned(RingEndCause.TURNED_BACK, RejectionReason.PROCESSOR);
-            } else if (group != null && free(group) < contact.width()) {
-                back.turned(RingEndCause.TURNED_BACK, RejectionReason.NO_CIRCUIT);
-            } else if (far == contact.destination() || sites.size() == 1) {
-                back.stood();
-            } else if (!sites.containsKey(far)) {
-                back.turned(RingEndCause.TURNED_BACK, RejectionReason.TANDEM);
+        /** Lets a ring arrive: it times out, is rejected, is established, or goes on through a tandem. */
+        private void deliverRing(Contact contact, int exchange, Span limit, RingResultHandler resultHandler) {
+            ExchangeConfiguration.Group group = configuration.groups().get(exchange);
+            if (unreachable(exchange) || severed(configuration.number(), exchange)) {
+                schedule(
+                        limit.atMost(NO_ANSWER_TIMEOUT),
+                        () -> resultHandler.rejected(RingEndCause.TIMED_OUT, RejectionReason.NONE));
+            } else if (switchStates.get(exchange) == Condition.State.PRESSED) {
+                resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.PROCESSOR);
+            } else if (group != null && freeCircuits(group) < contact.width()) {
+                resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.NO_CIRCUIT);
+            } else if (exchange == contact.destination() || configurations.size() == 1) {
+                resultHandler.established();
+            } else if (!configurations.containsKey(exchange)) {
+                resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.TANDEM);
             } else {
-                node(far).take(contact.destination(), contact.skill(), site.number(), limit, back);
+                controllerOf(exchange)
+                        .offerContact(
+                                contact.destination(), contact.skill(), configuration.number(), limit, resultHandler);
             }
         }
 
-        private void finish(long id, FinalState how) {
-            RingResultHandler back = callers.remove(id);
-            if (site == origin) {
-                end = end == null ? how : end;
-            } else if (back != null) {
-                if (how == FinalState.STOOD) {
-                    back.stood();
+        /** Ends a contact; the exchange that sent it here as a tandem, if any, receives the result of its ring. */
+        private void finishContact(long contactId, FinalState outcome) {
+            RingResultHandler resultHandler = resultHandlers.remove(contactId);
+            if (configuration == origin) {
+                finalState = finalState == null ? outcome : finalState;
+            } else if (resultHandler != null) {
+                if (outcome == FinalState.STOOD) {
+                    resultHandler.established();
                 } else {
-                    back.turned(RingEndCause.TURNED_BACK, RejectionReason.TANDEM);
+                    resultHandler.rejected(RingEndCause.TURNED_BACK, RejectionReason.TANDEM);
                 }
             }
         }
 
         @Override
-        public void cancel(long contact, int ring) {
-            // Nothing is left to hear of it.
+        public void cancel(long contactId, int ringNumber) {
+            // A simulated ring ends by its own result only.
         }
 
         @Override
-        public void defer(long contact, Span comeBack) {
-            finish(contact, FinalState.DEFERRED);
+        public void defer(long contactId, Span retryAfter) {
+            finishContact(contactId, FinalState.DEFERRED);
         }
 
         @Override
-        public void abandon(long contact) {
-            finish(contact, FinalState.ABANDONED);
+        public void abandon(long contactId) {
+            finishContact(contactId, FinalState.ABANDONED);
         }
 
         @Override
         public void startTimer(Span delay, long token) {
-            later(delay, () -> module.timerExpired(now, token));
+            schedule(delay, () -> controller.timerExpired(now, token));
         }
 
         @Override
         public void probe(long target) {
-            boolean reached = !away((int) target - 1);
-            later(SET_UP, () -> module.switchReported(now, target, reached, SET_UP, new float[0]));
+            boolean reached = !unreachable((int) target - 1);
+            schedule(NETWORK_DELAY, () -> controller.switchReported(now, target, reached, NETWORK_DELAY, new float[0]));
         }
 
         @Override
         public void sendNote(int peer, byte[] note) {
-            // Peers have nothing to add to a world of one contact.
+            // With a single contact, peers have nothing to exchange.
         }
 
         @Override
-        public void watchSwitchList(boolean on) {
-            // It was told whole, and stays so.
+        public void watchSwitchList(boolean watch) {
+            // The full list was delivered at the start and does not change.
         }
 
         @Override
         public void log(String line) {
-            // The way itself is what is asked for.
+            // The trial returns the route, not the log.
         }
     }
 }
