--- a/src/main/java/martenslip/cli/RootCommand.java
+++ b/src/main/java/martenslip/cli/RootCommand.java
@@ -3,7 +3,10 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line. Exit codes: 0 done, 1 it ran and what it checks is wrong, 2 it was called wrongly. */
+/**
+ * The command line. Exit codes: 0 success, 1 the command ran and what it checks is wrong, 2 wrong arguments or an
+ * input/output error. {@link ExpectCommand} has two more.
+ */
 @Command(
         name = "martenslip",
         mixinStandardHelpOptions = true,
@@ -23,12 +26,12 @@
 final class RootCommand {
     private RootCommand() {}
 
-    static int run(String[] args) {
-        CommandLine line = new CommandLine(new RootCommand());
-        if (args.length == 0) {
-            line.usage(System.err);
+    static int run(String[] arguments) {
+        CommandLine commandLine = new CommandLine(new RootCommand());
+        if (arguments.length == 0) {
+            commandLine.usage(System.err);
             return 2;
         }
-        return line.execute(args);
+        return commandLine.execute(arguments);
     }
 }
