--- a/src/main/java/martenslip/RoutingPolicy.java
+++ b/src/main/java/martenslip/RoutingPolicy.java
@@ -13,8 +13,8 @@
     // Thresholds of urgent demand: the paper's but for the first, as 11.2% is never met at a few urgent
     // contacts in a hundred, and a full group then keeps nothing for them. Table 2's upper limits over their
     // stage's total: emergency, gold, silver, bronze.
-    static final double[] STAGES = {0.02, 0.256, 0.40, 0.60};
-    static final double[][] SHARES = {
+    static final double[] STAGE_DEMAND_THRESHOLDS = {0.02, 0.256, 0.40, 0.60};
+    static final double[][] STAGE_SHARES = {
         {0.112, 0.400, 0.428, 0.060},
         {0.256, 0.336, 0.359, 0.049},
         {0.400, 0.180, 0.375, 0.045},
@@ -23,77 +23,77 @@
     };
     // Binding levels, in square roots of the group's size: the spread of circuits held by chance arrivals.
     // They bind early for a contact over a tandem, which takes circuits of two groups, and for a late one.
-    static final double NEAR_FULL = 0.15, NEAR_FULL_EARLY = 0.5;
-    static final double WEIGHT_UP = 0.3, WEIGHT_DOWN = 0.5, WEIGHT_NEW = 0.6, WEIGHT_LEAST = 0.05;
+    static final double NEAR_FULL_LEVEL_SQRT_SIZE = 0.15, EARLY_NEAR_FULL_LEVEL_SQRT_SIZE = 0.5;
+    static final double WEIGHT_GAIN_FACTOR = 0.3, WEIGHT_LOSS_FACTOR = 0.5, INITIAL_WEIGHT = 0.6, MIN_WEIGHT = 0.05;
     // The part of its capacity that a processor is taken to be loaded with on an ordinary day.
-    static final double FULL_WORK = 0.8;
+    static final double USUAL_LOAD_SHARE = 0.8;
     // What is sent to a cold switch over its part of the usual: well under the rule's multiple.
-    static final double COLD_WORK = 1.25;
+    static final double MAX_COLD_USUAL_RATIO = 1.25;
     // The work of a message that waits at a processor, in set-ups: most are looks, answers and repeats.
-    static final double MESSAGE = 0.4;
+    static final double SET_UPS_PER_QUEUED_MESSAGE = 0.4;
     // More set-ups, messages or milliseconds than any processor has: such a figure is a fault of its report.
-    static final double MOST_TOLD = 1e6;
+    static final double MAX_REPORTED_VALUE = 1e6;
     // Rings out that one switch may count for; how much readier a late contact is kept back; the gap
     // between trials of a silent switch, in turns; exchanges whose trials together are no load on one.
-    static final int MOST_OUT = 3, LATE_BACK = 3, TRIAL_GAP = 4;
-    static final double FEW = 6;
+    static final int MAX_COUNTED_RINGS_PER_SWITCH = 3, LATE_REJECTION_FACTOR = 3, SILENT_TRIAL_GAP_INTERVALS = 4;
+    static final double EXCHANGES_PER_TRIAL_TARGET = 6;
     // The part of its answer target that a contact may wait for a circuit, the rest is for the set-up; and
     // the part after which it looks again where its own processor had no room.
-    static final double WORTH_WAITING = 0.5, AGAIN = 0.25;
+    static final double CIRCUIT_WAIT_TARGET_SHARE = 0.5, RETRY_DELAY_TARGET_SHARE = 0.25;
     static final Moment NEVER = new Moment(Long.MIN_VALUE / 4);
 
     enum DenialReason {
-        SHARE,
-        FULL,
-        PRESSED,
-        COLD,
-        DOWN
+        SHARE_EXCEEDED,
+        GROUP_FULL,
+        PROCESSOR_BUSY,
+        SWITCH_COLD,
+        SWITCH_UNAVAILABLE
     }
 
     /** A note in an inbox; it knows which part of its reader takes it. */
     interface Message<A> {
-        void to(A it);
+        void deliverTo(A receiver);
     }
 
     record ContactOffered(Contact contact) implements Message<ContactManager> {
-        public void to(ContactManager a) {
-            a.offered(contact);
+        public void deliverTo(ContactManager receiver) {
+            receiver.contactOffered(contact);
         }
     }
 
     record ContactAnswered(long contact) implements Message<ContactManager> {
-        public void to(ContactManager a) {
-            a.answered(contact);
+        public void deliverTo(ContactManager receiver) {
+            receiver.established(contact);
         }
     }
 
     record ContactRingEnded(RingEnd end) implements Message<ContactManager> {
-        public void to(ContactManager a) {
-            a.over(end);
+        public void deliverTo(ContactManager receiver) {
+            receiver.ringEnded(end);
         }
     }
 
-    record CallerGone(long id) implements Message<ContactManager> {
-        public void to(ContactManager a) {
-            a.letGo(a.open.get(id));
+    record CallerGone(long contact) implements Message<ContactManager> {
+        public void deliverTo(ContactManager receiver) {
+            receiver.close(receiver.openContacts.get(contact));
         }
     }
 
     record ContactTimerExpired(long contact) implements Message<ContactManager> {
-        public void to(ContactManager a) {
-            a.rung(contact);
+        public void deliverTo(ContactManager receiver) {
+            receiver.timerExpired(contact);
         }
     }
 
-    record CircuitDenied(long id, boolean own) implements Message<ContactManager> {
-        public void to(ContactManager a) {
-            a.denied(a.open.get(id), own);
+    record CircuitDenied(long contact, boolean byHomeSwitch) implements Message<ContactManager> {
+        public void deliverTo(ContactManager receiver) {
+            receiver.circuitDenied(receiver.openContacts.get(contact), byHomeSwitch);
         }
     }
 
     record CircuitGranted(long contact, Switch target) implements Message<ContactManager> {
-        public void to(ContactManager a) {
-            a.granted(contact, target);
+        public void deliverTo(ContactManager receiver) {
+            receiver.circuitGranted(contact, target);
         }
     }
 
@@ -102,186 +102,186 @@
             Contact contact,
             Skill skill,
             Switch destination,
-            boolean first,
+            boolean initial,
             Moment waitUntil,
-            int out,
-            Moment firstTry,
-            Set<Long> tried)
+            int ringsInFlight,
+            Moment firstTryAt,
+            Set<Long> triedSwitches)
             implements Message<Switch> {
-        public void to(Switch a) {
-            a.asked(this);
+        public void deliverTo(Switch receiver) {
+            receiver.handleRequest(this);
         }
 
         int width() {
             return Math.max(1, contact.width());
         }
 
-        boolean urgent() {
+        boolean isUrgent() {
             return skill.rank == 0;
         }
 
         /** Its answer target began with the first try: a cheap contact past it pays little and goes last. */
-        boolean late(Moment now) {
-            return !urgent() && !now.before(firstTry.plus(skill.target));
+        boolean isLate(Moment now) {
+            return !isUrgent() && !now.before(firstTryAt.plus(skill.target));
         }
 
-        CircuitRequest again() {
-            return new CircuitRequest(contact, skill, destination, false, waitUntil, out, firstTry, tried);
+        CircuitRequest asRetry() {
+            return new CircuitRequest(contact, skill, destination, false, waitUntil, ringsInFlight, firstTryAt, triedSwitches);
         }
     }
 
-    record TandemRequest(CircuitRequest ask, List<Switch> others) implements Message<Switch> {
-        public void to(Switch a) {
-            a.through(ask, others);
+    record TandemRequest(CircuitRequest request, List<Switch> nextTandems) implements Message<Switch> {
+        public void deliverTo(Switch receiver) {
+            receiver.tryAsTandem(request, nextTandems);
         }
     }
 
-    record ContactEstablished(long contact, Span took) implements Message<Switch> {
-        public void to(Switch a) {
-            a.stood(contact, took);
+    record ContactEstablished(long contact, Span setUpTime) implements Message<Switch> {
+        public void deliverTo(Switch receiver) {
+            receiver.contactEstablished(contact, setUpTime);
         }
     }
 
     record SwitchRingEnded(RingEnd end) implements Message<Switch> {
-        public void to(Switch a) {
-            a.ended(end);
+        public void deliverTo(Switch receiver) {
+            receiver.switchRingEnded(end);
         }
     }
 
-    record ReleaseCircuits(long id) implements Message<Switch> {
-        public void to(Switch a) {
-            a.giveBack(id);
+    record ReleaseCircuits(long contact) implements Message<Switch> {
+        public void deliverTo(Switch receiver) {
+            receiver.releaseCircuits(contact);
         }
     }
 
     record ServeWaitingRequests() implements Message<Switch> {
-        public void to(Switch a) {
-            a.ticking = false;
-            a.serve();
+        public void deliverTo(Switch receiver) {
+            receiver.retryTimerRunning = false;
+            receiver.retryWaitingRequests();
         }
     }
 
     record AllowTrial() implements Message<Switch> {
-        public void to(Switch a) {
-            a.nextTrial = NEVER;
+        public void deliverTo(Switch receiver) {
+            receiver.nextTrialAt = NEVER;
         }
     }
 
-    record SwitchListed(SwitchEntry line) implements Message<Switch> {
-        public void to(Switch a) {
-            a.listed(line);
+    record SwitchListed(SwitchEntry entry) implements Message<Switch> {
+        public void deliverTo(Switch receiver) {
+            receiver.listEntryReceived(entry);
         }
     }
 
-    record SwitchReported(float[] says) implements Message<Switch> {
-        public void to(Switch a) {
-            a.reported(says);
+    record SwitchReported(float[] report) implements Message<Switch> {
+        public void deliverTo(Switch receiver) {
+            receiver.reportReceived(report);
         }
     }
 
-    record TandemGroupReported(int tandem, boolean leads) implements Message<Switch> {
-        public void to(Switch a) {
-            a.linked(tandem, leads);
+    record TandemGroupReported(int tandem, boolean hasGroup) implements Message<Switch> {
+        public void deliverTo(Switch receiver) {
+            receiver.tandemGroupReported(tandem, hasGroup);
         }
     }
 
     record PeerNoteReceived(byte[] note) implements Message<ContactManager> {
-        public void to(ContactManager a) {
-            a.heard(note);
+        public void deliverTo(ContactManager receiver) {
+            receiver.peerNoteReceived(note);
         }
     }
 
-    record TandemOutcome(Switch tandem, boolean well) implements Message<Switch> {
-        public void to(Switch a) {
-            a.judge(tandem, well);
+    record TandemOutcome(Switch tandem, boolean success) implements Message<Switch> {
+        public void deliverTo(Switch receiver) {
+            receiver.updateTandemWeight(tandem, success);
         }
     }
 
     /** A skill as the settings describe it; rank 0 is the urgent one, the row its place in the paper. */
-    record Skill(int id, int rank, int row, int width, Span target, Span hold, List<String> pools) {
+    record Skill(int id, int rank, int shareRow, int width, Span target, Span meanHold, List<String> pools) {
         /** With pools in place of a mesh a skill has only some of them. */
-        boolean goes(int number) {
-            return pools.contains("") || pools.contains("" + number);
+        boolean mayUseTandem(int tandemNumber) {
+            return pools.contains("") || pools.contains("" + tandemNumber);
         }
     }
 
     /** A histogram over doubling bins below a scale, halved each third period; one bin makes it a count. */
     static final class DecayingHistogram {
-        final double[] bins;
-        final Span scale, period;
-        final Moment began;
+        final double[] binCounts;
+        final Span maxSpan, period;
+        final Moment startedAt;
         long halvings;
 
         DecayingHistogram(int bins, Span scale, Span period, Moment now) {
-            this.bins = new double[bins];
-            this.scale = scale;
+            this.binCounts = new double[bins];
+            this.maxSpan = scale;
             this.period = period;
-            began = now;
+            startedAt = now;
         }
 
-        private double age(Moment now) {
-            double passed = now.since(began).ratioTo(period) / 3;
-            for (; halvings < (long) passed; halvings++) {
-                for (int i = 0; i < bins.length; i++) {
-                    bins[i] = bins[i] < 0.01 ? 0 : bins[i] / 2;
+        private double decay(Moment now) {
+            double passedHalvings = now.since(startedAt).ratioTo(period) / 3;
+            for (; halvings < (long) passedHalvings; halvings++) {
+                for (int i = 0; i < binCounts.length; i++) {
+                    binCounts[i] = binCounts[i] < 0.01 ? 0 : binCounts[i] / 2;
                 }
             }
-            return passed;
+            return passedHalvings;
         }
 
         void add(double amount, Span span, Moment now) {
-            age(now);
-            int bin = bins.length - 1;
-            for (Span edge = scale; bin > 0 && edge.longerThan(span); edge = edge.times(0.5)) {
+            decay(now);
+            int bin = binCounts.length - 1;
+            for (Span lowerEdge = maxSpan; bin > 0 && lowerEdge.longerThan(span); lowerEdge = lowerEdge.times(0.5)) {
                 bin--;
             }
-            bins[bin] += amount;
+            binCounts[bin] += amount;
         }
 
         /** The mean for one period; while young, over what has passed but not under a whole period. */
         double mean(Moment now) {
-            double seen = 3 * (1 + age(now) - halvings - Math.pow(0.5, halvings));
-            return Arrays.stream(bins).sum() / Math.max(1, seen);
+            double effectivePeriods = 3 * (1 + decay(now) - halvings - Math.pow(0.5, halvings));
+            return Arrays.stream(binCounts).sum() / Math.max(1, effectivePeriods);
         }
 
         /** The upper edge of the bin that holds this part of what was seen; zero where too little was. */
-        Span quantile(double part, Moment now) {
-            age(now);
-            double total = Arrays.stream(bins).sum(), left = total * part;
-            for (int i = 0; total >= 1 && i < bins.length; i++) {
-                left -= bins[i];
-                if (left <= 0) {
-                    return scale.times(Math.pow(2, i - bins.length + 2));
+        Span quantile(double fraction, Moment now) {
+            decay(now);
+            double total = Arrays.stream(binCounts).sum(), remaining = total * fraction;
+            for (int i = 0; total >= 1 && i < binCounts.length; i++) {
+                remaining -= binCounts[i];
+                if (remaining <= 0) {
+                    return maxSpan.times(Math.pow(2, i - binCounts.length + 2));
                 }
             }
             return Span.ZERO;
         }
     }
 
-    private DecayingHistogram count(Span period) {
+    private DecayingHistogram newCount(Span period) {
         return new DecayingHistogram(1, period, period, now);
     }
 
     class Actor<A extends Actor<A>> {
         private final ArrayDeque<Message<A>> inbox = new ArrayDeque<>();
 
-        final void put(Message<A> note) {
+        final void enqueue(Message<A> message) {
             if (inbox.isEmpty()) {
-                busy.add(this);
+                pendingActors.add(this);
             }
-            inbox.add(note);
+            inbox.add(message);
         }
 
         @SuppressWarnings("unchecked")
-        final void empty() {
+        final void processInbox() {
             while (!inbox.isEmpty()) {
                 try {
-                    inbox.peek().to((A) this);
-                } catch (RuntimeException e) {
+                    inbox.peek().deliverTo((A) this);
+                } catch (RuntimeException fault) {
                     // It costs this piece of news; left in there, it would keep later ones from being read.
                     // A fault that comes often has no trace.
-                    orders.log("fault: " + e + " at "
-                            + Arrays.stream(e.getStackTrace()).limit(1).toList());
+                    orders.log("fault: " + fault + " at "
+                            + Arrays.stream(fault.getStackTrace()).limit(1).toList());
                 } finally {
                     inbox.poll();
                 }
@@ -290,564 +290,564 @@
     }
 
     /** A ring's circuits on the group; since is null once the contact stands. */
-    private record HeldCircuits(Skill skill, int width, Moment since) {}
+    private record HeldCircuits(Skill skill, int width, Moment sentAt) {}
 
     /** What time mends, but for 0: no group leads on there. */
-    private record TandemWeight(double then, Moment at) {}
+    private record TandemWeight(double value, Moment updatedAt) {}
 
     final class Switch extends Actor<Switch> {
         final long id;
         int number = -1, zone = -1;
         SwitchEntry.State state = SwitchEntry.State.GONE;
-        Moment started;
-        int free, size;
+        Moment startedAt;
+        int freeCircuits, groupSize;
         // Apart, as what stands is many times what is out, and each contact asks for the first one out.
-        final Map<Long, HeldCircuits> rings = new LinkedHashMap<>(), standing = new HashMap<>();
-        final int[] held = new int[skills.length];
-        final DecayingHistogram urgent = count(urgentOne.hold);
-        Map<Integer, TandemWeight> weights = new TreeMap<>();
-        final List<CircuitRequest> waiting = new ArrayList<>();
-        boolean ticking, mute;
-        final DecayingHistogram setUps = new DecayingHistogram(8, patienceMost, urgentOne.target.times(1 / 3.0), now);
-        final DecayingHistogram sent = count(urgentOne.target),
-                answers = count(urgentOne.target),
-                asks = count(urgentOne.target);
-        double warmRate, budget, cutBy, usual, depth;
-        Moment budgetAt = now, lastSign = now, nextTrial = NEVER, toldAt = NEVER;
-        Span wait = Span.ZERO;
+        final Map<Long, HeldCircuits> inFlight = new LinkedHashMap<>(), established = new HashMap<>();
+        final int[] heldBySkill = new int[readSkills.length];
+        final DecayingHistogram urgentDemand = newCount(urgentSkill.meanHold);
+        Map<Integer, TandemWeight> tandemWeights = new TreeMap<>();
+        final List<CircuitRequest> waitingRequests = new ArrayList<>();
+        boolean retryTimerRunning, unresponsive;
+        final DecayingHistogram setUpTimes = new DecayingHistogram(8, maxPatience, urgentSkill.target.times(1 / 3.0), now);
+        final DecayingHistogram sentRings = newCount(urgentSkill.target),
+                establishedCount = newCount(urgentSkill.target),
+                requestCount = newCount(urgentSkill.target);
+        double warmSendRate, coldBudget, capacityCut, usualCapacity, queueDepth;
+        Moment coldBudgetAt = now, lastResponseAt = now, nextTrialAt = NEVER, reportedAt = NEVER;
+        Span queueWait = Span.ZERO;
 
         Switch(long id) {
             this.id = id;
         }
 
-        void stood(long contact, Span took) {
-            if (silent()) {
+        void contactEstablished(long contact, Span setUpTime) {
+            if (isSilent()) {
                 // It may have been cut off together with others, which else wait for their trials one by one.
                 switches.values().stream()
                         .filter(other -> other.zone == zone)
-                        .forEach(other -> other.put(new AllowTrial()));
+                        .forEach(other -> other.enqueue(new AllowTrial()));
             }
-            setUps.add(1, took, now);
-            answers.add(1, Span.ZERO, now);
-            sign();
-            HeldCircuits ring = rings.remove(contact);
+            setUpTimes.add(1, setUpTime, now);
+            establishedCount.add(1, Span.ZERO, now);
+            responseReceived();
+            HeldCircuits ring = inFlight.remove(contact);
             if (ring != null) {
-                standing.put(contact, new HeldCircuits(ring.skill, ring.width, null));
+                established.put(contact, new HeldCircuits(ring.skill, ring.width, null));
             }
         }
 
-        void listed(SwitchEntry line) {
-            number = line.number();
+        void listEntryReceived(SwitchEntry entry) {
+            number = entry.number();
             // A machine that takes another's place keeps its groups, and so what was learned of them.
-            weights = weightsTo.computeIfAbsent(number, any -> new TreeMap<>());
-            state = line.state();
-            zone = line.zone();
-            if (line.startedAt() != null && (started == null || started.before(line.startedAt()))) {
+            tandemWeights = weightsByDestination.computeIfAbsent(number, any -> new TreeMap<>());
+            state = entry.state();
+            zone = entry.zone();
+            if (entry.startedAt() != null && (startedAt == null || startedAt.before(entry.startedAt()))) {
                 // What was known of the processor that ran before says nothing of this one.
-                started = line.startedAt();
+                startedAt = entry.startedAt();
                 // One share of many senders is a fraction of a contact: who may send one early is drawn.
-                budget = chance.nextDouble();
-                budgetAt = now;
-                sign();
-                toldAt = NEVER;
+                coldBudget = random.nextDouble();
+                coldBudgetAt = now;
+                responseReceived();
+                reportedAt = NEVER;
             }
         }
 
-        void reported(float[] report) {
+        void reportReceived(float[] report) {
             if (report.length >= 2 && Float.isFinite(report[0]) && Float.isFinite(report[1])) {
-                size = Math.max(0, Math.round(report[1]));
-                free = Math.max(0, Math.min(size, Math.round(report[0])));
-                legs.remove(id);
-                if (size > 0) {
-                    legs.put(id, this);
+                groupSize = Math.max(0, Math.round(report[1]));
+                freeCircuits = Math.max(0, Math.min(groupSize, Math.round(report[0])));
+                switchesWithGroup.remove(id);
+                if (groupSize > 0) {
+                    switchesWithGroup.put(id, this);
                 }
             }
-            for (int i = 2; i < report.length && i < fields.size(); i++) {
+            for (int i = 2; i < report.length && i < reportFields.size(); i++) {
                 // No number, or more than any processor does, was not told: it would be learned for good.
-                double value = report[i] <= MOST_TOLD ? report[i] : -1;
-                toldAt = value < 0 ? toldAt : now;
-                switch (value < 0 ? "" : fields.get(i)) {
-                    case "cut_by" -> cutBy = value;
-                    case "depth" -> depth = value;
-                    case "mean_ms" -> wait = Span.ofMillis(value);
+                double value = report[i] <= MAX_REPORTED_VALUE ? report[i] : -1;
+                reportedAt = value < 0 ? reportedAt : now;
+                switch (value < 0 ? "" : reportFields.get(i)) {
+                    case "cut_by" -> capacityCut = value;
+                    case "depth" -> queueDepth = value;
+                    case "mean_ms" -> queueWait = Span.ofMillis(value);
                     case "allowed" -> {
-                        usual += (value - usual) * (value > usual ? 0.2 : 0.002);
+                        usualCapacity += (value - usualCapacity) * (value > usualCapacity ? 0.2 : 0.002);
                         // One that takes nothing at the first word is jammed, not free.
-                        cutBy = usual == 0 ? 1 : Math.max(0, 1 - value / usual / FULL_WORK);
-                        double pace = Math.max(0.01, Math.max(value, usual / 100));
-                        wait = Span.ofMillis(1000 * MESSAGE * depth / pace);
+                        capacityCut = usualCapacity == 0 ? 1 : Math.max(0, 1 - value / usualCapacity / USUAL_LOAD_SHARE);
+                        double setUpsPerSecond = Math.max(0.01, Math.max(value, usualCapacity / 100));
+                        queueWait = Span.ofMillis(1000 * SET_UPS_PER_QUEUED_MESSAGE * queueDepth / setUpsPerSecond);
                     }
                 }
             }
-            serve();
+            retryWaitingRequests();
         }
 
-        void ended(RingEnd end) {
-            HeldCircuits ring = giveBack(end.contact());
+        void switchRingEnded(RingEnd end) {
+            HeldCircuits heldRing = releaseCircuits(end.contact());
             if (end.cause() == RingEndCause.TURNED_BACK || end.cause() == RingEndCause.BUSY) {
-                sign();
-            } else if (end.cause() == RingEndCause.TIMED_OUT && ring != null && ring.since != null) {
-                mute |= lastSign.before(ring.since);
+                responseReceived();
+            } else if (end.cause() == RingEndCause.TIMED_OUT && heldRing != null && heldRing.sentAt != null) {
+                unresponsive |= lastResponseAt.before(heldRing.sentAt);
             }
-            reported(end.report());
+            reportReceived(end.report());
         }
 
-        HeldCircuits giveBack(long contact) {
-            waiting.removeIf(ask -> ask.contact.id() == contact);
-            HeldCircuits ring = rings.containsKey(contact) ? rings.remove(contact) : standing.remove(contact);
-            if (ring != null) {
-                held[ring.skill.id] -= ring.width;
+        HeldCircuits releaseCircuits(long contact) {
+            waitingRequests.removeIf(request -> request.contact.id() == contact);
+            HeldCircuits heldRing = inFlight.containsKey(contact) ? inFlight.remove(contact) : established.remove(contact);
+            if (heldRing != null) {
+                heldBySkill[heldRing.skill.id] -= heldRing.width;
             }
-            return ring;
+            return heldRing;
         }
 
-        void sign() {
-            lastSign = now;
-            mute = false;
+        void responseReceived() {
+            lastResponseAt = now;
+            unresponsive = false;
         }
 
-        void take(CircuitRequest ask) {
-            rings.put(ask.contact.id(), new HeldCircuits(ask.skill, ask.width(), now));
-            held[ask.skill.id] += ask.width();
-            free -= ask.width();
-            sent.add(1, Span.ZERO, now);
-            warmRate += coldPart() < 1 ? 0 : (sent.mean(now) - warmRate) / 16;
-            front.put(new CircuitGranted(ask.contact.id(), this));
+        void grant(CircuitRequest request) {
+            inFlight.put(request.contact.id(), new HeldCircuits(request.skill, request.width(), now));
+            heldBySkill[request.skill.id] += request.width();
+            freeCircuits -= request.width();
+            sentRings.add(1, Span.ZERO, now);
+            warmSendRate += warmUpShare() < 1 ? 0 : (sentRings.mean(now) - warmSendRate) / 16;
+            contactManager.enqueue(new CircuitGranted(request.contact.id(), this));
         }
 
-        int stage() {
-            double demand = size == 0 ? 0 : urgent.mean(now) / size;
-            return (int) Arrays.stream(STAGES)
+        int demandStage() {
+            double demand = groupSize == 0 ? 0 : urgentDemand.mean(now) / groupSize;
+            return (int) Arrays.stream(STAGE_DEMAND_THRESHOLDS)
                     .filter(threshold -> demand > threshold)
                     .count();
         }
 
         /** Circuits that no ring from here explains were placed at the far end and count as the cheapest. */
-        int holds(int skill) {
-            int unknown = Math.max(0, size - free - Arrays.stream(held).sum());
-            return held[skill] + (skill == cheapest ? unknown : 0);
+        int occupiedCircuits(int skill) {
+            int unknown = Math.max(0, groupSize - freeCircuits - Arrays.stream(heldBySkill).sum());
+            return heldBySkill[skill] + (skill == cheapestSkillId ? unknown : 0);
         }
 
         /** Null where the group takes the contact, else why not. */
-        DenialReason admits(CircuitRequest ask, boolean tandem) {
-            if (free < ask.width()) {
-                return DenialReason.FULL;
+        DenialReason checkGroup(CircuitRequest request, boolean overTandem) {
+            if (freeCircuits < request.width()) {
+                return DenialReason.GROUP_FULL;
             }
-            boolean early = tandem || ask.late(now);
-            double level = Math.max((early ? NEAR_FULL_EARLY : NEAR_FULL) * Math.sqrt(size), urgentOne.width);
-            if (ask.urgent() || free - ask.width() >= level) {
+            boolean bindsEarly = overTandem || request.isLate(now);
+            double nearFullLevel = Math.max((bindsEarly ? EARLY_NEAR_FULL_LEVEL_SQRT_SIZE : NEAR_FULL_LEVEL_SQRT_SIZE) * Math.sqrt(groupSize), urgentSkill.width);
+            if (request.isUrgent() || freeCircuits - request.width() >= nearFullLevel) {
                 return null;
             }
             // With next to no urgent demand a class may fill the group.
-            int stage = stage();
-            double limit = stage == 0 ? size : share(ask.skill.id, stage) * size;
-            return !early && holds(ask.skill.id) + ask.width() <= limit ? null : DenialReason.SHARE;
+            int stage = demandStage();
+            double limit = stage == 0 ? groupSize : skillShare(request.skill.id, stage) * groupSize;
+            return !bindsEarly && occupiedCircuits(request.skill.id) + request.width() <= limit ? null : DenialReason.SHARE_EXCEEDED;
         }
 
         /** Rings out and no word for longer than set-ups here take: it may be hung, cut off, jammed, slow. */
-        boolean silent() {
-            Span longest = setUps.quantile(0.9, now).times(2).atLeast(urgentOne.target);
-            return mute
-                    || rings.values().stream()
+        boolean isSilent() {
+            Span longest = setUpTimes.quantile(0.9, now).times(2).atLeast(urgentSkill.target);
+            return unresponsive
+                    || inFlight.values().stream()
                             .limit(1)
-                            .anyMatch(out -> lastSign.before(out.since)
-                                    && now.since(out.since).longerThan(longest));
+                            .anyMatch(ring -> lastResponseAt.before(ring.sentAt)
+                                    && now.since(ring.sentAt).longerThan(longest));
         }
 
-        double coldPart() {
-            double age = started == null ? 1 : Math.max(0, now.since(started).ratioTo(warmWithin));
-            return age >= 1 ? 1 : 1 - (1 - number("guarantees.cold-share", 0.2)) * (1 - age);
+        double warmUpShare() {
+            double warmUpProgress = startedAt == null ? 1 : Math.max(0, now.since(startedAt).ratioTo(warmUpTime));
+            return warmUpProgress >= 1 ? 1 : 1 - (1 - numberSetting("guarantees.cold-share", 0.2)) * (1 - warmUpProgress);
         }
 
         /** Each exchange sends a cold processor its own usual part, cut as its capacity is. */
-        boolean spendCold(CircuitRequest ask) {
-            double part = coldPart();
-            if (part >= 1) {
+        boolean spendColdBudget(CircuitRequest request) {
+            double share = warmUpShare();
+            if (share >= 1) {
                 return true;
             }
             // Asks count by half: after a refusal the same caller asks again. A rush says nothing of the processor, and
             // one that started a moment ago has seen nothing else: no more than the group is built to carry.
-            double built = size * sent.period.ratioTo(skills[cheapest].hold) / skills[cheapest].width;
-            double usualSent = Math.min(built, Math.max(warmRate, asks.mean(now) / 2));
-            part *= Math.min(COLD_WORK, 0.6 * number("guarantees.fall-multiple", 1));
-            double periods = now.since(budgetAt).ratioTo(sent.period);
-            budget = Math.min(2, budget + usualSent * part * periods);
-            budgetAt = now;
-            return budget >= 1 && budget-- > 0;
+            double groupPeriodCapacity = groupSize * sentRings.period.ratioTo(readSkills[cheapestSkillId].meanHold) / readSkills[cheapestSkillId].width;
+            double usualPerPeriod = Math.min(groupPeriodCapacity, Math.max(warmSendRate, requestCount.mean(now) / 2));
+            share *= Math.min(MAX_COLD_USUAL_RATIO, 0.6 * numberSetting("guarantees.fall-multiple", 1));
+            double periods = now.since(coldBudgetAt).ratioTo(sentRings.period);
+            coldBudget = Math.min(2, coldBudget + usualPerPeriod * share * periods);
+            coldBudgetAt = now;
+            return coldBudget >= 1 && coldBudget-- > 0;
         }
 
         /** The part of the contacts of this skill to keep back from this processor. */
-        double pressure(Skill skill, int out) {
-            Span age = toldAt == NEVER ? patienceMost : now.since(toldAt);
+        double rejectionShare(Skill skill, int ringsInFlight) {
+            Span age = reportedAt == NEVER ? maxPatience : now.since(reportedAt);
             // An old report must not shut a switch for good: with nothing sent there, no better one comes.
-            double fresh = Math.pow(0.5, age.ratioTo(turn()));
-            Span rings = this == home() ? setUps.quantile(0.25, now) : Span.ZERO;
+            double reportWeight = Math.pow(0.5, age.ratioTo(trialInterval()));
+            Span ownSetUpTime = this == homeSwitch() ? setUpTimes.quantile(0.25, now) : Span.ZERO;
             // Rings out over answers in a time is the wait to come, known before the first slow answer.
-            double queued =
-                    Math.max(0, out - 1) / Math.max(3, answers.mean(now)) * answers.period.ratioTo(skill.target);
-            double slow = Math.max(queued, wait.times(fresh).atLeast(rings).ratioTo(skill.target));
+            double queueRatio =
+                    Math.max(0, ringsInFlight - 1) / Math.max(3, establishedCount.mean(now)) * establishedCount.period.ratioTo(skill.target);
+            double waitRatio = Math.max(queueRatio, queueWait.times(reportWeight).atLeast(ownSetUpTime).ratioTo(skill.target));
             // One that takes next to nothing is jammed: what is sent there, however dear, only feeds it.
             return skill.rank == 0
-                    ? Math.max(ramp(cutBy * fresh, 0.85, 0.95), ramp(slow, 1, 2))
-                    : Math.max(cutBy * fresh, ramp(slow, 0.2, 0.7));
+                    ? Math.max(ramp(capacityCut * reportWeight, 0.85, 0.95), ramp(waitRatio, 1, 2))
+                    : Math.max(capacityCut * reportWeight, ramp(waitRatio, 0.2, 0.7));
         }
 
-        DenialReason processor(CircuitRequest ask) {
-            boolean trial = silent();
+        DenialReason checkProcessor(CircuitRequest request) {
+            boolean trial = isSilent();
             // A draining own processor still sets up; what it is to send elsewhere is no new work to it.
-            boolean up = state == SwitchEntry.State.READY || this == home() && state != SwitchEntry.State.GONE;
-            if (!up || trial && now.before(nextTrial)) {
-                return DenialReason.DOWN;
+            boolean acceptsWork = state == SwitchEntry.State.READY || this == homeSwitch() && state != SwitchEntry.State.GONE;
+            if (!acceptsWork || trial && now.before(nextTrialAt)) {
+                return DenialReason.SWITCH_UNAVAILABLE;
             }
             if (trial) {
                 // The trials of all exchanges must not keep a slow processor jammed.
-                nextTrial = now.plus(turn().times(TRIAL_GAP));
+                nextTrialAt = now.plus(trialInterval().times(SILENT_TRIAL_GAP_INTERVALS));
             }
-            double back = trial ? 0 : pressure(ask.skill, this == ask.destination ? 0 : ask.out);
-            back *= ask.late(now) ? LATE_BACK : 1;
-            return back >= 1 || ask.first && chance.nextDouble() < back ? DenialReason.PRESSED : null;
+            double rejection = trial ? 0 : rejectionShare(request.skill, this == request.destination ? 0 : request.ringsInFlight);
+            rejection *= request.isLate(now) ? LATE_REJECTION_FACTOR : 1;
+            return rejection >= 1 || request.initial && random.nextDouble() < rejection ? DenialReason.PROCESSOR_BUSY : null;
         }
 
-        void asked(CircuitRequest ask) {
-            DenialReason reason = processor(ask);
-            boolean transit = ask.contact.inTransit();
-            if (this != ask.destination) {
+        void handleRequest(CircuitRequest request) {
+            DenialReason reason = checkProcessor(request);
+            boolean inTransit = request.contact.inTransit();
+            if (this != request.destination) {
                 if (reason == null) {
-                    ask.destination.put(ask);
+                    request.destination.enqueue(request);
                 } else {
-                    refuse(ask, DenialReason.PRESSED);
+                    waitOrDeny(request, DenialReason.PROCESSOR_BUSY);
                 }
                 return;
             }
-            asks.add(ask.first ? 1 : 0, Span.ZERO, now);
+            requestCount.add(request.initial ? 1 : 0, Span.ZERO, now);
             // A blocked caller who asks again is one want.
-            if (ask.first && ask.urgent() && now.before(ask.firstTry.plus(ask.skill.target))) {
-                urgent.add(ask.width(), Span.ZERO, now);
+            if (request.initial && request.isUrgent() && now.before(request.firstTryAt.plus(request.skill.target))) {
+                urgentDemand.add(request.width(), Span.ZERO, now);
             }
-            reason = reason == null ? admits(ask, transit) : reason;
-            reason = reason == null && !spendCold(ask) ? DenialReason.COLD : reason;
-            List<Switch> drawn = reason == DenialReason.FULL && !transit && coldPart() >= 1 ? draw(ask) : List.of();
+            reason = reason == null ? checkGroup(request, inTransit) : reason;
+            reason = reason == null && !spendColdBudget(request) ? DenialReason.SWITCH_COLD : reason;
+            List<Switch> tandems = reason == DenialReason.GROUP_FULL && !inTransit && warmUpShare() >= 1 ? drawTandems(request) : List.of();
             if (reason == null) {
-                take(ask);
-            } else if (drawn.isEmpty()) {
+                grant(request);
+            } else if (tandems.isEmpty()) {
                 // With no group that can ever take it and no tandem, nothing is worth waiting for.
-                refuse(ask, size < ask.width() ? DenialReason.DOWN : reason);
+                waitOrDeny(request, groupSize < request.width() ? DenialReason.SWITCH_UNAVAILABLE : reason);
             } else {
-                pass(ask, drawn);
+                passToNextTandem(request, tandems);
             }
         }
 
         /** What may still pay within its answer target waits for a circuit. */
-        void refuse(CircuitRequest ask, DenialReason reason) {
-            if (ask.contact.inTransit() || reason != DenialReason.FULL || !now.before(ask.waitUntil)) {
-                front.put(new CircuitDenied(ask.contact.id(), this != ask.destination));
+        void waitOrDeny(CircuitRequest request, DenialReason reason) {
+            if (request.contact.inTransit() || reason != DenialReason.GROUP_FULL || !now.before(request.waitUntil)) {
+                contactManager.enqueue(new CircuitDenied(request.contact.id(), this != request.destination));
                 return;
             }
-            int at = 0;
-            while (at < waiting.size() && waiting.get(at).skill.rank <= ask.skill.rank) {
-                at++;
+            int position = 0;
+            while (position < waitingRequests.size() && waitingRequests.get(position).skill.rank <= request.skill.rank) {
+                position++;
             }
-            waiting.add(at, ask);
-            if (!ticking) {
-                ticking = true;
-                orders.startTimer(urgentOne.target.times(0.04).atLeast(round), id * 2 + 1);
+            waitingRequests.add(position, request);
+            if (!retryTimerRunning) {
+                retryTimerRunning = true;
+                orders.startTimer(urgentSkill.target.times(0.04).atLeast(timerRound), id * 2 + 1);
             }
         }
 
-        double weight(Switch tandem) {
-            TandemWeight weight = weights.getOrDefault(tandem.number, new TandemWeight(WEIGHT_NEW, now));
-            double mend = Math.pow(0.5, now.since(weight.at).ratioTo(urgentOne.hold.times(4)));
-            return weight.then == 0 ? 0 : 1 - (1 - weight.then) * mend;
+        double tandemWeight(Switch tandem) {
+            TandemWeight weight = tandemWeights.getOrDefault(tandem.number, new TandemWeight(INITIAL_WEIGHT, now));
+            double remainingEffect = Math.pow(0.5, now.since(weight.updatedAt).ratioTo(urgentSkill.meanHold.times(4)));
+            return weight.value == 0 ? 0 : 1 - (1 - weight.value) * remainingEffect;
         }
 
-        void judge(Switch tandem, boolean well) {
-            double weight = weight(tandem);
-            weight = well ? weight + WEIGHT_UP * (1 - weight) : weight * WEIGHT_DOWN;
-            weights.put(tandem.number, new TandemWeight(Math.max(WEIGHT_LEAST, weight), now));
+        void updateTandemWeight(Switch tandem, boolean success) {
+            double weight = tandemWeight(tandem);
+            weight = success ? weight + WEIGHT_GAIN_FACTOR * (1 - weight) : weight * WEIGHT_LOSS_FACTOR;
+            tandemWeights.put(tandem.number, new TandemWeight(Math.max(MIN_WEIGHT, weight), now));
         }
 
         /** What a tandem itself says of its group to here stands over what was learned of it. */
-        void linked(int tandem, boolean leads) {
-            weights.put(tandem, new TandemWeight(leads ? WEIGHT_NEW : 0, now));
+        void tandemGroupReported(int tandem, boolean hasGroup) {
+            tandemWeights.put(tandem, new TandemWeight(hasGroup ? INITIAL_WEIGHT : 0, now));
         }
 
         /**
          * Tandems in an order drawn by weight, each once for a contact. With a group that can take it a
          * cheap contact draws once; without one a tandem is the planned route.
          */
-        List<Switch> draw(CircuitRequest ask) {
-            boolean once = size >= ask.width() && ask.width() <= urgentOne.width && !ask.urgent();
-            if (once && (!ask.first || ask.late(now))) {
+        List<Switch> drawTandems(CircuitRequest request) {
+            boolean singleTandem = groupSize >= request.width() && request.width() <= urgentSkill.width && !request.isUrgent();
+            if (singleTandem && (!request.initial || request.isLate(now))) {
                 return List.of();
             }
-            Map<Double, Switch> order = new TreeMap<>();
-            for (Switch leg : legs.values()) {
-                double weight = weight(leg);
-                if (leg != this && weight > 0 && !ask.tried.contains(leg.id)) {
-                    double last = -Math.log(chance.nextDouble()) / weight;
-                    boolean advised = leg.number == ask.contact.routingHint() && chance.nextDouble() < weight;
-                    order.put(advised ? -1 : last, leg);
+            Map<Double, Switch> byDrawKey = new TreeMap<>();
+            for (Switch tandem : switchesWithGroup.values()) {
+                double weight = tandemWeight(tandem);
+                if (tandem != this && weight > 0 && !request.triedSwitches.contains(tandem.id)) {
+                    double drawKey = -Math.log(random.nextDouble()) / weight;
+                    boolean advised = tandem.number == request.contact.routingHint() && random.nextDouble() < weight;
+                    byDrawKey.put(advised ? -1 : drawKey, tandem);
                 }
             }
-            List<Switch> drawn = new ArrayList<>(order.values());
-            return once && !drawn.isEmpty() ? drawn.subList(0, Math.min(ask.width(), drawn.size())) : drawn;
+            List<Switch> tandems = new ArrayList<>(byDrawKey.values());
+            return singleTandem && !tandems.isEmpty() ? tandems.subList(0, Math.min(request.width(), tandems.size())) : tandems;
         }
 
-        void through(CircuitRequest ask, List<Switch> others) {
-            if (this == ask.destination) {
-                refuse(ask, DenialReason.FULL);
-            } else if (coldPart() >= 1
+        void tryAsTandem(CircuitRequest request, List<Switch> nextTandems) {
+            if (this == request.destination) {
+                waitOrDeny(request, DenialReason.GROUP_FULL);
+            } else if (warmUpShare() >= 1
                     && state == SwitchEntry.State.READY
-                    && ask.skill.goes(number)
-                    && !silent()
-                    && pressure(ask.skill, 0) == 0
-                    && admits(ask, true) == null) {
-                take(ask);
+                    && request.skill.mayUseTandem(number)
+                    && !isSilent()
+                    && rejectionShare(request.skill, 0) == 0
+                    && checkGroup(request, true) == null) {
+                grant(request);
             } else {
-                pass(ask, others);
+                passToNextTandem(request, nextTandems);
             }
         }
 
         /** The last in the row is the destination again, where the contact waits or is refused. */
-        void pass(CircuitRequest ask, List<Switch> row) {
-            Switch next = row.isEmpty() ? ask.destination : row.get(0);
-            next.put(new TandemRequest(ask, row.subList(Math.min(1, row.size()), row.size())));
+        void passToNextTandem(CircuitRequest request, List<Switch> tandems) {
+            Switch receiver = tandems.isEmpty() ? request.destination : tandems.get(0);
+            receiver.enqueue(new TandemRequest(request, tandems.subList(Math.min(1, tandems.size()), tandems.size())));
         }
 
-        void serve() {
-            List<CircuitRequest> turns = new ArrayList<>(waiting);
-            waiting.clear();
-            for (CircuitRequest ask : turns) {
-                if (now.before(ask.waitUntil)) {
-                    asked(ask.again());
+        void retryWaitingRequests() {
+            List<CircuitRequest> requests = new ArrayList<>(waitingRequests);
+            waitingRequests.clear();
+            for (CircuitRequest request : requests) {
+                if (now.before(request.waitUntil)) {
+                    handleRequest(request.asRetry());
                 }
             }
         }
     }
 
     enum ContactState {
-        SEEKING,
+        AWAITING_CIRCUIT,
         RINGING,
-        RELEASING
+        AWAITING_RETRY
     }
 
     static final class OpenContact {
         final Contact contact;
         final Skill skill;
-        final Moment end, worthUntil, paysUntil, firstTry;
-        final Set<Long> tried = new HashSet<>();
-        ContactState doing = ContactState.SEEKING;
-        int rings;
-        boolean asked;
-        Switch at, destination;
-        Moment seekAt;
-
-        OpenContact(Contact contact, Skill skill, Moment end, Moment from, Moment firstTry) {
-            this.firstTry = firstTry;
+        final Moment answerBy, waitUntil, retryUntil, firstTryAt;
+        final Set<Long> triedSwitches = new HashSet<>();
+        ContactState state = ContactState.AWAITING_CIRCUIT;
+        int ringCount;
+        boolean requested;
+        Switch ringTarget, destination;
+        Moment retryAt;
+
+        OpenContact(Contact contact, Skill skill, Moment answerBy, Moment targetFrom, Moment firstTryAt) {
+            this.firstTryAt = firstTryAt;
             this.contact = contact;
             this.skill = skill;
-            this.end = end;
-            worthUntil = first(end, from.plus(skill.target.times(WORTH_WAITING)));
-            paysUntil = first(end, from.plus(skill.target));
+            this.answerBy = answerBy;
+            waitUntil = earlier(answerBy, targetFrom.plus(skill.target.times(CIRCUIT_WAIT_TARGET_SHARE)));
+            retryUntil = earlier(answerBy, targetFrom.plus(skill.target));
         }
     }
 
     final class ContactManager extends Actor<ContactManager> {
-        final Map<Long, OpenContact> open = new LinkedHashMap<>();
-        final Map<Long, Moment> firstTries = new LinkedHashMap<>();
-        Moment probedAt = NEVER, startedAt = now;
+        final Map<Long, OpenContact> openContacts = new LinkedHashMap<>();
+        final Map<Long, Moment> firstTryByNumber = new LinkedHashMap<>();
+        Moment probedAt = NEVER, groupsUnsentSince = now;
 
-        void answered(long contact) {
-            OpenContact one = open.remove(contact);
-            if (one == null) {
+        void established(long contact) {
+            OpenContact openContact = openContacts.remove(contact);
+            if (openContact == null) {
                 return;
             }
-            firstTries.remove(one.contact.dialledNumber());
-            if (one.at != one.destination) {
-                one.destination.put(new TandemOutcome(one.at, true));
+            firstTryByNumber.remove(openContact.contact.dialledNumber());
+            if (openContact.ringTarget != openContact.destination) {
+                openContact.destination.enqueue(new TandemOutcome(openContact.ringTarget, true));
             }
         }
 
         /** Where the own processor has no room, a few more looks within the time that pays spare redials. */
-        void denied(OpenContact one, boolean own) {
-            Moment again = now.plus(urgentOne.target.times(AGAIN));
-            if (one != null && own && !one.contact.inTransit() && again.before(one.worthUntil)) {
-                one.asked = false;
-                seekAt(one, again);
+        void circuitDenied(OpenContact openContact, boolean byHomeSwitch) {
+            Moment retryTime = now.plus(urgentSkill.target.times(RETRY_DELAY_TARGET_SHARE));
+            if (openContact != null && byHomeSwitch && !openContact.contact.inTransit() && retryTime.before(openContact.waitUntil)) {
+                openContact.requested = false;
+                retryAt(openContact, retryTime);
             } else {
-                defer(one);
+                defer(openContact);
             }
         }
 
         /** The numbers that this exchange has groups to, for peers that look for a tandem. */
-        void tellGroups() {
+        void sendGroupsToPeers() {
             BitSet groups = new BitSet();
-            legs.values().stream().filter(leg -> leg.number >= 0).forEach(leg -> groups.set(leg.number));
-            byte[] bits = groups.toByteArray();
-            ByteBuffer note = ByteBuffer.allocate(2 + bits.length)
+            switchesWithGroup.values().stream().filter(target -> target.number >= 0).forEach(target -> groups.set(target.number));
+            byte[] groupBits = groups.toByteArray();
+            ByteBuffer note = ByteBuffer.allocate(2 + groupBits.length)
                     .putShort((short) homeNumber)
-                    .put(bits);
+                    .put(groupBits);
             orders.sendNote(Orders.ALL_PEERS, note.array());
         }
 
-        void heard(byte[] note) {
+        void peerNoteReceived(byte[] note) {
             int tandem = note.length < 2
                     ? -1
                     : Short.toUnsignedInt(ByteBuffer.wrap(note).getShort());
             // One of no exchange that is listed would only be kept, and for good.
-            if (numbers.containsKey(tandem)) {
+            if (switchesByNumber.containsKey(tandem)) {
                 BitSet groups = BitSet.valueOf(Arrays.copyOfRange(note, 2, note.length));
-                numbers.forEach((number, to) -> to.put(new TandemGroupReported(tandem, groups.get(number))));
+                switchesByNumber.forEach((number, destination) -> destination.enqueue(new TandemGroupReported(tandem, groups.get(number))));
             }
         }
 
-        void clock(OpenContact one, Moment at) {
-            orders.startTimer(at.since(now).atLeast(round), one.contact.id() * 2);
+        void startTimer(OpenContact openContact, Moment expiry) {
+            orders.startTimer(expiry.since(now).atLeast(timerRound), openContact.contact.id() * 2);
         }
 
-        void offered(Contact contact) {
+        void contactOffered(Contact contact) {
             // Two rounds early: a clock is heard up to a round late, and a late answer counts as none.
-            Moment end = now.plus(contact.patience()).plus(round.times(-2));
-            boolean known = contact.skill() >= 0 && contact.skill() < skills.length;
-            Skill skill = skills[known ? contact.skill() : cheapest];
+            Moment answerBy = now.plus(contact.patience()).plus(timerRound.times(-2));
+            boolean isKnownSkill = contact.skill() >= 0 && contact.skill() < readSkills.length;
+            Skill skill = readSkills[isKnownSkill ? contact.skill() : cheapestSkillId];
             // They stand in the order of time: a look at each, at every contact, is what a flood of redials costs.
-            for (Iterator<Moment> first = firstTries.values().iterator();
-                    first.hasNext() && now.since(first.next()).longerThan(patienceMost); ) {
-                first.remove();
+            for (Iterator<Moment> firstTryAt = firstTryByNumber.values().iterator();
+                    firstTryAt.hasNext() && now.since(firstTryAt.next()).longerThan(maxPatience); ) {
+                firstTryAt.remove();
             }
-            Moment first = contact.dialledNumber() == 0 || contact.inTransit()
+            Moment firstTryAt = contact.dialledNumber() == 0 || contact.inTransit()
                     ? now
-                    : firstTries.computeIfAbsent(contact.dialledNumber(), any -> now);
-            OpenContact one = new OpenContact(contact, skill, end, skill.rank == 0 ? now : first, first);
-            open.put(contact.id(), one);
+                    : firstTryByNumber.computeIfAbsent(contact.dialledNumber(), any -> now);
+            OpenContact openContact = new OpenContact(contact, skill, answerBy, skill.rank == 0 ? now : firstTryAt, firstTryAt);
+            openContacts.put(contact.id(), openContact);
             // First of all, so that it ends whatever becomes of the rest.
-            clock(one, end);
-            if (!now.before(end)) {
-                defer(one);
+            startTimer(openContact, answerBy);
+            if (!now.before(answerBy)) {
+                defer(openContact);
                 return;
             }
-            if (may("peers") && startedAt != null && now.since(startedAt).longerThan(urgentOne.target)) {
+            if (isAllowed("peers") && groupsUnsentSince != null && now.since(groupsUnsentSince).longerThan(urgentSkill.target)) {
                 // Not at once: peers that start together with this one would not hear it.
-                startedAt = null;
-                tellGroups();
+                groupsUnsentSince = null;
+                sendGroupsToPeers();
             }
-            clock(one, one.worthUntil);
-            boolean due = now.since(probedAt).longerThan(urgentOne.target.times(0.4));
-            if (due && home() != null && may("probes")) {
+            startTimer(openContact, openContact.waitUntil);
+            boolean probeDue = now.since(probedAt).longerThan(urgentSkill.target.times(0.4));
+            if (probeDue && homeSwitch() != null && isAllowed("probes")) {
                 probedAt = now;
-                orders.probe(home().id);
+                orders.probe(homeSwitch().id);
             }
-            seek(one);
+            requestCircuit(openContact);
         }
 
-        void seek(OpenContact one) {
-            one.destination = byNumber(one.contact.destination());
+        void requestCircuit(OpenContact openContact) {
+            openContact.destination = switchByNumber(openContact.contact.destination());
             // A number of the own exchange is no matter of trunks: over a tandem it would come back here.
-            if (one.destination == null
-                    || one.destination == home()
-                    || one.rings >= number("policy-limits.send-cap", 1)) {
-                defer(one);
+            if (openContact.destination == null
+                    || openContact.destination == homeSwitch()
+                    || openContact.ringCount >= numberSetting("policy-limits.send-cap", 1)) {
+                defer(openContact);
                 return;
             }
-            one.doing = ContactState.SEEKING;
-            (one.asked || home() == null ? one.destination : home())
-                    .put(new CircuitRequest(
-                            one.contact,
-                            one.skill,
-                            one.destination,
-                            !one.asked,
-                            one.worthUntil,
-                            out(),
-                            one.firstTry,
-                            Set.copyOf(one.tried)));
-            one.asked = true;
+            openContact.state = ContactState.AWAITING_CIRCUIT;
+            (openContact.requested || homeSwitch() == null ? openContact.destination : homeSwitch())
+                    .enqueue(new CircuitRequest(
+                            openContact.contact,
+                            openContact.skill,
+                            openContact.destination,
+                            !openContact.requested,
+                            openContact.waitUntil,
+                            countRingsInFlight(),
+                            openContact.firstTryAt,
+                            Set.copyOf(openContact.triedSwitches)));
+            openContact.requested = true;
         }
 
         /** Rings without an answer; a switch that swallows them counts for a few only. */
-        int out() {
-            Map<Switch, Integer> out = new HashMap<>();
-            open.values().stream()
-                    .filter(one -> one.doing == ContactState.RINGING)
-                    .forEach(one -> out.merge(one.at, 1, (a, b) -> Math.min(MOST_OUT, a + b)));
-            return out.values().stream().mapToInt(count -> count).sum();
-        }
-
-        void granted(long contact, Switch target) {
-            OpenContact one = open.get(contact);
-            if (one == null || one.doing != ContactState.SEEKING || !now.before(one.end)) {
-                target.put(new ReleaseCircuits(contact));
+        int countRingsInFlight() {
+            Map<Switch, Integer> ringsBySwitch = new HashMap<>();
+            openContacts.values().stream()
+                    .filter(openContact -> openContact.state == ContactState.RINGING)
+                    .forEach(openContact -> ringsBySwitch.merge(openContact.ringTarget, 1, (sum, count) -> Math.min(MAX_COUNTED_RINGS_PER_SWITCH, sum + count)));
+            return ringsBySwitch.values().stream().mapToInt(count -> count).sum();
+        }
+
+        void circuitGranted(long contact, Switch target) {
+            OpenContact openContact = openContacts.get(contact);
+            if (openContact == null || openContact.state != ContactState.AWAITING_CIRCUIT || !now.before(openContact.answerBy)) {
+                target.enqueue(new ReleaseCircuits(contact));
                 return;
             }
-            one.doing = ContactState.RINGING;
-            one.at = target;
-            one.tried.add(target.id);
-            one.rings++;
-            orders.ring(contact, target.id, one.end.since(now));
+            openContact.state = ContactState.RINGING;
+            openContact.ringTarget = target;
+            openContact.triedSwitches.add(target.id);
+            openContact.ringCount++;
+            orders.ring(contact, target.id, openContact.answerBy.since(now));
         }
 
-        void over(RingEnd end) {
-            OpenContact one = end.answered() ? open.remove(end.contact()) : open.get(end.contact());
-            if (one == null || end.answered() || end.ring() != one.rings - 1) {
+        void ringEnded(RingEnd end) {
+            OpenContact openContact = end.answered() ? openContacts.remove(end.contact()) : openContacts.get(end.contact());
+            if (openContact == null || end.answered() || end.ring() != openContact.ringCount - 1) {
                 return;
             }
-            if (one.at != one.destination && end.cause() != RingEndCause.NOT_SENT) {
-                one.destination.put(new TandemOutcome(one.at, false));
+            if (openContact.ringTarget != openContact.destination && end.cause() != RingEndCause.NOT_SENT) {
+                openContact.destination.enqueue(new TandemOutcome(openContact.ringTarget, false));
             }
-            boolean held = EnumSet.of(RingEndCause.TIMED_OUT, RingEndCause.CUT, RingEndCause.CALLED_OFF)
+            boolean mayHoldCircuits = EnumSet.of(RingEndCause.TIMED_OUT, RingEndCause.CUT, RingEndCause.CALLED_OFF)
                     .contains(end.cause());
-            boolean pressed = end.rejectionReason() == RejectionReason.PROCESSOR
+            boolean processorFull = end.rejectionReason() == RejectionReason.PROCESSOR
                     || end.rejectionReason() == RejectionReason.BEYOND_FULL;
-            boolean done = one.contact.inTransit() || end.cause() == RingEndCause.BUSY || pressed;
-            Moment again = held ? now.plus(release).plus(round) : now;
-            if (!done && again.before(one.paysUntil)) {
-                seekAt(one, again);
-            } else if (held) {
-                abandon(one);
+            boolean isFinal = openContact.contact.inTransit() || end.cause() == RingEndCause.BUSY || processorFull;
+            Moment retryTime = mayHoldCircuits ? now.plus(releaseTime).plus(timerRound) : now;
+            if (!isFinal && retryTime.before(openContact.retryUntil)) {
+                retryAt(openContact, retryTime);
+            } else if (mayHoldCircuits) {
+                abandon(openContact);
             } else {
-                defer(one);
+                defer(openContact);
             }
         }
 
-        void seekAt(OpenContact one, Moment at) {
-            one.doing = ContactState.RELEASING;
-            one.seekAt = at;
-            clock(one, at);
+        void retryAt(OpenContact openContact, Moment retryTime) {
+            openContact.state = ContactState.AWAITING_RETRY;
+            openContact.retryAt = retryTime;
+            startTimer(openContact, retryTime);
         }
 
-        void rung(long contact) {
-            OpenContact one = open.get(contact);
-            if (one == null || !now.before(one.end)) {
-                abandon(one);
-            } else if (one.doing == ContactState.RELEASING && !now.before(one.seekAt)) {
-                seek(one);
-            } else if (one.doing == ContactState.SEEKING && !now.before(one.worthUntil)) {
-                defer(one);
+        void timerExpired(long contact) {
+            OpenContact openContact = openContacts.get(contact);
+            if (openContact == null || !now.before(openContact.answerBy)) {
+                abandon(openContact);
+            } else if (openContact.state == ContactState.AWAITING_RETRY && !now.before(openContact.retryAt)) {
+                requestCircuit(openContact);
+            } else if (openContact.state == ContactState.AWAITING_CIRCUIT && !now.before(openContact.waitUntil)) {
+                defer(openContact);
             }
         }
 
         // The two places of a final answer; a contact is forgotten there, so nothing can follow.
-        void defer(OpenContact one) {
-            if (letGo(one)) {
-                double away = may("retry-after") ? number("policy-limits.max-retry-after-ns", 0) : 0;
-                orders.defer(one.contact.id(), one.contact.inTransit() ? Span.ZERO : new Span((long) away));
+        void defer(OpenContact openContact) {
+            if (close(openContact)) {
+                double retryAfterNs = isAllowed("retry-after") ? numberSetting("policy-limits.max-retry-after-ns", 0) : 0;
+                orders.defer(openContact.contact.id(), openContact.contact.inTransit() ? Span.ZERO : new Span((long) retryAfterNs));
             }
         }
 
-        void abandon(OpenContact one) {
-            if (letGo(one)) {
-                orders.abandon(one.contact.id());
+        void abandon(OpenContact openContact) {
+            if (close(openContact)) {
+                orders.abandon(openContact.contact.id());
             }
         }
 
-        boolean letGo(OpenContact one) {
-            if (one == null || open.remove(one.contact.id()) == null) {
+        boolean close(OpenContact openContact) {
+            if (openContact == null || openContacts.remove(openContact.contact.id()) == null) {
                 return false;
             }
-            if (one.doing == ContactState.SEEKING && one.destination != null) {
-                one.destination.put(new ReleaseCircuits(one.contact.id()));
-                (home() == null ? one.destination : home()).put(new ReleaseCircuits(one.contact.id()));
-            } else if (one.doing == ContactState.RINGING && may("cancel")) {
-                orders.cancel(one.contact.id(), one.rings - 1);
+            if (openContact.state == ContactState.AWAITING_CIRCUIT && openContact.destination != null) {
+                openContact.destination.enqueue(new ReleaseCircuits(openContact.contact.id()));
+                (homeSwitch() == null ? openContact.destination : homeSwitch()).enqueue(new ReleaseCircuits(openContact.contact.id()));
+            } else if (openContact.state == ContactState.RINGING && isAllowed("cancel")) {
+                orders.cancel(openContact.contact.id(), openContact.ringCount - 1);
             }
             return true;
         }
@@ -855,201 +855,201 @@
 
     private final Map<String, String> settings;
     private final Orders orders;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private Moment now;
-    private final ArrayDeque<Actor<?>> busy = new ArrayDeque<>();
+    private final ArrayDeque<Actor<?>> pendingActors = new ArrayDeque<>();
     final Map<Long, Switch> switches = new TreeMap<>();
-    private final Map<Long, Switch> legs = new TreeMap<>();
-    private final Map<Integer, Switch> numbers = new HashMap<>();
-    private final Map<Integer, Map<Integer, TandemWeight>> weightsTo = new HashMap<>();
-    final Skill[] skills;
-    private Skill urgentOne;
-    private int cheapest;
-    private Span patienceMost = Span.ZERO;
-    private final List<String> fields;
-    private final Span round, release, warmWithin;
+    private final Map<Long, Switch> switchesWithGroup = new TreeMap<>();
+    private final Map<Integer, Switch> switchesByNumber = new HashMap<>();
+    private final Map<Integer, Map<Integer, TandemWeight>> weightsByDestination = new HashMap<>();
+    final Skill[] readSkills;
+    private Skill urgentSkill;
+    private int cheapestSkillId;
+    private Span maxPatience = Span.ZERO;
+    private final List<String> reportFields;
+    private final Span timerRound, releaseTime, warmUpTime;
     private final int homeNumber;
-    final ContactManager front;
+    final ContactManager contactManager;
 
     public RoutingPolicy(Map<String, String> settings, long seed, Moment now, Orders orders) {
         this.settings = settings;
         this.orders = orders;
         this.now = now;
-        chance = new SplittableRandom(seed);
-        round = new Span((long) number("round-ns", 5e6));
-        release = new Span((long) number("family-info.release-ns", 0));
-        warmWithin = new Span((long) number("guarantees.warm-within-ns", 1));
-        homeNumber = (int) number("family-info.home-no", -1);
-        fields = Arrays.asList(settings.getOrDefault("report.fields", "").split(","));
-        skills = skills();
-        front = new ContactManager();
+        random = new SplittableRandom(seed);
+        timerRound = new Span((long) numberSetting("round-ns", 5e6));
+        releaseTime = new Span((long) numberSetting("family-info.release-ns", 0));
+        warmUpTime = new Span((long) numberSetting("guarantees.warm-within-ns", 1));
+        homeNumber = (int) numberSetting("family-info.home-no", -1);
+        reportFields = Arrays.asList(settings.getOrDefault("report.fields", "").split(","));
+        readSkills = readSkills();
+        contactManager = new ContactManager();
         switchListReceived(now, ListKind.FAILED, List.of());
     }
 
-    private double number(String name, double otherwise) {
-        return item(settings.get(name), 0, otherwise);
+    private double numberSetting(String name, double defaultValue) {
+        return listItem(settings.get(name), 0, defaultValue);
     }
 
-    private boolean may(String what) {
-        return "true".equals(settings.get("policy-limits." + what));
+    private boolean isAllowed(String option) {
+        return "true".equals(settings.get("policy-limits." + option));
     }
 
-    private static double item(String list, int at, double otherwise) {
+    private static double listItem(String list, int position, double defaultValue) {
         String[] items = list == null ? new String[0] : list.split(",");
-        return at < items.length && !items[at].isBlank() ? Double.parseDouble(items[at].trim()) : otherwise;
+        return position < items.length && !items[position].isBlank() ? Double.parseDouble(items[position].trim()) : defaultValue;
     }
 
-    private Skill[] skills() {
-        int count = (int) number("classes.count", 1);
+    private Skill[] readSkills() {
+        int count = (int) numberSetting("classes.count", 1);
         Integer[] byValue = new Integer[count];
         Arrays.setAll(byValue, i -> i);
-        Arrays.sort(byValue, Comparator.comparingDouble(i -> -number("classes." + i + ".worth", 1)));
-        Skill[] all = new Skill[count];
+        Arrays.sort(byValue, Comparator.comparingDouble(i -> -numberSetting("classes." + i + ".worth", 1)));
+        Skill[] skills = new Skill[count];
         for (int rank = 0; rank < count; rank++) {
-            int skill = byValue[rank];
-            String at = "classes." + skill + ".";
+            int skillId = byValue[rank];
+            String prefix = "classes." + skillId + ".";
             // The cheapest plays bronze; the ones between take silver, then gold, from below.
-            int row = rank == 0 ? 0 : Math.max(1, 3 - (count - 1 - rank));
-            int width = (int) item(settings.get("family-info.widths"), skill, 1);
-            Span hold = new Span((long) item(settings.get("family-info.mean-hold-ns"), skill, 1e10));
-            all[skill] = new Skill(
-                    skill,
+            int shareRow = rank == 0 ? 0 : Math.max(1, 3 - (count - 1 - rank));
+            int width = (int) listItem(settings.get("family-info.widths"), skillId, 1);
+            Span meanHold = new Span((long) listItem(settings.get("family-info.mean-hold-ns"), skillId, 1e10));
+            skills[skillId] = new Skill(
+                    skillId,
                     rank,
-                    row,
+                    shareRow,
                     width,
-                    new Span((long) number(at + "aim-ns", 1e9)),
-                    hold,
-                    List.of(settings.getOrDefault("family-info.class-cells." + skill, "")
+                    new Span((long) numberSetting(prefix + "aim-ns", 1e9)),
+                    meanHold,
+                    List.of(settings.getOrDefault("family-info.class-cells." + skillId, "")
                             .split(",")));
-            patienceMost = patienceMost.atLeast(new Span((long) number(at + "hard-limit-ns", 9e9)));
+            maxPatience = maxPatience.atLeast(new Span((long) numberSetting(prefix + "hard-limit-ns", 9e9)));
         }
-        urgentOne = all[byValue[0]];
-        cheapest = byValue[count - 1];
-        return all;
+        urgentSkill = skills[byValue[0]];
+        cheapestSkillId = byValue[count - 1];
+        return skills;
     }
 
     /** Shares of the paper's classes that no skill here plays go to the cheapest, so none is stranded. */
-    double share(int skill, int stage) {
-        double left = 1;
-        for (Skill other : skills) {
-            left -= SHARES[stage][other.row];
+    double skillShare(int skill, int stage) {
+        double unassigned = 1;
+        for (Skill other : readSkills) {
+            unassigned -= STAGE_SHARES[stage][other.shareRow];
         }
-        return SHARES[stage][skills[skill].row] + (skill == cheapest ? Math.max(0, left) : 0);
+        return STAGE_SHARES[stage][readSkills[skill].shareRow] + (skill == cheapestSkillId ? Math.max(0, unassigned) : 0);
     }
 
     /** How long one sender leaves a doubtful switch alone, so that the trials of all are not a load on it. */
-    Span turn() {
-        return urgentOne.target.times(Math.max(1, numbers.size() / FEW));
+    Span trialInterval() {
+        return urgentSkill.target.times(Math.max(1, switchesByNumber.size() / EXCHANGES_PER_TRIAL_TARGET));
     }
 
-    static Moment first(Moment a, Moment b) {
-        return a.before(b) ? a : b;
+    static Moment earlier(Moment first, Moment second) {
+        return first.before(second) ? first : second;
     }
 
-    static double ramp(double value, double from, double to) {
-        return Math.max(0, Math.min(1, (value - from) / (to - from)));
+    static double ramp(double value, double start, double end) {
+        return Math.max(0, Math.min(1, (value - start) / (end - start)));
     }
 
-    Switch home() {
-        return byNumber(homeNumber);
+    Switch homeSwitch() {
+        return switchByNumber(homeNumber);
     }
 
-    Switch byNumber(int number) {
-        return numbers.get(number);
+    Switch switchByNumber(int number) {
+        return switchesByNumber.get(number);
     }
 
-    Switch at(long id) {
+    Switch switchById(long id) {
         return switches.computeIfAbsent(id, Switch::new);
     }
 
     @Override
-    public void switchListReceived(Moment at, ListKind kind, List<SwitchEntry> lines) {
+    public void switchListReceived(Moment eventTime, ListKind kind, List<SwitchEntry> entries) {
         // Where the list must be asked for, a failed subscription is renewed, or drains would go unheard.
         if (kind == ListKind.FAILED && "subscribe".equals(settings.get("discovery"))) {
             orders.watchSwitchList(true);
         }
-        lines.forEach(line -> tell(at, at(line.id()), new SwitchListed(line)));
-        boolean all = kind == ListKind.FULL || kind == ListKind.CACHED;
-        Set<Long> named = new HashSet<>(lines.stream().map(SwitchEntry::id).toList());
+        entries.forEach(entry -> process(eventTime, switchById(entry.id()), new SwitchListed(entry)));
+        boolean isComplete = kind == ListKind.FULL || kind == ListKind.CACHED;
+        Set<Long> listedIds = new HashSet<>(entries.stream().map(SwitchEntry::id).toList());
         switches.values().stream()
-                .filter(one -> all && !named.contains(one.id))
-                .forEach(one -> tell(
-                        at,
-                        one,
-                        new SwitchListed(new SwitchEntry(one.id, one.number, SwitchEntry.State.GONE, null, 0))));
+                .filter(knownSwitch -> isComplete && !listedIds.contains(knownSwitch.id))
+                .forEach(knownSwitch -> process(
+                        eventTime,
+                        knownSwitch,
+                        new SwitchListed(new SwitchEntry(knownSwitch.id, knownSwitch.number, SwitchEntry.State.GONE, null, 0))));
         // While a machine replaces another, both bear the number: the one that takes what is new counts.
         // One that only a report has named, with no number yet, is nobody's destination.
-        numbers.clear();
+        switchesByNumber.clear();
         switches.values()
-                .forEach(one -> numbers.merge(
-                        one.number,
-                        one,
-                        (a, b) -> a.state == SwitchEntry.State.READY || b.state != SwitchEntry.State.READY ? a : b));
-        numbers.keySet().removeIf(number -> number < 0);
+                .forEach(knownSwitch -> switchesByNumber.merge(
+                        knownSwitch.number,
+                        knownSwitch,
+                        (current, other) -> current.state == SwitchEntry.State.READY || other.state != SwitchEntry.State.READY ? current : other));
+        switchesByNumber.keySet().removeIf(number -> number < 0);
         // A machine that was replaced, and holds nothing any more, would else be kept and counted for good.
         switches.values()
-                .removeIf(one -> one.state == SwitchEntry.State.GONE
-                        && numbers.get(one.number) != one
-                        && one.rings.isEmpty()
-                        && one.standing.isEmpty()
-                        && one.waiting.isEmpty());
-        legs.keySet().retainAll(switches.keySet());
+                .removeIf(knownSwitch -> knownSwitch.state == SwitchEntry.State.GONE
+                        && switchesByNumber.get(knownSwitch.number) != knownSwitch
+                        && knownSwitch.inFlight.isEmpty()
+                        && knownSwitch.established.isEmpty()
+                        && knownSwitch.waitingRequests.isEmpty());
+        switchesWithGroup.keySet().retainAll(switches.keySet());
     }
 
-    private <A extends Actor<A>> void tell(Moment at, A actor, Message<A> note) {
-        now = at;
+    private <A extends Actor<A>> void process(Moment eventTime, A actor, Message<A> message) {
+        now = eventTime;
         if (actor != null) {
-            actor.put(note);
+            actor.enqueue(message);
         }
-        while (!busy.isEmpty()) {
-            busy.poll().empty();
+        while (!pendingActors.isEmpty()) {
+            pendingActors.poll().processInbox();
         }
     }
 
     @Override
-    public void contactOffered(Moment at, Contact contact) {
-        tell(at, front, new ContactOffered(contact));
+    public void contactOffered(Moment eventTime, Contact contact) {
+        process(eventTime, contactManager, new ContactOffered(contact));
     }
 
     @Override
-    public void established(Moment at, long contact, int ring, long target, Span took) {
-        tell(at, at(target), new ContactEstablished(contact, took));
-        tell(at, home(), new ContactEstablished(contact, took));
-        tell(at, front, new ContactAnswered(contact));
+    public void established(Moment eventTime, long contact, int ring, long target, Span setUpTime) {
+        process(eventTime, switchById(target), new ContactEstablished(contact, setUpTime));
+        process(eventTime, homeSwitch(), new ContactEstablished(contact, setUpTime));
+        process(eventTime, contactManager, new ContactAnswered(contact));
     }
 
     @Override
-    public void ringEnded(Moment at, RingEnd end) {
-        tell(at, at(end.target()), new SwitchRingEnded(end));
-        tell(at, front, new ContactRingEnded(end));
+    public void ringEnded(Moment eventTime, RingEnd end) {
+        process(eventTime, switchById(end.target()), new SwitchRingEnded(end));
+        process(eventTime, contactManager, new ContactRingEnded(end));
     }
 
     @Override
-    public void callerGone(Moment at, long contact) {
-        tell(at, front, new CallerGone(contact));
+    public void callerGone(Moment eventTime, long contact) {
+        process(eventTime, contactManager, new CallerGone(contact));
     }
 
     @Override
-    public void timerExpired(Moment at, long token) {
+    public void timerExpired(Moment eventTime, long token) {
         if ((token & 1) == 1) {
-            tell(at, at(token >> 1), new ServeWaitingRequests());
+            process(eventTime, switchById(token >> 1), new ServeWaitingRequests());
         } else {
-            tell(at, front, new ContactTimerExpired(token >> 1));
+            process(eventTime, contactManager, new ContactTimerExpired(token >> 1));
         }
     }
 
     @Override
-    public void switchReported(Moment at, long target, boolean reached, Span took, float[] report) {
-        tell(at, at(target), new SwitchReported(report));
+    public void switchReported(Moment eventTime, long target, boolean reached, Span responseTime, float[] report) {
+        process(eventTime, switchById(target), new SwitchReported(report));
     }
 
     @Override
-    public void peerNoteReceived(Moment at, int peer, byte[] note) {
-        tell(at, front, new PeerNoteReceived(note));
+    public void peerNoteReceived(Moment eventTime, int peer, byte[] note) {
+        process(eventTime, contactManager, new PeerNoteReceived(note));
     }
 
     @Override
-    public void stopped(Moment at) {
-        now = at;
+    public void stopped(Moment eventTime) {
+        now = eventTime;
     }
 }
--- a/src/main/java/martenslip/control/Controller.java
+++ b/src/main/java/martenslip/control/Controller.java
@@ -18,11 +18,11 @@
         FAILED
     }
 
-    void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> lines);
+    void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> entries);
 
     void contactOffered(Moment now, Contact contact);
 
-    void established(Moment now, long contact, int ring, long target, Span took);
+    void established(Moment now, long contact, int ring, long target, Span setUpTime);
 
     void ringEnded(Moment now, RingEnd end);
 
@@ -31,7 +31,7 @@
     void timerExpired(Moment now, long token);
 
     /** Circuits toward a switch, and what its processor reports where that was asked for. */
-    void switchReported(Moment now, long target, boolean reached, Span took, float[] report);
+    void switchReported(Moment now, long target, boolean reached, Span responseTime, float[] report);
 
     void peerNoteReceived(Moment now, int peer, byte[] note);
 
--- a/src/main/java/martenslip/control/Orders.java
+++ b/src/main/java/martenslip/control/Orders.java
@@ -8,7 +8,7 @@
     void cancel(long contact, int ring);
 
     /** Final: refused; {@code comeBack} is when to try again, zero to say nothing. */
-    void defer(long contact, Span comeBack);
+    void defer(long contact, Span retryAfter);
 
     /** Final: failed. */
     void abandon(long contact);
@@ -21,7 +21,7 @@
     /** A short note to a peer, or to all of them with {@link #ALL_PEERS}. */
     void sendNote(int peer, byte[] note);
 
-    void watchSwitchList(boolean on);
+    void watchSwitchList(boolean enabled);
 
     void log(String line);
 
--- a/src/main/java/martenslip/control/Span.java
+++ b/src/main/java/martenslip/control/Span.java
@@ -4,8 +4,8 @@
 public record Span(long ns) implements Comparable<Span> {
     public static final Span ZERO = new Span(0);
 
-    public static Span ofMillis(double ms) {
-        return new Span(Math.round(ms * 1e6));
+    public static Span ofMillis(double milliseconds) {
+        return new Span(Math.round(milliseconds * 1e6));
     }
 
     public Span plus(Span other) {
--- a/src/main/java/martenslip/liveness/LivenessMonitor.java
+++ b/src/main/java/martenslip/liveness/LivenessMonitor.java
@@ -20,52 +20,52 @@
     }
 
     /** Two missed seconds of an ordinary switch's states, and time left for a second question. */
-    static final Span ASK_AFTER = Span.ofMillis(3000);
+    static final Span PROBE_AFTER = Span.ofMillis(3000);
 
-    static final Span ASK_AGAIN = Span.ofMillis(1000);
+    static final Span PROBE_INTERVAL = Span.ofMillis(1000);
     /** Under the 8 s by what a look, a connection's limit and the release's way may take. */
-    static final Span OVER_AFTER = Span.ofMillis(6300);
+    static final Span DEAD_AFTER = Span.ofMillis(6300);
     /** One that has left the list is no longer asked; it has told all that it will. */
-    static final Span LEFT_AFTER = Span.ofMillis(3000);
+    static final Span UNLISTED_DEAD_AFTER = Span.ofMillis(3000);
 
-    private Moment heardAt;
-    private Moment askedAt;
-    private boolean inVain;
+    private Moment lastSignalAt;
+    private Moment probedAt;
+    private boolean probeFailed;
     private boolean setListed = true;
-    private boolean over;
+    private boolean declaredDead;
 
     public LivenessMonitor(Moment now) {
-        heardAt = now;
+        lastSignalAt = now;
     }
 
     /** It has said something, or taken a connection. */
     public void signalReceived(Moment now) {
-        heardAt = now;
-        askedAt = null;
-        inVain = false;
-        over = false;
+        lastSignalAt = now;
+        probedAt = null;
+        probeFailed = false;
+        declaredDead = false;
     }
 
     /** A connection that was asked for has not come up. */
     public void connectFailed(Moment now) {
-        inVain |= askedAt != null && !now.before(askedAt);
+        probeFailed |= probedAt != null && !now.before(probedAt);
     }
 
-    public void setListed(boolean still) {
-        setListed = still;
+    public void setListed(boolean listed) {
+        setListed = listed;
     }
 
     /** Looks at it; where it says to ask, that counts as asked, and each silence is over but once. */
     public Action check(Moment now) {
-        Span silence = now.since(heardAt);
-        boolean dead = setListed ? inVain && !OVER_AFTER.longerThan(silence) : !LEFT_AFTER.longerThan(silence);
-        if (dead && !over) {
-            over = true;
+        Span silence = now.since(lastSignalAt);
+        boolean dead = setListed ? probeFailed && !DEAD_AFTER.longerThan(silence) : !UNLISTED_DEAD_AFTER.longerThan(silence);
+        if (dead && !declaredDead) {
+            declaredDead = true;
             return Action.DECLARE_DEAD;
         }
-        boolean due = askedAt == null ? !ASK_AFTER.longerThan(silence) : !ASK_AGAIN.longerThan(now.since(askedAt));
-        if (setListed && !over && due) {
-            askedAt = now;
+        boolean probeDue = probedAt == null ? !PROBE_AFTER.longerThan(silence) : !PROBE_INTERVAL.longerThan(now.since(probedAt));
+        if (setListed && !declaredDead && probeDue) {
+            probedAt = now;
             return Action.PROBE;
         }
         return Action.NONE;
--- a/src/main/java/martenslip/tracking/AnswerDeadline.java
+++ b/src/main/java/martenslip/tracking/AnswerDeadline.java
@@ -9,11 +9,11 @@
  */
 public final class AnswerDeadline {
     /** Half a round of the module: after its own last moment, and with room for a turn that is busy. */
-    private static final Span BEFORE = Span.ofMillis(12);
+    private static final Span MARGIN = Span.ofMillis(12);
 
     private AnswerDeadline() {}
 
-    public static Moment forContact(Moment taken, Span patience) {
-        return taken.plus(patience.minus(BEFORE).atLeast(Span.ZERO));
+    public static Moment forContact(Moment takenAt, Span patience) {
+        return takenAt.plus(patience.minus(MARGIN).atLeast(Span.ZERO));
     }
 }
--- a/src/main/java/martenslip/tracking/ContactRegistry.java
+++ b/src/main/java/martenslip/tracking/ContactRegistry.java
@@ -47,43 +47,43 @@
     private static final class Entry {
         final Contact contact;
         final int lane;
-        final Moment at;
+        final Moment takenAt;
         /** Rings below this number were another module's. */
-        int base;
+        int firstModuleRing;
 
-        int next;
-        int live = -1;
+        int nextRing;
+        int inFlightRing = -1;
         long target;
-        boolean known;
-        boolean stood;
+        boolean offered;
+        boolean established;
         boolean answered;
 
-        Entry(Contact contact, int lane, Moment at) {
+        Entry(Contact contact, int lane, Moment takenAt) {
             this.contact = contact;
             this.lane = lane;
-            this.at = at;
+            this.takenAt = takenAt;
         }
 
-        boolean foreign() {
-            return live >= 0 && live < base;
+        boolean hasForeignRing() {
+            return inFlightRing >= 0 && inFlightRing < firstModuleRing;
         }
     }
 
-    private record DelayedOffer(long contact, Moment at, long order) {}
+    private record DelayedOffer(long contact, Moment dueAt, long sequence) {}
 
     private final Controller module;
-    private final Span release;
-    private final LaneOrders lanes;
+    private final Span releaseTime;
+    private final LaneOrders laneOrders;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
-    private final PriorityQueue<DelayedOffer> later =
-            new PriorityQueue<>(Comparator.comparing(DelayedOffer::at).thenComparing(DelayedOffer::order));
-    private long orders;
+    private final PriorityQueue<DelayedOffer> delayedOffers =
+            new PriorityQueue<>(Comparator.comparing(DelayedOffer::dueAt).thenComparing(DelayedOffer::sequence));
+    private long nextOfferSequence;
 
     /** {@code release} is how long nothing is sent for a contact after a ring that may still hold something. */
-    public ContactRegistry(Controller module, Span release, LaneOrders lanes) {
+    public ContactRegistry(Controller module, Span releaseTime, LaneOrders laneOrders) {
         this.module = module;
-        this.release = release;
-        this.lanes = lanes;
+        this.releaseTime = releaseTime;
+        this.laneOrders = laneOrders;
     }
 
     public int size() {
@@ -94,7 +94,7 @@
     public void contactOffered(Moment now, Contact contact, int lane) {
         if (!entries.containsKey(contact.id())) {
             Entry entry = new Entry(contact, lane, now);
-            entry.known = true;
+            entry.offered = true;
             entries.put(contact.id(), entry);
             module.contactOffered(now, contact);
         }
@@ -106,9 +106,9 @@
         if (entry == null) {
             return -1;
         }
-        entry.live = entry.next++;
+        entry.inFlightRing = entry.nextRing++;
         entry.target = target;
-        return entry.live;
+        return entry.inFlightRing;
     }
 
     public boolean contains(long contact) {
@@ -123,7 +123,7 @@
     /** The lane's number of a ring that the module names. */
     public int laneRingNumber(long contact, int ring) {
         Entry entry = entries.get(contact);
-        return entry == null ? -1 : entry.base + ring;
+        return entry == null ? -1 : entry.firstModuleRing + ring;
     }
 
     /** The module gave its final answer. */
@@ -131,37 +131,37 @@
         Entry entry = entries.get(contact);
         if (entry != null) {
             entry.answered = true;
-            forget(entry);
+            removeIfEnded(entry);
         }
     }
 
-    public void established(Moment now, long contact, int ring, long target, Span took) {
+    public void established(Moment now, long contact, int ring, long target, Span setUpTime) {
         Entry entry = entries.get(contact);
-        if (entry == null || entry.live != ring || entry.stood) {
+        if (entry == null || entry.inFlightRing != ring || entry.established) {
             return;
         }
-        boolean foreign = entry.foreign();
-        entry.stood = true;
+        boolean foreign = entry.hasForeignRing();
+        entry.established = true;
         entry.answered = true;
         if (!foreign) {
-            module.established(now, contact, ring - entry.base, target, took);
+            module.established(now, contact, ring - entry.firstModuleRing, target, setUpTime);
         }
     }
 
     /** The outcome of a ring, numbered by its lane; true where it is news. */
     public boolean ringEnded(Moment now, RingEnd end) {
         Entry entry = entries.get(end.contact());
-        if (entry == null || entry.live != end.ring()) {
+        if (entry == null || entry.inFlightRing != end.ring()) {
             return false;
         }
-        boolean foreign = entry.foreign();
-        entry.live = -1;
+        boolean foreign = entry.hasForeignRing();
+        entry.inFlightRing = -1;
         if (!foreign) {
             module.ringEnded(
                     now,
                     new RingEnd(
                             end.contact(),
-                            end.ring() - entry.base,
+                            end.ring() - entry.firstModuleRing,
                             end.target(),
                             end.cause(),
                             end.rejectionReason(),
@@ -169,9 +169,9 @@
                             end.answered(),
                             end.report()));
         } else if (!entry.answered) {
-            offerLater(entry, mayHoldCircuits(end.cause()) ? now.plus(release) : now);
+            scheduleOffer(entry, mayHoldCircuits(end.cause()) ? now.plus(releaseTime) : now);
         }
-        forget(entry);
+        removeIfEnded(entry);
         return true;
     }
 
@@ -187,63 +187,63 @@
             return;
         }
         entry.answered = true;
-        if (entry.foreign()) {
-            lanes.cancel(contact, entry.live);
+        if (entry.hasForeignRing()) {
+            laneOrders.cancel(contact, entry.inFlightRing);
         }
-        if (entry.known) {
+        if (entry.offered) {
             module.callerGone(now, contact);
         }
-        forget(entry);
+        removeIfEnded(entry);
     }
 
-    private void forget(Entry entry) {
-        if (entry.answered && entry.live < 0) {
+    private void removeIfEnded(Entry entry) {
+        if (entry.answered && entry.inFlightRing < 0) {
             entries.remove(entry.contact.id(), entry);
         }
     }
 
     /** A lane's thread, or this one, was replaced: all that the lane holds. */
-    public void reconcileLane(Moment now, int lane, List<LaneContact> held) {
+    public void reconcileLane(Moment now, int lane, List<LaneContact> laneContacts) {
         Map<Long, LaneContact> byId = new HashMap<>();
-        held.forEach(one -> byId.put(one.contact().id(), one));
-        List<Entry> mine = new ArrayList<>();
-        entries.values().stream().filter(entry -> entry.lane == lane).forEach(mine::add);
-        for (Entry entry : mine) {
-            compare(now, entry, byId.get(entry.contact.id()));
+        laneContacts.forEach(laneContact -> byId.put(laneContact.contact().id(), laneContact));
+        List<Entry> laneEntries = new ArrayList<>();
+        entries.values().stream().filter(entry -> entry.lane == lane).forEach(laneEntries::add);
+        for (Entry entry : laneEntries) {
+            reconcileEntry(now, entry, byId.get(entry.contact.id()));
         }
-        for (LaneContact one : held) {
-            if (!entries.containsKey(one.contact().id()) && !(one.answered() && one.inFlightRing() < 0)) {
-                adopt(now, lane, one);
+        for (LaneContact laneContact : laneContacts) {
+            if (!entries.containsKey(laneContact.contact().id()) && !(laneContact.answered() && laneContact.inFlightRing() < 0)) {
+                adoptContact(now, lane, laneContact);
             }
         }
     }
 
-    private void compare(Moment now, Entry entry, LaneContact held) {
+    private void reconcileEntry(Moment now, Entry entry, LaneContact laneContact) {
         long id = entry.contact.id();
-        if (held == null) {
+        if (laneContact == null) {
             // The lane had done with it, and what it said of that was lost.
             callerGone(now, id);
-            over(now, entry, RingEndCause.CUT);
+            endRing(now, entry, RingEndCause.CUT);
             return;
         }
-        if (held.established()) {
-            established(now, id, held.inFlightRing(), held.target(), now.since(held.takenAt()));
-        } else if (entry.live >= 0 && entry.live < held.ringCount() && held.inFlightRing() != entry.live) {
-            over(now, entry, entry.stood ? RingEndCause.CUT : RingEndCause.TIMED_OUT);
+        if (laneContact.established()) {
+            established(now, id, laneContact.inFlightRing(), laneContact.target(), now.since(laneContact.takenAt()));
+        } else if (entry.inFlightRing >= 0 && entry.inFlightRing < laneContact.ringCount() && laneContact.inFlightRing() != entry.inFlightRing) {
+            endRing(now, entry, entry.established ? RingEndCause.CUT : RingEndCause.TIMED_OUT);
         }
         // A ring that the lane has no count of is an order that still stands in its inbox.
-        if (held.answered()) {
+        if (laneContact.answered()) {
             callerGone(now, id);
         }
     }
 
-    private void over(Moment now, Entry entry, RingEndCause cause) {
-        if (entry.live >= 0) {
+    private void endRing(Moment now, Entry entry, RingEndCause cause) {
+        if (entry.inFlightRing >= 0) {
             ringEnded(
                     now,
                     new RingEnd(
                             entry.contact.id(),
-                            entry.live,
+                            entry.inFlightRing,
                             entry.target,
                             cause,
                             RejectionReason.NONE,
@@ -253,60 +253,60 @@
         }
     }
 
-    private void adopt(Moment now, int lane, LaneContact held) {
-        Entry entry = new Entry(held.contact(), lane, held.takenAt());
-        entry.base = held.ringCount();
-        entry.next = held.ringCount();
-        entry.live = held.inFlightRing();
-        entry.target = held.target();
-        entry.stood = held.established();
-        entry.answered = held.answered();
-        entries.put(held.contact().id(), entry);
-        if (!entry.answered && entry.live < 0) {
-            Moment until = held.lastHeldRingEndedAt() == null
+    private void adoptContact(Moment now, int lane, LaneContact laneContact) {
+        Entry entry = new Entry(laneContact.contact(), lane, laneContact.takenAt());
+        entry.firstModuleRing = laneContact.ringCount();
+        entry.nextRing = laneContact.ringCount();
+        entry.inFlightRing = laneContact.inFlightRing();
+        entry.target = laneContact.target();
+        entry.established = laneContact.established();
+        entry.answered = laneContact.answered();
+        entries.put(laneContact.contact().id(), entry);
+        if (!entry.answered && entry.inFlightRing < 0) {
+            Moment offerAt = laneContact.lastHeldRingEndedAt() == null
                     ? now
-                    : held.lastHeldRingEndedAt().plus(release);
-            offerLater(entry, until.before(now) ? now : until);
+                    : laneContact.lastHeldRingEndedAt().plus(releaseTime);
+            scheduleOffer(entry, offerAt.before(now) ? now : offerAt);
         }
     }
 
-    private void offerLater(Entry entry, Moment at) {
-        entry.base = entry.next;
-        later.add(new DelayedOffer(entry.contact.id(), at, orders++));
+    private void scheduleOffer(Entry entry, Moment dueAt) {
+        entry.firstModuleRing = entry.nextRing;
+        delayedOffers.add(new DelayedOffer(entry.contact.id(), dueAt, nextOfferSequence++));
     }
 
     /** When {@link #offerDue} has something to do, or null. */
     public Moment nextOfferAt() {
-        return later.isEmpty() ? null : later.peek().at();
+        return delayedOffers.isEmpty() ? null : delayedOffers.peek().dueAt();
     }
 
     /** Offers what another module had been offered before and is due; with what is left of its patience. */
     public void offerDue(Moment now) {
-        while (!later.isEmpty() && !now.before(later.peek().at())) {
-            Entry entry = entries.get(later.poll().contact());
-            if (entry == null || entry.answered || entry.known && entry.live >= 0) {
+        while (!delayedOffers.isEmpty() && !now.before(delayedOffers.peek().dueAt())) {
+            Entry entry = entries.get(delayedOffers.poll().contact());
+            if (entry == null || entry.answered || entry.offered && entry.inFlightRing >= 0) {
                 continue;
             }
-            Contact was = entry.contact;
-            Span left = was.patience().minus(now.since(entry.at));
-            if (!left.longerThan(Span.ZERO)) {
+            Contact contact = entry.contact;
+            Span remainingPatience = contact.patience().minus(now.since(entry.takenAt));
+            if (!remainingPatience.longerThan(Span.ZERO)) {
                 // Its lane has the last word about now.
                 continue;
             }
-            entry.known = true;
+            entry.offered = true;
             module.contactOffered(
                     now,
                     new Contact(
-                            was.id(),
-                            was.skill(),
-                            was.dialledNumber(),
-                            was.destination(),
-                            was.routingHint(),
-                            was.width(),
-                            left,
-                            was.redial(),
-                            was.inTransit(),
-                            was.previouslyCut()));
+                            contact.id(),
+                            contact.skill(),
+                            contact.dialledNumber(),
+                            contact.destination(),
+                            contact.routingHint(),
+                            contact.width(),
+                            remainingPatience,
+                            contact.redial(),
+                            contact.inTransit(),
+                            contact.previouslyCut()));
         }
     }
 }
--- a/src/main/java/martenslip/tracking/InFlightCircuits.java
+++ b/src/main/java/martenslip/tracking/InFlightCircuits.java
@@ -19,53 +19,53 @@
     /** How old a notice may be when it is read: two turns of a busy thread and a way between regions. */
     public static final Span SETTLING_TIME = Span.ofMillis(30);
 
-    private record Ring(int number, int width, Moment until) {}
+    private record Ring(int number, int width, Moment countedUntil) {}
 
-    private final Map<Integer, Map<Long, Ring>> byFar = new HashMap<>();
+    private final Map<Integer, Map<Long, Ring>> ringsByExchange = new HashMap<>();
 
     /** A ring goes out toward a far exchange. */
-    public void ringSent(int far, long contact, int ring, int width) {
-        byFar.computeIfAbsent(far, any -> new LinkedHashMap<>()).put(contact, new Ring(ring, width, null));
+    public void ringSent(int farExchange, long contact, int ring, int width) {
+        ringsByExchange.computeIfAbsent(farExchange, exchange -> new LinkedHashMap<>()).put(contact, new Ring(ring, width, null));
     }
 
     /** The first word of it has come. */
-    public void responseReceived(Moment now, int far, long contact, int ring) {
-        Map<Long, Ring> rings = byFar.get(far);
-        Ring one = rings == null ? null : rings.get(contact);
-        if (one != null && one.number == ring && one.until == null) {
-            rings.put(contact, new Ring(ring, one.width, now.plus(SETTLING_TIME)));
+    public void responseReceived(Moment now, int farExchange, long contact, int ring) {
+        Map<Long, Ring> rings = ringsByExchange.get(farExchange);
+        Ring sentRing = rings == null ? null : rings.get(contact);
+        if (sentRing != null && sentRing.number == ring && sentRing.countedUntil == null) {
+            rings.put(contact, new Ring(ring, sentRing.width, now.plus(SETTLING_TIME)));
         }
     }
 
     /** It is over, and its circuits are free again. */
-    public void ringEnded(int far, long contact, int ring) {
-        Map<Long, Ring> rings = byFar.get(far);
-        Ring one = rings == null ? null : rings.get(contact);
-        if (one != null && one.number == ring) {
+    public void ringEnded(int farExchange, long contact, int ring) {
+        Map<Long, Ring> rings = ringsByExchange.get(farExchange);
+        Ring sentRing = rings == null ? null : rings.get(contact);
+        if (sentRing != null && sentRing.number == ring) {
             rings.remove(contact);
         }
     }
 
     /** Circuits to take off what is told of the group toward a far exchange. */
-    public int inFlightCount(Moment now, int far) {
-        Map<Long, Ring> rings = byFar.get(far);
+    public int inFlightCount(Moment now, int farExchange) {
+        Map<Long, Ring> rings = ringsByExchange.get(farExchange);
         if (rings == null) {
             return 0;
         }
-        int all = 0;
-        for (Iterator<Ring> each = rings.values().iterator(); each.hasNext(); ) {
-            Ring ring = each.next();
-            if (ring.until != null && !now.before(ring.until)) {
-                each.remove();
+        int circuits = 0;
+        for (Iterator<Ring> iterator = rings.values().iterator(); iterator.hasNext(); ) {
+            Ring ring = iterator.next();
+            if (ring.countedUntil != null && !now.before(ring.countedUntil)) {
+                iterator.remove();
             } else {
-                all += ring.width;
+                circuits += ring.width;
             }
         }
-        return all;
+        return circuits;
     }
 
     /** Drops rings whose contact is not {@code known} any more: lost with a lane, nobody will tell of them. */
-    public void retainContacts(java.util.function.LongPredicate known) {
-        byFar.values().forEach(rings -> rings.keySet().removeIf(contact -> !known.test(contact)));
+    public void retainContacts(java.util.function.LongPredicate isKnown) {
+        ringsByExchange.values().forEach(rings -> rings.keySet().removeIf(contact -> !isKnown.test(contact)));
     }
 }
--- a/src/main/java/martenslip/watchdog/Watchdog.java
+++ b/src/main/java/martenslip/watchdog/Watchdog.java
@@ -20,70 +20,70 @@
     /** How often to look: a stall is met at most this much later. */
     public static final Span CHECK_INTERVAL = Span.ofMillis(20);
     /** A look this late says that the process did not run, and not which thread did not. */
-    private static final Span BLIND = Span.ofMillis(60);
+    private static final Span MAX_CHECK_GAP = Span.ofMillis(60);
     /** A replacement has its inheritance to take over before it is judged. */
-    private static final Span GRACE = Span.ofMillis(500);
-    /** Replacements in {@link #WITHIN}; past them it is the machine that fails, and more threads don't help. */
-    private static final int MOST = 8;
+    private static final Span REPLACEMENT_GRACE = Span.ofMillis(500);
+    /** Replacements in {@link #REPLACEMENT_WINDOW}; past them it is the machine that fails, and more threads don't help. */
+    private static final int MAX_REPLACEMENTS = 8;
 
-    private static final Span WITHIN = Span.ofMillis(30_000);
+    private static final Span REPLACEMENT_WINDOW = Span.ofMillis(30_000);
 
     private final Moment[] loopTurned;
     private final Moment[] judgedFrom;
-    private final List<Moment> replaced = new ArrayList<>();
-    private Moment lastLook;
+    private final List<Moment> replacedAt = new ArrayList<>();
+    private Moment lastCheckAt;
     private long lateChecks;
     private long suppressedReplacements;
 
     /** All {@code places} have just begun at {@code now}. */
-    public Watchdog(int places, Moment now) {
-        loopTurned = new Moment[places];
-        judgedFrom = new Moment[places];
-        for (int i = 0; i < places; i++) {
+    public Watchdog(int threads, Moment now) {
+        loopTurned = new Moment[threads];
+        judgedFrom = new Moment[threads];
+        for (int i = 0; i < threads; i++) {
             loopTurned[i] = now;
             judgedFrom[i] = now;
         }
-        lastLook = now;
+        lastCheckAt = now;
     }
 
     /** When the place's thread began its last turn. */
-    public void loopTurned(int place, Moment at) {
-        loopTurned[place] = at;
+    public void loopTurned(int thread, Moment at) {
+        loopTurned[thread] = at;
     }
 
     /** The place whose thread is to be replaced now, or -1: at most one a look. */
     public int findStalled(Moment now) {
-        if (now.since(lastLook).longerThan(BLIND)) {
+        if (now.since(lastCheckAt).longerThan(MAX_CHECK_GAP)) {
             lateChecks++;
             for (int i = 0; i < judgedFrom.length; i++) {
                 judgedFrom[i] = judgedFrom[i].before(now) ? now : judgedFrom[i];
             }
         }
-        lastLook = now;
-        int worst = -1;
+        lastCheckAt = now;
+        int stalledThread = -1;
         for (int i = 0; i < loopTurned.length; i++) {
             if (stalledFor(i, now).longerThan(STALL_TIMEOUT)
-                    && (worst < 0 || stalledFor(i, now).longerThan(stalledFor(worst, now)))) {
-                worst = i;
+                    && (stalledThread < 0 || stalledFor(i, now).longerThan(stalledFor(stalledThread, now)))) {
+                stalledThread = i;
             }
         }
-        if (worst < 0) {
+        if (stalledThread < 0) {
             return -1;
         }
-        replaced.removeIf(at -> now.since(at).longerThan(WITHIN));
-        if (replaced.size() >= MOST) {
+        replacedAt.removeIf(replacement -> now.since(replacement).longerThan(REPLACEMENT_WINDOW));
+        if (replacedAt.size() >= MAX_REPLACEMENTS) {
             suppressedReplacements++;
             return -1;
         }
-        replaced.add(now);
-        loopTurned[worst] = now;
-        judgedFrom[worst] = now.plus(GRACE);
-        return worst;
+        replacedAt.add(now);
+        loopTurned[stalledThread] = now;
+        judgedFrom[stalledThread] = now.plus(REPLACEMENT_GRACE);
+        return stalledThread;
     }
 
     /** How long the place has not turned, as far as it may be held against it. */
-    public Span stalledFor(int place, Moment now) {
-        Moment from = loopTurned[place].before(judgedFrom[place]) ? judgedFrom[place] : loopTurned[place];
+    public Span stalledFor(int thread, Moment now) {
+        Moment from = loopTurned[thread].before(judgedFrom[thread]) ? judgedFrom[thread] : loopTurned[thread];
         return now.since(from);
     }
 
--- a/src/test/java/martenslip/BadInputTest.java
+++ b/src/test/java/martenslip/BadInputTest.java
@@ -79,11 +79,11 @@
     @Test
     public void aGroupOfNoCircuitsTakesNobodyWhateverItSaysIsFree() {
         ExchangeFixture exchange = told(at(1), 5, 0, -1, -1);
-        assertEquals(exchange.logic.at(101).free, 0);
+        assertEquals(exchange.logic.switchById(101).freeCircuits, 0);
         exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {90, 40, -1, -1});
-        assertEquals(exchange.logic.at(101).free, 40);
+        assertEquals(exchange.logic.switchById(101).freeCircuits, 40);
         exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {-3, 40, -1, -1});
-        assertEquals(exchange.logic.at(101).free, 0);
+        assertEquals(exchange.logic.switchById(101).freeCircuits, 0);
     }
 
     @DataProvider
@@ -129,8 +129,8 @@
             exchange.logic.peerNoteReceived(at(1), 5, new byte[] {(byte) (number >> 8), (byte) number, 2});
         }
         assertTrue(
-                exchange.logic.at(101).weights.size() <= 4,
-                "" + exchange.logic.at(101).weights.size());
+                exchange.logic.switchById(101).tandemWeights.size() <= 4,
+                "" + exchange.logic.switchById(101).tandemWeights.size());
         offer(exchange, 1, CHEAP, 2);
         assertTrue(exchange.orders().contains("ring 1 101"));
     }
@@ -152,7 +152,7 @@
         RuntimeException bare = new RuntimeException("planted", null, false, false) {
             private static final long serialVersionUID = 1L;
         };
-        exchange.logic.front.put(front -> {
+        exchange.logic.contactManager.enqueue(front -> {
             throw bare;
         });
         offer(exchange, 1, CHEAP, 2);
@@ -168,7 +168,7 @@
                     at(life), ListKind.CHANGES, List.of(old, new SwitchEntry(1001 + life, 1, State.READY, null, 0)));
             exchange.logic.switchReported(at(life), 1001 + life, true, Span.ZERO, new float[] {20, 40, -1, -1});
         }
-        assertEquals(exchange.logic.turn(), Span.ofMillis(1000));
+        assertEquals(exchange.logic.trialInterval(), Span.ofMillis(1000));
         offer(exchange, 1, CHEAP, 600);
         assertEquals(exchange.orders(), List.of("ring 1 1501"));
         assertEquals(exchange.logic.switches.size(), 4);
--- a/src/test/java/martenslip/ExchangeFixture.java
+++ b/src/test/java/martenslip/ExchangeFixture.java
@@ -72,7 +72,7 @@
 
     RoutingPolicy.CircuitRequest ask(Contact contact) {
         return new RoutingPolicy.CircuitRequest(
-                contact, logic.skills[contact.skill()], logic.at(101), true, at(9), 0, at(0), Set.of());
+                contact, logic.readSkills[contact.skill()], logic.switchById(101), true, at(9), 0, at(0), Set.of());
     }
 
     /** What was ordered but for clocks, which is cleared. */
--- a/src/test/java/martenslip/RoutingPolicyTest.java
+++ b/src/test/java/martenslip/RoutingPolicyTest.java
@@ -59,37 +59,37 @@
     @Test
     public void sharesBindOnlyNearFull() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.at(101);
-        group.urgent.add(16, Span.ZERO, at(0));
-        assertTrue(group.stage() >= 2);
-        assertNull(group.admits(ask(exchange, CHEAP, 1), false));
+        RoutingPolicy.Switch group = exchange.logic.switchById(101);
+        group.urgentDemand.add(16, Span.ZERO, at(0));
+        assertTrue(group.demandStage() >= 2);
+        assertNull(group.checkGroup(ask(exchange, CHEAP, 1), false));
         exchange.group(1, 1, 40);
-        assertEquals(group.admits(ask(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE);
-        assertNull(group.admits(ask(exchange, URGENT, 1), false));
+        assertEquals(group.checkGroup(ask(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
+        assertNull(group.checkGroup(ask(exchange, URGENT, 1), false));
     }
 
     @Test
     public void theWidthCountsAtAShareEdge() {
         ExchangeFixture exchange = new ExchangeFixture().ready(1, 40);
-        RoutingPolicy.Switch group = exchange.logic.at(101);
-        group.urgent.add(10, Span.ZERO, at(0));
-        double limit = exchange.logic.share(CHEAP, group.stage()) * 40;
-        group.held[URGENT] = 40 - 1 - (int) limit;
-        group.free = 1;
-        assertEquals(group.holds(CHEAP), (int) limit);
-        assertEquals(group.admits(ask(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE);
-        group.held[URGENT]++;
-        assertNull(group.admits(ask(exchange, CHEAP, 1), false));
-        group.free = 2;
-        group.held[URGENT]--;
-        assertEquals(group.admits(ask(exchange, CHEAP, 2), false), RoutingPolicy.DenialReason.SHARE);
+        RoutingPolicy.Switch group = exchange.logic.switchById(101);
+        group.urgentDemand.add(10, Span.ZERO, at(0));
+        double limit = exchange.logic.skillShare(CHEAP, group.demandStage()) * 40;
+        group.heldBySkill[URGENT] = 40 - 1 - (int) limit;
+        group.freeCircuits = 1;
+        assertEquals(group.occupiedCircuits(CHEAP), (int) limit);
+        assertEquals(group.checkGroup(ask(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
+        group.heldBySkill[URGENT]++;
+        assertNull(group.checkGroup(ask(exchange, CHEAP, 1), false));
+        group.freeCircuits = 2;
+        group.heldBySkill[URGENT]--;
+        assertEquals(group.checkGroup(ask(exchange, CHEAP, 2), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
     }
 
     @Test
     public void cheaperSharesShrinkAtHigherStages() {
         ExchangeFixture exchange = new ExchangeFixture().ready(1, 40);
-        for (int stage = 1; stage < RoutingPolicy.SHARES.length; stage++) {
-            assertTrue(exchange.logic.share(CHEAP, stage) < exchange.logic.share(CHEAP, stage - 1));
+        for (int stage = 1; stage < RoutingPolicy.STAGE_SHARES.length; stage++) {
+            assertTrue(exchange.logic.skillShare(CHEAP, stage) < exchange.logic.skillShare(CHEAP, stage - 1));
         }
     }
 
@@ -111,7 +111,7 @@
                     at(1 + 2 * id), new Contact(id, URGENT, 77, 1, -1, 1, Span.ofMillis(1000), false, false, false));
             exchange.logic.callerGone(at(2 + 2 * id), id);
         }
-        assertEquals(exchange.logic.at(101).urgent.bins[0], 1.0);
+        assertEquals(exchange.logic.switchById(101).urgentDemand.binCounts[0], 1.0);
     }
 
     @Test
@@ -144,7 +144,7 @@
         exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
         exchange.orders();
         exchange.logic.timerExpired(at(1.8), 2);
-        exchange.logic.at(101).serve();
+        exchange.logic.switchById(101).retryWaitingRequests();
         assertEquals(exchange.orders(), List.of());
     }
 
@@ -190,7 +190,7 @@
                 at(1),
                 ListKind.CHANGES,
                 List.of(line(1, State.GONE, null), new martenslip.control.SwitchEntry(900, 1, State.READY, null, 0)));
-        assertEquals(exchange.logic.byNumber(1).id, 900);
+        assertEquals(exchange.logic.switchByNumber(1).id, 900);
     }
 
     @Test
@@ -224,21 +224,21 @@
     @Test
     public void aReplacedMachineKeepsWhatWasLearnedOfItsNumber() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.at(101).linked(2, false);
+        exchange.logic.switchById(101).tandemGroupReported(2, false);
         exchange.logic.switchListReceived(
                 at(1), ListKind.CHANGES, List.of(new martenslip.control.SwitchEntry(900, 1, State.READY, at(1), 0)));
-        assertEquals(exchange.logic.at(900).weight(exchange.logic.at(102)), 0.0);
+        assertEquals(exchange.logic.switchById(900).tandemWeight(exchange.logic.switchById(102)), 0.0);
     }
 
     @Test
     public void aPressedProcessorIsKeptFromTheCheapButAnOldReportFades() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.at(101);
+        RoutingPolicy.Switch group = exchange.logic.switchById(101);
         exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 0.8f});
-        assertEquals(group.pressure(ask(exchange, CHEAP, 1).skill(), 0), 0.8, 1e-6);
-        assertEquals(group.pressure(ask(exchange, URGENT, 1).skill(), 0), 0.0);
+        assertEquals(group.rejectionShare(ask(exchange, CHEAP, 1).skill(), 0), 0.8, 1e-6);
+        assertEquals(group.rejectionShare(ask(exchange, URGENT, 1).skill(), 0), 0.0);
         exchange.logic.stopped(at(6));
-        assertTrue(group.pressure(ask(exchange, CHEAP, 1).skill(), 0) < 0.05);
+        assertTrue(group.rejectionShare(ask(exchange, CHEAP, 1).skill(), 0) < 0.05);
     }
 
     @Test
@@ -247,7 +247,7 @@
         exchange.settings.put("report.fields", "spare,total,depth,allowed");
         exchange.ready(20, 40);
         exchange.logic.switchReported(at(0), 101, true, Span.ZERO, new float[] {20, 40, 1, 14});
-        assertEquals(exchange.logic.at(101).pressure(ask(exchange, CHEAP, 1).skill(), 0), 0.0);
+        assertEquals(exchange.logic.switchById(101).rejectionShare(ask(exchange, CHEAP, 1).skill(), 0), 0.0);
         exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 90, 0.3f});
         exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
         assertEquals(exchange.orders(), List.of("defer 1"));
@@ -260,11 +260,11 @@
             exchange.logic.contactOffered(at(1), contact(id, CHEAP, 9));
         }
         exchange.logic.stopped(at(8));
-        RoutingPolicy.Switch group = exchange.logic.at(101);
-        assertTrue(group.silent());
-        assertFalse(exchange.logic.at(102).silent());
-        assertNull(group.processor(ask(exchange, URGENT, 1)));
-        assertEquals(group.processor(ask(exchange, URGENT, 1)), RoutingPolicy.DenialReason.DOWN);
+        RoutingPolicy.Switch group = exchange.logic.switchById(101);
+        assertTrue(group.isSilent());
+        assertFalse(exchange.logic.switchById(102).isSilent());
+        assertNull(group.checkProcessor(ask(exchange, URGENT, 1)));
+        assertEquals(group.checkProcessor(ask(exchange, URGENT, 1)), RoutingPolicy.DenialReason.SWITCH_UNAVAILABLE);
     }
 
     @Test
@@ -273,42 +273,42 @@
         exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
         RoutingPolicy.OpenContact one = new RoutingPolicy.OpenContact(
                 contact(2, CHEAP, 3), ask(exchange, CHEAP, 1).skill(), at(4), at(1), at(1));
-        exchange.logic.front.open.put(2L, one);
+        exchange.logic.contactManager.openContacts.put(2L, one);
         exchange.orders();
-        exchange.logic.front.denied(one, true);
+        exchange.logic.contactManager.circuitDenied(one, true);
         assertEquals(exchange.orders(), List.of());
         exchange.logic.stopped(at(1.4));
-        exchange.logic.front.denied(one, true);
+        exchange.logic.contactManager.circuitDenied(one, true);
         assertEquals(exchange.orders(), List.of("defer 2"));
     }
 
     @Test
     public void aSwitchWhoseRingsTimeOutStaysSilentUntilItAnswersASetUp() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.at(101);
+        RoutingPolicy.Switch group = exchange.logic.switchById(101);
         exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
         exchange.logic.contactOffered(at(1), contact(2, CHEAP, 3));
         exchange.logic.ringEnded(at(4), end(1, 0, RingEndCause.TIMED_OUT, RejectionReason.NONE));
         exchange.logic.ringEnded(at(4), end(2, 0, RingEndCause.CONCLUDED, RejectionReason.NONE));
-        assertTrue(group.silent());
+        assertTrue(group.isSilent());
         exchange.logic.established(at(5), 3, 0, 101, Span.ofMillis(100));
-        assertFalse(group.silent());
+        assertFalse(group.isSilent());
     }
 
     @Test
     public void aTurnBackLowersATandemsWeightAndTimeMendsIt() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.at(101);
-        RoutingPolicy.Switch tandem = exchange.logic.at(102);
-        group.judge(tandem, true);
-        group.judge(tandem, false);
-        group.judge(tandem, false);
-        double low = group.weight(tandem);
-        assertTrue(low < RoutingPolicy.WEIGHT_NEW);
-        group.judge(tandem, true);
-        assertTrue(group.weight(tandem) > low);
+        RoutingPolicy.Switch group = exchange.logic.switchById(101);
+        RoutingPolicy.Switch tandem = exchange.logic.switchById(102);
+        group.updateTandemWeight(tandem, true);
+        group.updateTandemWeight(tandem, false);
+        group.updateTandemWeight(tandem, false);
+        double low = group.tandemWeight(tandem);
+        assertTrue(low < RoutingPolicy.INITIAL_WEIGHT);
+        group.updateTandemWeight(tandem, true);
+        assertTrue(group.tandemWeight(tandem) > low);
         exchange.logic.stopped(at(500));
-        assertTrue(group.weight(tandem) > 0.95);
+        assertTrue(group.tandemWeight(tandem) > 0.95);
     }
 
     @Test
@@ -341,10 +341,10 @@
     @Test
     public void theAdvisedTandemComesFirst() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 0);
-        exchange.logic.at(101).linked(3, true);
+        exchange.logic.switchById(101).tandemGroupReported(3, true);
         exchange.logic.stopped(at(500));
         Contact advised = new Contact(1, CHEAP, 0, 1, 3, 1, Span.ofMillis(3000), false, false, false);
-        assertEquals(exchange.logic.at(101).draw(exchange.ask(advised)).get(0).number, 3);
+        assertEquals(exchange.logic.switchById(101).drawTandems(exchange.ask(advised)).get(0).number, 3);
     }
 
     @Test
@@ -352,19 +352,19 @@
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 0);
         exchange.logic.peerNoteReceived(at(1), 2, new byte[] {0, 2, 1 | 1 << 3});
         assertEquals(
-                exchange.logic.at(101).draw(exchange.ask(contact(1, CHEAP, 3))).size(), 1);
+                exchange.logic.switchById(101).drawTandems(exchange.ask(contact(1, CHEAP, 3))).size(), 1);
         exchange.logic.peerNoteReceived(at(3), 2, new byte[0]);
     }
 
     @Test
     public void aWideContactDrawsAllTandemsAndAgainWhileItWaits() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 3, 40);
-        assertEquals(exchange.logic.at(101).draw(ask(exchange, CHEAP, 4)).size(), 2);
+        assertEquals(exchange.logic.switchById(101).drawTandems(ask(exchange, CHEAP, 4)).size(), 2);
         assertEquals(
-                exchange.logic.at(101).draw(ask(exchange, CHEAP, 4).again()).size(), 2);
-        assertEquals(exchange.logic.at(101).draw(ask(exchange, CHEAP, 1)).size(), 1);
+                exchange.logic.switchById(101).drawTandems(ask(exchange, CHEAP, 4).asRetry()).size(), 2);
+        assertEquals(exchange.logic.switchById(101).drawTandems(ask(exchange, CHEAP, 1)).size(), 1);
         assertEquals(
-                exchange.logic.at(101).draw(ask(exchange, CHEAP, 1).again()).size(), 0);
+                exchange.logic.switchById(101).drawTandems(ask(exchange, CHEAP, 1).asRetry()).size(), 0);
     }
 
     @Test
@@ -377,12 +377,12 @@
     @Test
     public void aSilentSwitchThatAnswersLetsItsZoneBeTried() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.at(101);
-        RoutingPolicy.Switch other = exchange.logic.at(102);
-        group.mute = true;
-        other.nextTrial = at(60);
+        RoutingPolicy.Switch group = exchange.logic.switchById(101);
+        RoutingPolicy.Switch other = exchange.logic.switchById(102);
+        group.unresponsive = true;
+        other.nextTrialAt = at(60);
         exchange.logic.established(at(5), 3, 0, 101, Span.ofMillis(100));
-        assertTrue(other.nextTrial.before(at(5)));
+        assertTrue(other.nextTrialAt.before(at(5)));
     }
 
     @Test
@@ -393,7 +393,7 @@
                 at(2), ListKind.FULL, List.of(line(0, State.READY, null), line(1, State.READY, null)));
         exchange.logic.peerNoteReceived(at(3), 2, new byte[] {0, 2, 1});
         exchange.logic.contactOffered(at(4), contact(1, CHEAP, 3));
-        assertNull(exchange.logic.byNumber(-1));
+        assertNull(exchange.logic.switchByNumber(-1));
     }
 
     @Test
@@ -419,10 +419,10 @@
         exchange.logic.contactOffered(ExchangeFixture.at(5), other);
         Contact again = new Contact(3, ExchangeFixture.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), true, false, false);
         exchange.logic.contactOffered(ExchangeFixture.at(8), again);
-        assertEquals(List.copyOf(exchange.logic.front.firstTries.keySet()), List.of(77L, 78L));
+        assertEquals(List.copyOf(exchange.logic.contactManager.firstTryByNumber.keySet()), List.of(77L, 78L));
         exchange.logic.contactOffered(
                 ExchangeFixture.at(9.5),
                 new Contact(4, ExchangeFixture.CHEAP, 79, 1, -1, 1, Span.ofMillis(500), false, false, false));
-        assertEquals(List.copyOf(exchange.logic.front.firstTries.keySet()), List.of(78L, 79L));
+        assertEquals(List.copyOf(exchange.logic.contactManager.firstTryByNumber.keySet()), List.of(78L, 79L));
     }
 }
--- a/src/test/java/martenslip/ThreeExchangeSimulation.java
+++ b/src/test/java/martenslip/ThreeExchangeSimulation.java
@@ -409,19 +409,19 @@
     @Override
     public void checkQuiescent() {
         for (ControllerNode control : controls.values()) {
-            if (!control.logic.front.open.isEmpty()) {
-                rules.addViolation("quiet", "open at " + control.number + " " + control.logic.front.open.keySet());
+            if (!control.logic.contactManager.openContacts.isEmpty()) {
+                rules.addViolation("quiet", "open at " + control.number + " " + control.logic.contactManager.openContacts.keySet());
             }
             for (long id : new long[] {100, 101, 102, 201}) {
-                RoutingPolicy.Switch one = control.logic.at(id);
-                int held = java.util.Arrays.stream(one.held).sum();
-                if (held != 0 || !one.rings.isEmpty() || !one.standing.isEmpty() || !one.waiting.isEmpty()) {
+                RoutingPolicy.Switch one = control.logic.switchById(id);
+                int held = java.util.Arrays.stream(one.heldBySkill).sum();
+                if (held != 0 || !one.inFlight.isEmpty() || !one.established.isEmpty() || !one.waitingRequests.isEmpty()) {
                     rules.addViolation(
                             "quiet",
                             control.number + " holds " + held + " circuits toward " + id
-                                    + ", rings " + one.rings.keySet() + ", standing " + one.standing.keySet()
+                                    + ", rings " + one.inFlight.keySet() + ", standing " + one.established.keySet()
                                     + ", waiting "
-                                    + one.waiting.size());
+                                    + one.waitingRequests.size());
                 }
             }
         }
