--- a/src/test/java/martenslip/ArchitectureTest.java
+++ b/src/test/java/martenslip/ArchitectureTest.java
@@ -32,70 +32,70 @@
             .collect(Collectors.toSet());
 
     /** A rule about a package without classes forbids nothing, so every package a rule names goes through here. */
-    private String named(String identifier) {
+    private String requirePackage(String identifier) {
         PackageMatcher matcher = PackageMatcher.of(identifier);
         assertTrue(packages.stream().anyMatch(matcher::matches), "no class in " + identifier);
         return identifier;
     }
 
-    private DescribedPredicate<JavaClass> in(String... identifiers) {
-        return resideInAnyPackage(Stream.of(identifiers).map(this::named).toArray(String[]::new));
+    private DescribedPredicate<JavaClass> inPackages(String... identifiers) {
+        return resideInAnyPackage(Stream.of(identifiers).map(this::requirePackage).toArray(String[]::new));
     }
 
     private String classNames(String... names) {
         for (String name : names) {
-            assertTrue(all.stream().anyMatch(one -> one.getSimpleName().equals(name)), "no class " + name);
+            assertTrue(all.stream().anyMatch(javaClass -> javaClass.getSimpleName().equals(name)), "no class " + name);
         }
         return String.join("|", names);
     }
 
     @Test
-    public void aNameWithoutClassesIsRefused() {
-        for (String none :
+    public void packageNameWithoutClassesIsRejected() {
+        for (String missing :
                 new String[] {"martenslip.none", "martenslip.none..", "martenslip.platform.none", "none.."}) {
-            assertThrows(AssertionError.class, () -> in("martenslip.control", none));
+            assertThrows(AssertionError.class, () -> inPackages("martenslip.control", missing));
         }
         assertThrows(AssertionError.class, () -> classNames("Main", "NoSuchClass"));
     }
 
     @Test
-    public void arrowsPointDown() {
+    public void layersDependDownward() {
         Architectures.layeredArchitecture()
-                .consideringOnlyDependenciesInAnyPackage(named("martenslip.."))
+                .consideringOnlyDependenciesInAnyPackage(requirePackage("martenslip.."))
                 .layer("control")
-                .definedBy(in("martenslip.control"))
+                .definedBy(inPackages("martenslip.control"))
                 .layer("module")
-                .definedBy(in("martenslip"))
+                .definedBy(inPackages("martenslip"))
                 .layer("simulatorprotocol")
-                .definedBy(in("martenslip.simulatorprotocol"))
+                .definedBy(inPackages("martenslip.simulatorprotocol"))
                 .layer("eventloop")
-                .definedBy(in("martenslip.eventloop"))
+                .definedBy(inPackages("martenslip.eventloop"))
                 .layer("expect")
-                .definedBy(in("martenslip.expect"))
+                .definedBy(inPackages("martenslip.expect"))
                 .layer("watchdog")
-                .definedBy(in("martenslip.watchdog"))
+                .definedBy(inPackages("martenslip.watchdog"))
                 .layer("tracking")
-                .definedBy(in("martenslip.tracking"))
+                .definedBy(inPackages("martenslip.tracking"))
                 .layer("liveness")
-                .definedBy(in("martenslip.liveness"))
+                .definedBy(inPackages("martenslip.liveness"))
                 .layer("sip")
-                .definedBy(in("martenslip.sip.."))
+                .definedBy(inPackages("martenslip.sip.."))
                 .layer("configuration")
-                .definedBy(in("martenslip.configuration"))
+                .definedBy(inPackages("martenslip.configuration"))
                 .layer("signaling")
-                .definedBy(in("martenslip.signaling"))
+                .definedBy(inPackages("martenslip.signaling"))
                 .layer("exchange")
-                .definedBy(in("martenslip.exchange"))
+                .definedBy(inPackages("martenslip.exchange"))
                 .layer("platform")
-                .definedBy(in("martenslip.platform.."))
+                .definedBy(inPackages("martenslip.platform.."))
                 .layer("standin")
-                .definedBy(in("martenslip.standin"))
+                .definedBy(inPackages("martenslip.standin"))
                 .layer("verification")
-                .definedBy(in("martenslip.verification"))
+                .definedBy(inPackages("martenslip.verification"))
                 .layer("scenario")
-                .definedBy(in("martenslip.scenario"))
+                .definedBy(inPackages("martenslip.scenario"))
                 .layer("cli")
-                .definedBy(in("martenslip.cli"))
+                .definedBy(inPackages("martenslip.cli"))
                 .whereLayer("cli")
                 .mayNotBeAccessedByAnyLayer()
                 .whereLayer("scenario")
@@ -126,25 +126,25 @@
     }
 
     @Test
-    public void theModuleKnowsOnlyItsInterface() {
+    public void moduleDependsOnlyOnItsInterface() {
         classes()
-                .that(in("martenslip"))
+                .that(inPackages("martenslip"))
                 .should()
                 .onlyDependOnClassesThat(
-                        in("martenslip", "martenslip.control", "java.util..", "java.nio", "java.lang.."))
+                        inPackages("martenslip", "martenslip.control", "java.util..", "java.nio", "java.lang.."))
                 .check(all);
     }
 
     @Test
-    public void decisionsBesideTheModuleKnowOnlyItsInterface() {
-        for (String decides : new String[] {"martenslip.watchdog", "martenslip.tracking", "martenslip.liveness"}) {
+    public void decisionPackagesDependOnlyOnTheInterface() {
+        for (String packageName : new String[] {"martenslip.watchdog", "martenslip.tracking", "martenslip.liveness"}) {
             classes()
-                    .that(in(decides))
+                    .that(inPackages(packageName))
                     .should()
-                    .onlyDependOnClassesThat(in(decides, "martenslip.control", "java.util..", "java.lang.."))
+                    .onlyDependOnClassesThat(inPackages(packageName, "martenslip.control", "java.util..", "java.lang.."))
                     .check(all);
             noClasses()
-                    .that(in(decides))
+                    .that(inPackages(packageName))
                     .should()
                     .callMethod(System.class, "nanoTime")
                     .check(all);
@@ -152,31 +152,31 @@
     }
 
     @Test
-    public void theDrillLoadsNoLibrary() {
+    public void simulatorProtocolUsesNoLibrary() {
         noClasses()
-                .that(in("martenslip.simulatorprotocol", "martenslip.control", "martenslip"))
+                .that(inPackages("martenslip.simulatorprotocol", "martenslip.control", "martenslip"))
                 .should()
-                .dependOnClassesThat(not(in("martenslip..", "java..")))
+                .dependOnClassesThat(not(inPackages("martenslip..", "java..")))
                 .check(all);
         noClasses()
                 .that()
                 .haveSimpleName(classNames("Main"))
                 .should()
-                .dependOnClassesThat(in("picocli..", "org.slf4j.."))
+                .dependOnClassesThat(inPackages("picocli..", "org.slf4j.."))
                 .check(all);
     }
 
     @Test
-    public void theControllerInServiceLoadsOnlyItsJson() {
+    public void platformUsesOnlyItsJsonLibrary() {
         noClasses()
-                .that(in("martenslip.platform.."))
+                .that(inPackages("martenslip.platform.."))
                 .should()
-                .dependOnClassesThat(not(in("martenslip..", "java..", "com.fasterxml.jackson.core..")))
+                .dependOnClassesThat(not(inPackages("martenslip..", "java..", "com.fasterxml.jackson.core..")))
                 .check(all);
         noClasses()
-                .that(in("martenslip.platform.."))
+                .that(inPackages("martenslip.platform.."))
                 .should()
-                .dependOnClassesThat(in(
+                .dependOnClassesThat(inPackages(
                         "martenslip",
                         "martenslip.cli",
                         "martenslip.configuration",
@@ -189,20 +189,20 @@
 
     /** The desk takes what the sockets' packages bring; none of these knows another, and the desk knows none. */
     @Test
-    public void partsOfTheControllerInServiceMeetAtTheDesk() {
+    public void platformPackagesMeetOnlyInTheContactTable() {
         String[] parts = {"caller", "switchconnection", "journal", "peer"};
         for (String part : parts) {
             noClasses()
-                    .that(in("martenslip.platform.contact"))
+                    .that(inPackages("martenslip.platform.contact"))
                     .should()
-                    .dependOnClassesThat(in("martenslip.platform." + part))
+                    .dependOnClassesThat(inPackages("martenslip.platform." + part))
                     .check(all);
             for (String other : parts) {
                 if (!other.equals(part)) {
                     noClasses()
-                            .that(in("martenslip.platform." + part))
+                            .that(inPackages("martenslip.platform." + part))
                             .should()
-                            .dependOnClassesThat(in("martenslip.platform." + other))
+                            .dependOnClassesThat(inPackages("martenslip.platform." + other))
                             .check(all);
                 }
             }
@@ -210,29 +210,29 @@
     }
 
     @Test
-    public void layersOfSipPointDown() {
+    public void sipLayersDependDownward() {
         noClasses()
-                .that(in("martenslip.sip.message"))
+                .that(inPackages("martenslip.sip.message"))
                 .should()
                 .dependOnClassesThat(
-                        in("martenslip.sip.transport", "martenslip.sip.transaction", "martenslip.sip.dialog"))
+                        inPackages("martenslip.sip.transport", "martenslip.sip.transaction", "martenslip.sip.dialog"))
                 .check(all);
         noClasses()
-                .that(in("martenslip.sip.transport"))
+                .that(inPackages("martenslip.sip.transport"))
                 .should()
-                .dependOnClassesThat(in("martenslip.sip.transaction", "martenslip.sip.dialog"))
+                .dependOnClassesThat(inPackages("martenslip.sip.transaction", "martenslip.sip.dialog"))
                 .check(all);
         noClasses()
-                .that(in("martenslip.sip.transaction"))
+                .that(inPackages("martenslip.sip.transaction"))
                 .should()
-                .dependOnClassesThat(in("martenslip.sip.dialog"))
+                .dependOnClassesThat(inPackages("martenslip.sip.dialog"))
                 .check(all);
     }
 
     @Test
-    public void timeEntersAtFewPlaces() {
+    public void systemClockIsReadInFewClasses() {
         noClasses()
-                .that(in(
+                .that(inPackages(
                         "martenslip",
                         "martenslip.exchange",
                         "martenslip.sip.transaction",
--- a/src/test/java/martenslip/BadInputTest.java
+++ b/src/test/java/martenslip/BadInputTest.java
@@ -20,7 +20,7 @@
 /** What is out of range or no number never costs a contact its answer and never throws out of the module. */
 public class BadInputTest {
     private static final float NAN = Float.NaN;
-    private static final float MOST = Float.POSITIVE_INFINITY;
+    private static final float INFINITY = Float.POSITIVE_INFINITY;
 
     private static ExchangeFixture exchange() {
         ExchangeFixture exchange = new ExchangeFixture();
@@ -28,31 +28,31 @@
         return exchange.ready(20, 40);
     }
 
-    private static ExchangeFixture told(Moment when, float... report) {
+    private static ExchangeFixture exchangeWithReport(Moment reportedAt, float... report) {
         ExchangeFixture exchange = exchange();
-        exchange.logic.switchReported(when, 101, true, Span.ZERO, report);
+        exchange.policy.switchReported(reportedAt, 101, true, Span.ZERO, report);
         return exchange;
     }
 
-    private static void offer(ExchangeFixture exchange, long id, int skill, double at) {
-        exchange.logic.contactOffered(at(at), contact(id, skill, 3));
+    private static void offer(ExchangeFixture exchange, long id, int skill, double seconds) {
+        exchange.policy.contactOffered(at(seconds), contact(id, skill, 3));
     }
 
     @Test
-    public void aProcessorThatTakesNothingIsJammedFromTheFirstWordOn() {
-        ExchangeFixture exchange = told(at(1), 20, 40, 0, 300);
+    public void processorThatAllowsNothingGetsNoContacts() {
+        ExchangeFixture exchange = exchangeWithReport(at(1), 20, 40, 0, 300);
         offer(exchange, 1, CHEAP, 1.01);
-        assertEquals(exchange.orders(), List.of("defer 1"));
+        assertEquals(exchange.takeOrders(), List.of("defer 1"));
         offer(exchange, 2, URGENT, 1.01);
-        assertEquals(exchange.orders(), List.of("defer 2"));
+        assertEquals(exchange.takeOrders(), List.of("defer 2"));
     }
 
     @DataProvider
     public Object[][] reports() {
         return new Object[][] {
             {new float[] {20, 40, NAN, NAN}},
-            {new float[] {20, 40, MOST, MOST}},
-            {new float[] {20, 40, -MOST, -MOST}},
+            {new float[] {20, 40, INFINITY, INFINITY}},
+            {new float[] {20, 40, -INFINITY, -INFINITY}},
             {new float[] {20, 40, 1e-45f, 3e38f}},
             {new float[] {20, 40, 3e38f}},
             {new float[] {}},
@@ -61,29 +61,29 @@
             {new float[] {NAN, NAN, NAN, NAN}},
             {new float[] {-5, 40, -1, -1}},
             {new float[] {20, -1, -1, -1}},
-            {new float[] {MOST, MOST, 1, 1}},
+            {new float[] {INFINITY, INFINITY, 1, 1}},
             {new float[] {20, 40, 1, 1, 1, 1, 1, 1}}
         };
     }
 
     @Test(dataProvider = "reports")
-    public void aReportOfNoNumberIsForgottenWithTheNextGoodOne(float[] bad) {
-        ExchangeFixture exchange = told(at(1), bad);
+    public void badReportIsReplacedByTheNextGoodOnes(float[] bad) {
+        ExchangeFixture exchange = exchangeWithReport(at(1), bad);
         for (int i = 0; i < 40; i++) {
-            exchange.logic.switchReported(at(20 + i * 0.1), 101, true, Span.ZERO, new float[] {20, 40, 50, 1});
+            exchange.policy.switchReported(at(20 + i * 0.1), 101, true, Span.ZERO, new float[] {20, 40, 50, 1});
         }
         offer(exchange, 1, CHEAP, 24);
-        assertEquals(exchange.orders(), List.of("ring 1 101"));
+        assertEquals(exchange.takeOrders(), List.of("ring 1 101"));
     }
 
     @Test
-    public void aGroupOfNoCircuitsTakesNobodyWhateverItSaysIsFree() {
-        ExchangeFixture exchange = told(at(1), 5, 0, -1, -1);
-        assertEquals(exchange.logic.switchById(101).freeCircuits, 0);
-        exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {90, 40, -1, -1});
-        assertEquals(exchange.logic.switchById(101).freeCircuits, 40);
-        exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {-3, 40, -1, -1});
-        assertEquals(exchange.logic.switchById(101).freeCircuits, 0);
+    public void freeCircuitsAreLimitedToTheGroupSize() {
+        ExchangeFixture exchange = exchangeWithReport(at(1), 5, 0, -1, -1);
+        assertEquals(exchange.policy.switchById(101).freeCircuits, 0);
+        exchange.policy.switchReported(at(1), 101, true, Span.ZERO, new float[] {90, 40, -1, -1});
+        assertEquals(exchange.policy.switchById(101).freeCircuits, 40);
+        exchange.policy.switchReported(at(1), 101, true, Span.ZERO, new float[] {-3, 40, -1, -1});
+        assertEquals(exchange.policy.switchById(101).freeCircuits, 0);
     }
 
     @DataProvider
@@ -105,72 +105,72 @@
     }
 
     @Test(dataProvider = "contacts")
-    public void anOddContactGetsOneAnswerOrOneRing(int skill, int width, int destination, double patience) {
+    public void outOfRangeContactGetsOneAnswerOrOneRing(int skill, int width, int destination, double patience) {
         ExchangeFixture exchange = exchange();
-        exchange.logic.contactOffered(
+        exchange.policy.contactOffered(
                 at(1), new Contact(1, skill, 7, destination, -1, width, Span.ofMillis(patience), false, false, false));
-        exchange.logic.timerExpired(at(1.6), 2);
-        List<String> orders = exchange.orders();
+        exchange.policy.timerExpired(at(1.6), 2);
+        List<String> orders = exchange.takeOrders();
         assertTrue(orders.equals(List.of("defer 1")) || orders.equals(List.of("ring 1 101")), "" + orders);
     }
 
     @Test
-    public void noNoteOfAPeerThrowsOrLeavesMoreThanItsNumbers() {
+    public void malformedPeerNotesAddOnlyListedNumbers() {
         ExchangeFixture exchange = exchange();
         exchange.settings.put("policy-limits.peers", "true");
-        exchange.logic.switchListReceived(
+        exchange.policy.switchListReceived(
                 at(1), ListKind.CHANGES, List.of(new SwitchEntry(900, -2, State.READY, null, 0)));
         for (int length = 0; length < 300; length++) {
             byte[] note = new byte[length];
             java.util.Arrays.fill(note, (byte) (length % 2 == 0 ? 0xff : length));
-            exchange.logic.peerNoteReceived(at(1), -1, note);
+            exchange.policy.peerNoteReceived(at(1), -1, note);
         }
         for (int number = 0; number < 0xffff; number++) {
-            exchange.logic.peerNoteReceived(at(1), 5, new byte[] {(byte) (number >> 8), (byte) number, 2});
+            exchange.policy.peerNoteReceived(at(1), 5, new byte[] {(byte) (number >> 8), (byte) number, 2});
         }
         assertTrue(
-                exchange.logic.switchById(101).tandemWeights.size() <= 4,
-                "" + exchange.logic.switchById(101).tandemWeights.size());
+                exchange.policy.switchById(101).tandemWeights.size() <= 4,
+                "" + exchange.policy.switchById(101).tandemWeights.size());
         offer(exchange, 1, CHEAP, 2);
-        assertTrue(exchange.orders().contains("ring 1 101"));
+        assertTrue(exchange.takeOrders().contains("ring 1 101"));
     }
 
     @Test
-    public void aFaultInOnePieceOfNewsCostsThatPieceOnly() {
+    public void faultInOneEventLosesThatEventOnly() {
         ExchangeFixture exchange = exchange();
-        exchange.logic.contactOffered(at(1), null);
+        exchange.policy.contactOffered(at(1), null);
         offer(exchange, 1, CHEAP, 2);
-        List<String> orders = exchange.orders();
+        List<String> orders = exchange.takeOrders();
         assertTrue(orders.contains("ring 1 101"), "" + orders);
         assertTrue(orders.get(0).startsWith("log fault"), "" + orders);
     }
 
     /** The machine leaves the trace out of a fault that has come often. */
     @Test
-    public void aFaultWithoutATraceDoesNotLeaveTheModule() {
+    public void faultWithoutStackTraceIsHandled() {
         ExchangeFixture exchange = exchange();
-        RuntimeException bare = new RuntimeException("planted", null, false, false) {
+        RuntimeException withoutTrace = new RuntimeException("planted", null, false, false) {
             private static final long serialVersionUID = 1L;
         };
-        exchange.logic.contactManager.enqueue(front -> {
-            throw bare;
+        exchange.policy.contactManager.enqueue(manager -> {
+            throw withoutTrace;
         });
         offer(exchange, 1, CHEAP, 2);
-        assertEquals(exchange.orders().get(1), "ring 1 101");
+        assertEquals(exchange.takeOrders().get(1), "ring 1 101");
     }
 
     @Test
-    public void machinesThatWereReplacedAreForgotten() {
+    public void replacedSwitchesAreRemoved() {
         ExchangeFixture exchange = exchange();
-        for (int life = 1; life <= 500; life++) {
-            SwitchEntry old = new SwitchEntry(life == 1 ? 101 : 1000 + life, 1, State.GONE, null, 0);
-            exchange.logic.switchListReceived(
-                    at(life), ListKind.CHANGES, List.of(old, new SwitchEntry(1001 + life, 1, State.READY, null, 0)));
-            exchange.logic.switchReported(at(life), 1001 + life, true, Span.ZERO, new float[] {20, 40, -1, -1});
+        for (int generation = 1; generation <= 500; generation++) {
+            SwitchEntry previous = new SwitchEntry(generation == 1 ? 101 : 1000 + generation, 1, State.GONE, null, 0);
+            exchange.policy.switchListReceived(
+                    at(generation), ListKind.CHANGES, List.of(previous, new SwitchEntry(1001 + generation, 1, State.READY, null, 0)));
+            exchange.policy.switchReported(at(generation), 1001 + generation, true, Span.ZERO, new float[] {20, 40, -1, -1});
         }
-        assertEquals(exchange.logic.trialInterval(), Span.ofMillis(1000));
+        assertEquals(exchange.policy.trialInterval(), Span.ofMillis(1000));
         offer(exchange, 1, CHEAP, 600);
-        assertEquals(exchange.orders(), List.of("ring 1 1501"));
-        assertEquals(exchange.logic.switches.size(), 4);
+        assertEquals(exchange.takeOrders(), List.of("ring 1 1501"));
+        assertEquals(exchange.policy.switches.size(), 4);
     }
 }
--- a/src/test/java/martenslip/ColdStartFleetSimulation.java
+++ b/src/test/java/martenslip/ColdStartFleetSimulation.java
@@ -24,14 +24,14 @@
  * again. It knows nothing of how the module spends.
  */
 final class ColdStartFleetSimulation {
-    static final double WARM_S = 14;
-    static final double SHARE = 0.29;
-    static final double MULTIPLE = 3;
+    static final double WARM_UP_S = 14;
+    static final double COLD_SHARE = 0.29;
+    static final double MAX_COLD_MULTIPLE = 3;
     static final double WINDOW_S = 1.5;
     private static final double REPLACED_S = 40;
     private static final double END_S = 60;
-    private static final double LAG_S = 1;
-    private static final double USE = 0.8;
+    private static final double LIST_LAG_S = 1;
+    private static final double UTILIZATION = 0.8;
     private static final double HOLD_S = 10;
 
     /**
@@ -45,97 +45,97 @@
     record Result(double worst, int sent, double allowed, double sentCold) {}
 
     /** {@code told}: its sender knew of the start. A fall is the fleet's where over two thirds of a window did. */
-    private record Arrival(double at, boolean told) {}
+    private record Arrival(double at, boolean senderNotified) {}
 
-    private record ScheduledEvent(double at, long order, Runnable what) {}
+    private record ScheduledEvent(double at, long order, Runnable action) {}
 
-    private final Parameters plan;
-    private final SplittableRandom chance;
+    private final Parameters parameters;
+    private final SplittableRandom random;
     private final PriorityQueue<ScheduledEvent> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final List<ExchangeProcess> processes = new ArrayList<>();
     private final ArrayDeque<Arrival> window = new ArrayDeque<>();
     private double now;
-    private long ids;
-    private Result found = new Result(-9, 0, 0, 0);
-    private int askedCold;
-    private int sentCold;
-
-    private ColdStartFleetSimulation(Parameters plan, long seed) {
-        this.plan = plan;
-        chance = new SplittableRandom(seed);
+    private long lastId;
+    private Result worstResult = new Result(-9, 0, 0, 0);
+    private int callsAfterReplacement;
+    private int ringsToReplacement;
+
+    private ColdStartFleetSimulation(Parameters parameters, long seed) {
+        this.parameters = parameters;
+        random = new SplittableRandom(seed);
     }
 
-    static Result play(Parameters plan, long seed) {
-        return new ColdStartFleetSimulation(plan, seed).run();
+    static Result play(Parameters parameters, long seed) {
+        return new ColdStartFleetSimulation(parameters, seed).run();
     }
 
     private final class ExchangeProcess implements Orders {
         private final int number;
-        private final double rate;
-        private final Map<Long, Integer> tries = new HashMap<>();
-        private RoutingPolicy logic;
-        private boolean told;
+        private final double callsPerSecond;
+        private final Map<Long, Integer> attempts = new HashMap<>();
+        private RoutingPolicy policy;
+        private boolean notified;
 
-        ExchangeProcess(int number, double rate, double starts) {
+        ExchangeProcess(int number, double callsPerSecond, double startsAt) {
             this.number = number;
-            this.rate = rate;
-            at(starts, this::start);
-            next();
+            this.callsPerSecond = callsPerSecond;
+            schedule(startsAt, this::start);
+            scheduleNextCall();
         }
 
         private void start() {
-            logic = new RoutingPolicy(settings(), chance.nextLong(), moment(), this);
-            boolean after = now >= REPLACED_S + LAG_S;
-            told = after;
-            logic.switchListReceived(
-                    moment(),
+            policy = new RoutingPolicy(settings(), random.nextLong(), nowMoment(), this);
+            boolean switchReplaced = now >= REPLACED_S + LIST_LAG_S;
+            notified = switchReplaced;
+            policy.switchListReceived(
+                    nowMoment(),
                     ListKind.CACHED,
-                    List.of(new SwitchEntry(1000 + number, number, State.READY, null, 0), after ? cold() : warm()));
-            group();
+                    List.of(new SwitchEntry(1000 + number, number, State.READY, null, 0), switchReplaced ? coldEntry() : warmEntry()));
+            reportGroups();
         }
 
         /** Built for what it carries and a third more; all of it is free once the machine was replaced. */
-        private void group() {
-            float size = (float) Math.max(2, Math.ceil(rate * HOLD_S * 1.3));
+        private void reportGroups() {
+            float size = (float) Math.max(2, Math.ceil(callsPerSecond * HOLD_S * 1.3));
             for (long id : new long[] {101, 201}) {
-                logic.switchReported(moment(), id, true, Span.ZERO, new float[] {size, size});
+                policy.switchReported(nowMoment(), id, true, Span.ZERO, new float[] {size, size});
             }
         }
 
-        private void replaced() {
-            if (logic == null) {
+        private void switchReplaced() {
+            if (policy == null) {
                 return;
             }
-            told = true;
-            if (!plan.sameId) {
-                logic.switchListReceived(
-                        moment(), ListKind.CHANGES, List.of(new SwitchEntry(101, 1, State.GONE, null, 0)));
+            notified = true;
+            if (!parameters.sameId) {
+                policy.switchListReceived(
+                        nowMoment(), ListKind.CHANGES, List.of(new SwitchEntry(101, 1, State.GONE, null, 0)));
             }
-            logic.switchListReceived(moment(), ListKind.CHANGES, List.of(cold()));
-            group();
+            policy.switchListReceived(nowMoment(), ListKind.CHANGES, List.of(coldEntry()));
+            reportGroups();
         }
 
-        private void next() {
-            double rush = now >= REPLACED_S ? plan.rush : 1;
-            at(now - Math.log(1 - chance.nextDouble()) / (rate * rush), () -> {
+        private void scheduleNextCall() {
+            double rush = now >= REPLACED_S ? parameters.rush : 1;
+            schedule(now - Math.log(1 - random.nextDouble()) / (callsPerSecond * rush), () -> {
                 call(0);
-                next();
+                scheduleNextCall();
             });
         }
 
-        private void call(int again) {
-            if (logic == null) {
+        private void call(int attempt) {
+            if (policy == null) {
                 return;
             }
-            long id = ++ids;
-            tries.put(id, again);
-            askedCold += again == 0 && now >= REPLACED_S ? 1 : 0;
-            logic.contactOffered(
-                    moment(),
+            long id = ++lastId;
+            attempts.put(id, attempt);
+            callsAfterReplacement += attempt == 0 && now >= REPLACED_S ? 1 : 0;
+            policy.contactOffered(
+                    nowMoment(),
                     new Contact(
                             id,
-                            chance.nextDouble() < 0.07 ? 1 : 0,
+                            random.nextDouble() < 0.07 ? 1 : 0,
                             0,
                             1,
                             -1,
@@ -148,17 +148,17 @@
 
         @Override
         public void ring(long contact, long target, Span limit) {
-            group();
-            if (target == (plan.sameId ? 101 : 201) && now >= REPLACED_S) {
-                arrived(told);
-                sentCold++;
+            reportGroups();
+            if (target == (parameters.sameId ? 101 : 201) && now >= REPLACED_S) {
+                recordArrival(notified);
+                ringsToReplacement++;
             }
-            RoutingPolicy to = logic;
-            at(now + 0.02, () -> to.established(moment(), contact, 0, target, Span.ofMillis(20)));
-            at(
-                    now + 0.02 - HOLD_S * Math.log(1 - chance.nextDouble()),
-                    () -> to.ringEnded(
-                            moment(),
+            RoutingPolicy ringPolicy = policy;
+            schedule(now + 0.02, () -> ringPolicy.established(nowMoment(), contact, 0, target, Span.ofMillis(20)));
+            schedule(
+                    now + 0.02 - HOLD_S * Math.log(1 - random.nextDouble()),
+                    () -> ringPolicy.ringEnded(
+                            nowMoment(),
                             new RingEnd(
                                     contact,
                                     0,
@@ -171,24 +171,24 @@
         }
 
         @Override
-        public void defer(long contact, Span comeBack) {
-            int again = tries.remove(contact) + 1;
-            if (again < 4) {
-                at(now + 0.8 + 0.7 * chance.nextDouble(), () -> call(again));
+        public void defer(long contact, Span retryAfter) {
+            int attempt = attempts.remove(contact) + 1;
+            if (attempt < 4) {
+                schedule(now + 0.8 + 0.7 * random.nextDouble(), () -> call(attempt));
             }
         }
 
         @Override
         public void abandon(long contact) {
-            tries.remove(contact);
+            attempts.remove(contact);
         }
 
         @Override
         public void startTimer(Span delay, long token) {
-            RoutingPolicy to = logic;
-            at(now + delay.ns() / 1e9, () -> {
-                if (to != null) {
-                    to.timerExpired(moment(), token);
+            RoutingPolicy timerPolicy = policy;
+            schedule(now + delay.ns() / 1e9, () -> {
+                if (timerPolicy != null) {
+                    timerPolicy.timerExpired(nowMoment(), token);
                 }
             });
         }
@@ -209,7 +209,7 @@
         }
 
         @Override
-        public void watchSwitchList(boolean on) {
+        public void watchSwitchList(boolean enabled) {
             // Told unasked.
         }
 
@@ -222,61 +222,61 @@
     private Map<String, String> settings() {
         Map<String, String> all = new HashMap<>(new ExchangeFixture().settings);
         all.put("family-info.home-no", "2");
-        all.put("guarantees.warm-within-ns", Long.toString((long) (WARM_S * 1e9)));
-        all.put("guarantees.cold-share", Double.toString(SHARE));
-        all.put("guarantees.fall-multiple", Double.toString(MULTIPLE));
+        all.put("guarantees.warm-within-ns", Long.toString((long) (WARM_UP_S * 1e9)));
+        all.put("guarantees.cold-share", Double.toString(COLD_SHARE));
+        all.put("guarantees.fall-multiple", Double.toString(MAX_COLD_MULTIPLE));
         all.put("guarantees.fall-ns", Long.toString((long) (WINDOW_S * 1e9)));
-        all.put("n-instances", Integer.toString(plan.processes));
+        all.put("n-instances", Integer.toString(parameters.processes));
         return all;
     }
 
-    private SwitchEntry warm() {
+    private SwitchEntry warmEntry() {
         return new SwitchEntry(101, 1, State.READY, null, 0);
     }
 
-    private SwitchEntry cold() {
-        return new SwitchEntry(plan.sameId ? 101 : 201, 1, State.READY, new Moment((long) (REPLACED_S * 1e9)), 0);
+    private SwitchEntry coldEntry() {
+        return new SwitchEntry(parameters.sameId ? 101 : 201, 1, State.READY, new Moment((long) (REPLACED_S * 1e9)), 0);
     }
 
-    private Moment moment() {
+    private Moment nowMoment() {
         return new Moment((long) (now * 1e9));
     }
 
-    private void at(double when, Runnable what) {
-        events.add(new ScheduledEvent(when, ++ids, what));
+    private void schedule(double time, Runnable action) {
+        events.add(new ScheduledEvent(time, ++lastId, action));
     }
 
-    private void arrived(boolean told) {
-        window.add(new Arrival(now, told));
+    private void recordArrival(boolean senderNotified) {
+        window.add(new Arrival(now, senderNotified));
         while (window.peek().at < now - WINDOW_S) {
             window.poll();
         }
-        double age = Math.min(1, (now - REPLACED_S) / WARM_S);
-        double allowed = MULTIPLE * plan.calls / USE * (SHARE + (1 - SHARE) * age) * WINDOW_S;
-        double over = (window.size() - allowed) / (2 * Math.sqrt(allowed) + 2);
-        boolean ours = window.stream().filter(Arrival::told).count() * 3 > window.size() * 2;
-        if (ours && age < 1 && over > found.worst) {
-            found = new Result(over, window.size(), allowed, 0);
+        double warmUpProgress = Math.min(1, (now - REPLACED_S) / WARM_UP_S);
+        double allowed = MAX_COLD_MULTIPLE * parameters.calls / UTILIZATION * (COLD_SHARE + (1 - COLD_SHARE) * warmUpProgress) * WINDOW_S;
+        double excess = (window.size() - allowed) / (2 * Math.sqrt(allowed) + 2);
+        boolean mostlyNotified = window.stream().filter(Arrival::senderNotified).count() * 3 > window.size() * 2;
+        if (mostlyNotified && warmUpProgress < 1 && excess > worstResult.worst) {
+            worstResult = new Result(excess, window.size(), allowed, 0);
         }
     }
 
     private Result run() {
-        double[] shares = new double[plan.processes];
-        double all = 0;
+        double[] shares = new double[parameters.processes];
+        double total = 0;
         for (int i = 0; i < shares.length; i++) {
-            shares[i] = 0.15 - Math.log(1 - chance.nextDouble());
-            all += shares[i];
+            shares[i] = 0.15 - Math.log(1 - random.nextDouble());
+            total += shares[i];
         }
         for (int i = 0; i < shares.length; i++) {
-            boolean young = i < plan.young * shares.length;
-            double starts = young ? REPLACED_S - 2 + 6 * chance.nextDouble() : 0;
-            processes.add(new ExchangeProcess(2 + i, plan.calls * shares[i] / all, starts));
+            boolean startsLate = i < parameters.young * shares.length;
+            double startsAt = startsLate ? REPLACED_S - 2 + 6 * random.nextDouble() : 0;
+            processes.add(new ExchangeProcess(2 + i, parameters.calls * shares[i] / total, startsAt));
         }
-        at(REPLACED_S + LAG_S, () -> processes.forEach(ExchangeProcess::replaced));
+        schedule(REPLACED_S + LIST_LAG_S, () -> processes.forEach(ExchangeProcess::switchReplaced));
         for (ScheduledEvent event = events.poll(); event != null && event.at < END_S; event = events.poll()) {
             now = event.at;
-            event.what.run();
+            event.action.run();
         }
-        return new Result(found.worst, found.sent, found.allowed, (double) sentCold / Math.max(1, askedCold));
+        return new Result(worstResult.worst, worstResult.sent, worstResult.allowed, (double) ringsToReplacement / Math.max(1, callsAfterReplacement));
     }
 }
--- a/src/test/java/martenslip/ColdStartFleetTest.java
+++ b/src/test/java/martenslip/ColdStartFleetTest.java
@@ -33,17 +33,17 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void theSumStaysWithinTheAllowance(Parameters plan) {
+    public void fleetStaysWithinTheAllowance(Parameters parameters) {
         Result worst = null;
-        double served = 0;
+        double sentShare = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            Result found = ColdStartFleetSimulation.play(plan, seed);
-            worst = worst == null || found.worst() > worst.worst() ? found : worst;
-            served += found.sentCold() / SEEDS;
+            Result result = ColdStartFleetSimulation.play(parameters, seed);
+            worst = worst == null || result.worst() > worst.worst() ? result : worst;
+            sentShare += result.sentCold() / SEEDS;
         }
         System.out.printf(
                 "cold fleet %s: worst window %d sent, %.1f allowed, %.2f of the slack; sent of asked %.2f%n",
-                plan, worst.sent(), worst.allowed(), worst.worst(), served);
-        assertTrue(worst.worst() <= 1, plan + ": " + worst);
+                parameters, worst.sent(), worst.allowed(), worst.worst(), sentShare);
+        assertTrue(worst.worst() <= 1, parameters + ": " + worst);
     }
 }
--- a/src/test/java/martenslip/DeploymentIsolationTest.java
+++ b/src/test/java/martenslip/DeploymentIsolationTest.java
@@ -20,12 +20,12 @@
 public class DeploymentIsolationTest {
     private static final int STEPS = 600;
 
-    private static ExchangeFixture one() {
+    private static ExchangeFixture firstDeployment() {
         return new ExchangeFixture().ready(20, 40);
     }
 
     /** Another customer's: three classes, one of them wide, other worths, limits and rules. */
-    private static ExchangeFixture other() {
+    private static ExchangeFixture secondDeployment() {
         ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("classes.count", "3");
         exchange.settings.put("classes.0.worth", "9");
@@ -43,25 +43,25 @@
     }
 
     /** The same events for the same seed, whatever the module makes of them. */
-    private static void step(ExchangeFixture exchange, SplittableRandom chance, int step) {
+    private static void step(ExchangeFixture exchange, SplittableRandom random, int step) {
         double now = 0.02 * step;
-        int number = 1 + chance.nextInt(3);
-        int skill = chance.nextInt(2);
-        switch (chance.nextInt(8)) {
+        int number = 1 + random.nextInt(3);
+        int skill = random.nextInt(2);
+        switch (random.nextInt(8)) {
             case 0 ->
-                exchange.logic.switchReported(at(now), 100 + number, true, Span.ZERO, new float[] {
-                    chance.nextInt(12), 24, chance.nextInt(100) / 100f
+                exchange.policy.switchReported(at(now), 100 + number, true, Span.ZERO, new float[] {
+                    random.nextInt(12), 24, random.nextInt(100) / 100f
                 });
             case 1 ->
-                exchange.logic.switchListReceived(
+                exchange.policy.switchListReceived(
                         at(now),
                         ListKind.CHANGES,
-                        List.of(ExchangeFixture.line(
+                        List.of(ExchangeFixture.switchEntry(
                                 number,
-                                chance.nextInt(4) == 0 ? State.DRAINING : State.READY,
-                                chance.nextInt(3) == 0 ? at(now) : null)));
+                                random.nextInt(4) == 0 ? State.DRAINING : State.READY,
+                                random.nextInt(3) == 0 ? at(now) : null)));
             case 2 ->
-                exchange.logic.ringEnded(
+                exchange.policy.ringEnded(
                         at(now),
                         new RingEnd(
                                 step - 3,
@@ -72,14 +72,14 @@
                                 Span.ofMillis(30),
                                 false,
                                 new float[0]));
-            case 3 -> exchange.logic.callerGone(at(now), step - 2);
+            case 3 -> exchange.policy.callerGone(at(now), step - 2);
             case 4 -> {
                 for (int target = 101; target <= 103; target++) {
-                    exchange.logic.established(at(now), step - 1, 0, target, Span.ofMillis(20));
+                    exchange.policy.established(at(now), step - 1, 0, target, Span.ofMillis(20));
                 }
             }
             default ->
-                exchange.logic.contactOffered(
+                exchange.policy.contactOffered(
                         at(now),
                         new Contact(
                                 step,
@@ -90,36 +90,36 @@
                                 1 + skill,
                                 Span.ofMillis(2000),
                                 false,
-                                chance.nextInt(5) == 0,
+                                random.nextInt(5) == 0,
                                 false));
         }
     }
 
-    private static List<String> alone(ExchangeFixture exchange, long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    private static List<String> playAlone(ExchangeFixture exchange, long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         for (int step = 1; step <= STEPS; step++) {
-            step(exchange, chance, step);
+            step(exchange, random, step);
         }
-        return List.copyOf(exchange.ordered);
+        return List.copyOf(exchange.orderLines);
     }
 
     @Test
-    public void sideBySideEachDecidesAsAlone() {
-        List<String> first = alone(one(), 5);
-        List<String> second = alone(other(), 6);
+    public void deploymentsSideBySideDecideAsAlone() {
+        List<String> first = playAlone(firstDeployment(), 5);
+        List<String> second = playAlone(secondDeployment(), 6);
         long rings = first.stream().filter(order -> order.startsWith("ring")).count();
         assertTrue(rings > 20, "only " + rings);
         assertNotEquals(first, second);
-        assertEquals(alone(one(), 5), first, "one after the other");
-        ExchangeFixture one = one();
-        ExchangeFixture other = other();
-        SplittableRandom ofOne = new SplittableRandom(5);
-        SplittableRandom ofOther = new SplittableRandom(6);
+        assertEquals(playAlone(firstDeployment(), 5), first, "one after the other");
+        ExchangeFixture firstExchange = firstDeployment();
+        ExchangeFixture secondExchange = secondDeployment();
+        SplittableRandom firstRandom = new SplittableRandom(5);
+        SplittableRandom secondRandom = new SplittableRandom(6);
         for (int step = 1; step <= STEPS; step++) {
-            step(other, ofOther, step);
-            step(one, ofOne, step);
+            step(secondExchange, secondRandom, step);
+            step(firstExchange, firstRandom, step);
         }
-        assertEquals(one.ordered, first);
-        assertEquals(other.ordered, second);
+        assertEquals(firstExchange.orderLines, first);
+        assertEquals(secondExchange.orderLines, second);
     }
 }
--- a/src/test/java/martenslip/DrillTest.java
+++ b/src/test/java/martenslip/DrillTest.java
@@ -23,15 +23,15 @@
         for (byte[] record : records) {
             length += record.length;
         }
-        ByteBuffer all =
+        ByteBuffer buffer =
                 ByteBuffer.allocate(16 + length).putInt(1).putInt(length).putLong(1_000_000_000L);
         for (byte[] record : records) {
-            all.put(record);
+            buffer.put(record);
         }
-        return all.array();
+        return buffer.array();
     }
 
-    private static byte[] started(String settings) {
+    private static byte[] startRecord(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(18 + text.length)
                 .putShort((short) 1000)
@@ -42,7 +42,7 @@
                 .array();
     }
 
-    private static byte[] answer(byte[] input) throws Exception {
+    private static byte[] reply(byte[] input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorProtocol(new ByteArrayInputStream(input), out, RoutingPolicy::new).run();
         return out.toByteArray();
@@ -52,53 +52,53 @@
             + "43800000 3f800000 000000000e4e1c00 0000 00 42640000 0001");
 
     @Test
-    public void anEmptyBatchGetsAnEmptyReply() throws Exception {
-        assertEquals(answer(batch()), hex("00000001 00000000 00000000"));
+    public void emptyBatchGetsEmptyReply() throws Exception {
+        assertEquals(reply(batch()), hex("00000001 00000000 00000000"));
     }
 
     @Test
-    public void aContactForNoKnownSwitchIsDeferred() throws Exception {
-        byte[] reply = answer(batch(started("classes.count=1\nunheard-of=7\n"), CONTACT));
+    public void contactForUnknownSwitchIsDeferred() throws Exception {
+        byte[] reply = reply(batch(startRecord("classes.count=1\nunheard-of=7\n"), CONTACT));
         String text = HexFormat.of().formatHex(reply);
         assertTrue(text.contains("03f200000003000517755d3a91c4"), text);
     }
 
     @Test
-    public void aPeerNoteHasALengthOfTwoBytes() throws Exception {
+    public void peerNoteLengthTakesTwoBytes() throws Exception {
         byte[] note = hex("0438 00000003 00000002 0003 000201");
-        assertEquals(answer(batch(started("classes.count=1\n"), note)), hex("00000001 00000000 00000000"));
+        assertEquals(reply(batch(startRecord("classes.count=1\n"), note)), hex("00000001 00000000 00000000"));
     }
 
     @Test
-    public void aDirectRingIsWrittenAsTheWireSays() throws Exception {
+    public void directRingIsEncodedAsAttempt() throws Exception {
         byte[] lines = hex("044c 0000 00000001 3f800000 00 02 0a9011f2 2bec 0000 0000000000000000 0039");
         byte[] listed = hex("03f2 00000003 0000 00000029 02");
         byte[] group = hex("042e 00000003 00 0a9011f2 2bec 0000000000000000 02 41200000 41a00000");
         byte[] reply =
-                answer(batch(started("classes.count=1\npolicy-limits.send-cap=2\n"), lines, listed, group, CONTACT));
+                reply(batch(startRecord("classes.count=1\npolicy-limits.send-cap=2\n"), lines, listed, group, CONTACT));
         String text = HexFormat.of().formatHex(reply);
         assertTrue(text.contains("03e800000003000517755d3a91c40a9011f22bec"), text);
     }
 
     @Test
-    public void aStoppedInstanceHearsNothingMore() throws Exception {
-        byte[] reply = answer(batch(started("classes.count=1\n"), hex("0442 00000003"), CONTACT));
+    public void stoppedInstanceReceivesNoEvents() throws Exception {
+        byte[] reply = reply(batch(startRecord("classes.count=1\n"), hex("0442 00000003"), CONTACT));
         assertEquals(reply, hex("00000001 00000000 00000000"));
     }
 
     @Test
-    public void malformedInputIsNamedWithItsPlace() {
-        assertThrows(MalformedInputException.class, () -> answer(hex("0000000100000008")));
-        assertThrows(MalformedInputException.class, () -> answer(batch(hex("270f 00000003"))));
-        assertThrows(MalformedInputException.class, () -> answer(batch(hex("0424 00000003 0000"))));
-        assertThrows(MalformedInputException.class, () -> answer(batch(hex("044c 0010 00000000"))));
-        assertThrows(MalformedInputException.class, () -> answer(batch(hex("044c 0000 7fffffff"))));
-        assertThrows(MalformedInputException.class, () -> answer(batch(started("no equals sign here"))));
+    public void malformedInputIsRejected() {
+        assertThrows(MalformedInputException.class, () -> reply(hex("0000000100000008")));
+        assertThrows(MalformedInputException.class, () -> reply(batch(hex("270f 00000003"))));
+        assertThrows(MalformedInputException.class, () -> reply(batch(hex("0424 00000003 0000"))));
+        assertThrows(MalformedInputException.class, () -> reply(batch(hex("044c 0010 00000000"))));
+        assertThrows(MalformedInputException.class, () -> reply(batch(hex("044c 0000 7fffffff"))));
+        assertThrows(MalformedInputException.class, () -> reply(batch(startRecord("no equals sign here"))));
     }
 
     @Test
-    public void aFailingModuleIsReportedForItsInstance() throws Exception {
-        byte[] reply = answer(batch(started("classes.count=many\n")));
+    public void moduleFaultIsReportedForItsInstance() throws Exception {
+        byte[] reply = reply(batch(startRecord("classes.count=many\n")));
         assertEquals(ByteBuffer.wrap(reply).getShort(12), 1090);
     }
 }
--- a/src/test/java/martenslip/ExchangeFixture.java
+++ b/src/test/java/martenslip/ExchangeFixture.java
@@ -32,99 +32,99 @@
             Map.entry("policy-limits.cancel", "true"),
             Map.entry("report.fields", "spare,total,cut_by"),
             Map.entry("round-ns", "5000000")));
-    final List<String> ordered = new ArrayList<>();
-    RoutingPolicy logic;
+    final List<String> orderLines = new ArrayList<>();
+    RoutingPolicy policy;
 
     static Moment at(double seconds) {
         return new Moment((long) (seconds * 1e9));
     }
 
-    static SwitchEntry line(int number, SwitchEntry.State state, Moment started) {
-        return new SwitchEntry(100 + number, number, state, started, 0);
+    static SwitchEntry switchEntry(int number, SwitchEntry.State state, Moment startedAt) {
+        return new SwitchEntry(100 + number, number, state, startedAt, 0);
     }
 
     static Contact contact(long id, int skill, double patience) {
         return new Contact(id, skill, 0, 1, -1, 1, Span.ofMillis(patience * 1e3), false, false, false);
     }
 
-    static Contact transit(long id, int skill) {
+    static Contact transitContact(long id, int skill) {
         return new Contact(id, skill, 0, 1, 2, 1, Span.ofMillis(3000), false, true, false);
     }
 
     /** All switches ready, each with a group of this size and this many circuits free. */
     ExchangeFixture ready(int free, int size) {
-        logic = new RoutingPolicy(settings, 7, at(0), this);
-        List<SwitchEntry> lines = new ArrayList<>();
+        policy = new RoutingPolicy(settings, 7, at(0), this);
+        List<SwitchEntry> entries = new ArrayList<>();
         for (int number = 0; number < 4; number++) {
-            lines.add(line(number, SwitchEntry.State.READY, null));
+            entries.add(switchEntry(number, SwitchEntry.State.READY, null));
         }
-        logic.switchListReceived(at(0), ListKind.FULL, lines);
+        policy.switchListReceived(at(0), ListKind.FULL, entries);
         for (int number = 1; number < 4; number++) {
-            group(number, free, size);
+            reportGroup(number, free, size);
         }
         return this;
     }
 
-    ExchangeFixture group(int number, int free, int size) {
-        logic.switchReported(at(0), 100 + number, true, Span.ZERO, new float[] {free, size, -1});
+    ExchangeFixture reportGroup(int number, int free, int size) {
+        policy.switchReported(at(0), 100 + number, true, Span.ZERO, new float[] {free, size, -1});
         return this;
     }
 
-    RoutingPolicy.CircuitRequest ask(Contact contact) {
+    RoutingPolicy.CircuitRequest circuitRequest(Contact contact) {
         return new RoutingPolicy.CircuitRequest(
-                contact, logic.readSkills[contact.skill()], logic.switchById(101), true, at(9), 0, at(0), Set.of());
+                contact, policy.readSkills[contact.skill()], policy.switchById(101), true, at(9), 0, at(0), Set.of());
     }
 
     /** What was ordered but for clocks, which is cleared. */
-    List<String> orders() {
-        List<String> seen =
-                ordered.stream().filter(line -> !line.startsWith("clock")).toList();
-        ordered.clear();
-        return seen;
+    List<String> takeOrders() {
+        List<String> taken =
+                orderLines.stream().filter(line -> !line.startsWith("clock")).toList();
+        orderLines.clear();
+        return taken;
     }
 
     @Override
     public void ring(long contact, long target, Span limit) {
-        ordered.add("ring " + contact + " " + target);
+        orderLines.add("ring " + contact + " " + target);
     }
 
     @Override
     public void cancel(long contact, int ring) {
-        ordered.add("off " + contact + " " + ring);
+        orderLines.add("off " + contact + " " + ring);
     }
 
     @Override
-    public void defer(long contact, Span comeBack) {
-        ordered.add("defer " + contact);
+    public void defer(long contact, Span retryAfter) {
+        orderLines.add("defer " + contact);
     }
 
     @Override
     public void abandon(long contact) {
-        ordered.add("abandon " + contact);
+        orderLines.add("abandon " + contact);
     }
 
     @Override
     public void startTimer(Span delay, long token) {
-        ordered.add("clock " + token + " " + delay.ns());
+        orderLines.add("clock " + token + " " + delay.ns());
     }
 
     @Override
     public void probe(long target) {
-        ordered.add("probe " + target);
+        orderLines.add("probe " + target);
     }
 
     @Override
     public void sendNote(int peer, byte[] note) {
-        ordered.add("note " + peer);
+        orderLines.add("note " + peer);
     }
 
     @Override
-    public void watchSwitchList(boolean on) {
-        ordered.add("watch " + on);
+    public void watchSwitchList(boolean enabled) {
+        orderLines.add("watch " + enabled);
     }
 
     @Override
     public void log(String line) {
-        ordered.add("log " + line);
+        orderLines.add("log " + line);
     }
 }
--- a/src/test/java/martenslip/InterleavingExplorer.java
+++ b/src/test/java/martenslip/InterleavingExplorer.java
@@ -27,54 +27,54 @@
     /** How many sequences a world has, and the first fault met with the way there, or null. */
     public record SearchResult(long sequences, String fault) {}
 
-    private static final int MOST_TAIL = 400;
+    private static final int MAX_TAIL_EVENTS = 400;
 
-    private final Supplier<Simulation> worlds;
+    private final Supplier<Simulation> simulations;
     private final int depth;
     private long sequences;
     private String fault;
 
-    private InterleavingExplorer(Supplier<Simulation> worlds, int depth) {
-        this.worlds = worlds;
+    private InterleavingExplorer(Supplier<Simulation> simulations, int depth) {
+        this.simulations = simulations;
         this.depth = depth;
     }
 
     /** {@code worlds} makes the same world each time. */
-    public static SearchResult search(Supplier<Simulation> worlds, int depth) {
-        InterleavingExplorer search = new InterleavingExplorer(worlds, depth);
-        search.from(new int[0]);
-        return new SearchResult(search.sequences, search.fault);
+    public static SearchResult search(Supplier<Simulation> simulations, int depth) {
+        InterleavingExplorer explorer = new InterleavingExplorer(simulations, depth);
+        explorer.explore(new int[0]);
+        return new SearchResult(explorer.sequences, explorer.fault);
     }
 
-    private void from(int[] picks) {
-        Simulation world = worlds.get();
+    private void explore(int[] picks) {
+        Simulation simulation = simulations.get();
         List<String> names = new ArrayList<>();
-        List<Event> next = world.enabledEvents();
+        List<Event> next = simulation.enabledEvents();
         for (int pick : picks) {
-            next = step(world, next.get(pick), names);
+            next = step(simulation, next.get(pick), names);
         }
-        boolean last = picks.length == depth || next.isEmpty();
-        int choices = last ? 0 : next.size();
-        if (last) {
+        boolean isLeaf = picks.length == depth || next.isEmpty();
+        int choices = isLeaf ? 0 : next.size();
+        if (isLeaf) {
             sequences++;
-            for (int i = 0; i < MOST_TAIL && !next.isEmpty(); i++) {
-                next = step(world, next.get(0), names);
+            for (int i = 0; i < MAX_TAIL_EVENTS && !next.isEmpty(); i++) {
+                next = step(simulation, next.get(0), names);
             }
-            world.checkQuiescent();
+            simulation.checkQuiescent();
         }
-        if (!world.rules().violations().isEmpty()) {
-            fault = world.rules().violations() + " after " + names;
+        if (!simulation.rules().violations().isEmpty()) {
+            fault = simulation.rules().violations() + " after " + names;
         }
         int[] longer = Arrays.copyOf(picks, picks.length + 1);
         for (int pick = 0; pick < choices && fault == null; pick++) {
             longer[picks.length] = pick;
-            from(longer);
+            explore(longer);
         }
     }
 
-    private static List<Event> step(Simulation world, Event event, List<String> names) {
+    private static List<Event> step(Simulation simulation, Event event, List<String> names) {
         names.add(event.name());
         event.action().run();
-        return world.enabledEvents();
+        return simulation.enabledEvents();
     }
 }
--- a/src/test/java/martenslip/RoutingPolicyInterleavingTest.java
+++ b/src/test/java/martenslip/RoutingPolicyInterleavingTest.java
@@ -24,52 +24,52 @@
  * The very module, through every order of a few events. Every event is judged by the rules.
  */
 public class RoutingPolicyInterleavingTest {
-    private static SearchResult search(Parameters plan, int depth) {
+    private static SearchResult search(Parameters parameters, int depth) {
         return InterleavingExplorer.search(
-                () -> new ThreeExchangeSimulation(plan, orders -> orders, module -> module), depth);
+                () -> new ThreeExchangeSimulation(parameters, orders -> orders, module -> module), depth);
     }
 
-    private static Parameters plan(int direct, int around, int offers, int troubles, boolean late, String... faults) {
-        return new Parameters(direct, around, offers, troubles, late, 600, List.of(faults));
+    private static Parameters parameters(int direct, int tandem, int offers, int failures, boolean lateTimers, String... faults) {
+        return new Parameters(direct, tandem, offers, failures, lateTimers, 600, List.of(faults));
     }
 
     /** Name, world, choices, and how many sequences that makes: another figure says that the search has changed. */
     @DataProvider
-    public Object[][] worlds() {
+    public Object[][] simulations() {
         return new Object[][] {
-            {"one group", plan(2, 0, 2, 2, false), 7, 16165L},
-            {"one circuit, clocks late", plan(1, 0, 2, 1, true), 9, 9562L},
-            {"over the tandem", plan(1, 1, 2, 1, false), 7, 17872L},
-            {"over the tandem only, clocks late", plan(0, 1, 2, 1, true), 9, 14230L},
-            {"a drain and back", plan(2, 1, 2, 1, false, "drains", "ready"), 6, 16711L},
-            {"the tandem drains", plan(1, 1, 2, 0, false, "tandem drains"), 8, 20992L},
-            {"gone, clocks late", plan(1, 1, 2, 1, true, "gone"), 7, 34739L},
-            {"replaced", plan(2, 1, 2, 1, false, "replaced"), 7, 22430L},
-            {"replaced while one waits", plan(1, 0, 2, 1, true, "replaced"), 8, 19859L},
+            {"one group", parameters(2, 0, 2, 2, false), 7, 16165L},
+            {"one circuit, clocks late", parameters(1, 0, 2, 1, true), 9, 9562L},
+            {"over the tandem", parameters(1, 1, 2, 1, false), 7, 17872L},
+            {"over the tandem only, clocks late", parameters(0, 1, 2, 1, true), 9, 14230L},
+            {"a drain and back", parameters(2, 1, 2, 1, false, "drains", "ready"), 6, 16711L},
+            {"the tandem drains", parameters(1, 1, 2, 0, false, "tandem drains"), 8, 20992L},
+            {"gone, clocks late", parameters(1, 1, 2, 1, true, "gone"), 7, 34739L},
+            {"replaced", parameters(2, 1, 2, 1, false, "replaced"), 7, 22430L},
+            {"replaced while one waits", parameters(1, 0, 2, 1, true, "replaced"), 8, 19859L},
             {"hardly any patience, clocks late", new Parameters(1, 1, 2, 1, true, 120, List.of()), 8, 19272L},
-            {"a restart with the kept list", plan(1, 1, 3, 0, false, "restart"), 8, 36624L},
-            {"a restart amid a drain", plan(1, 1, 2, 0, true, "restart", "drains"), 7, 9959L},
-            {"cold", plan(8, 1, 5, 0, false, "cold"), 7, 18053L},
-            {"cold after a restart", plan(8, 1, 4, 0, false, "cold", "restart"), 7, 28510L},
-            {"jammed at the first word", plan(1, 1, 2, 1, false, "jammed"), 7, 38144L},
-            {"reports of no number", plan(2, 1, 2, 1, false, "unknown"), 7, 30287L},
-            {"circuits lost", plan(2, 1, 2, 1, false, "circuits lost"), 7, 30207L},
+            {"a restart with the kept list", parameters(1, 1, 3, 0, false, "restart"), 8, 36624L},
+            {"a restart amid a drain", parameters(1, 1, 2, 0, true, "restart", "drains"), 7, 9959L},
+            {"cold", parameters(8, 1, 5, 0, false, "cold"), 7, 18053L},
+            {"cold after a restart", parameters(8, 1, 4, 0, false, "cold", "restart"), 7, 28510L},
+            {"jammed at the first word", parameters(1, 1, 2, 1, false, "jammed"), 7, 38144L},
+            {"reports of no number", parameters(2, 1, 2, 1, false, "unknown"), 7, 30287L},
+            {"circuits lost", parameters(2, 1, 2, 1, false, "circuits lost"), 7, 30207L},
         };
     }
 
     @Test(dataProvider = "worlds")
-    public void rulesHoldInEveryOrder(String name, Parameters plan, int depth, long sequences) {
-        assertEquals(search(plan, depth), new SearchResult(sequences, null), name);
+    public void rulesHoldInEveryEventOrder(String name, Parameters parameters, int depth, long sequences) {
+        assertEquals(search(parameters, depth), new SearchResult(sequences, null), name);
     }
 
     /** Hands each call on as {@code change} says: it may alter the arguments, or give null to drop the call. */
     @SuppressWarnings("unchecked")
-    private static <T> T spoilt(Class<T> type, T real, Set<String> calls, CallInterceptor change) {
+    private static <T> T intercept(Class<T> type, T target, Set<String> methodNames, CallInterceptor interceptor) {
         return (T) Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, (proxy, method, values) -> {
             Object[] changed =
-                    calls.contains(method.getName()) ? change.of(values, () -> method.invoke(real, values)) : values;
+                    methodNames.contains(method.getName()) ? interceptor.arguments(values, () -> method.invoke(target, values)) : values;
             try {
-                return changed == null ? null : method.invoke(real, changed);
+                return changed == null ? null : method.invoke(target, changed);
             } catch (InvocationTargetException e) {
                 throw e.getCause();
             }
@@ -77,88 +77,88 @@
     }
 
     /** A call that the interface doesn't have would never be changed. */
-    private static void checkCalls(Class<?> type, Set<String> calls) {
+    private static void checkCalls(Class<?> type, Set<String> methodNames) {
         Set<String> methods = Stream.of(type.getMethods()).map(Method::getName).collect(Collectors.toSet());
-        assertTrue(methods.containsAll(calls), calls + ", but " + type + " has " + methods);
+        assertTrue(methods.containsAll(methodNames), methodNames + ", but " + type + " has " + methods);
     }
 
     private interface CallInterceptor {
-        Object[] of(Object[] values, RealCall again) throws Exception;
+        Object[] arguments(Object[] values, RealCall realCall) throws Exception;
     }
 
     private interface RealCall {
         void call() throws Exception;
     }
 
-    private static SearchResult withOrders(Parameters plan, Set<String> calls, CallInterceptor change) {
-        checkCalls(Orders.class, calls);
+    private static SearchResult searchWithOrders(Parameters parameters, Set<String> methodNames, CallInterceptor interceptor) {
+        checkCalls(Orders.class, methodNames);
         return InterleavingExplorer.search(
                 () -> new ThreeExchangeSimulation(
-                        plan, orders -> spoilt(Orders.class, orders, calls, change), module -> module),
+                        parameters, orders -> intercept(Orders.class, orders, methodNames, interceptor), module -> module),
                 6);
     }
 
-    private static SearchResult withModule(Parameters plan, Set<String> calls, CallInterceptor change) {
-        checkCalls(Controller.class, calls);
+    private static SearchResult searchWithModule(Parameters parameters, Set<String> methodNames, CallInterceptor interceptor) {
+        checkCalls(Controller.class, methodNames);
         return InterleavingExplorer.search(
                 () -> new ThreeExchangeSimulation(
-                        plan, orders -> orders, module -> spoilt(Controller.class, module, calls, change)),
+                        parameters, orders -> orders, module -> intercept(Controller.class, module, methodNames, interceptor)),
                 6);
     }
 
-    private static void caught(SearchResult found, String rule) {
-        assertTrue(found.fault() != null && found.fault().startsWith("[" + rule + ": "), "" + found);
+    private static void assertViolation(SearchResult result, String rule) {
+        assertTrue(result.fault() != null && result.fault().startsWith("[" + rule + ": "), "" + result);
     }
 
     @Test
-    public void aDoubledAnswerIsCaught() {
-        caught(
-                withOrders(plan(0, 0, 2, 0, false), Set.of("defer"), (values, again) -> {
-                    again.call();
+    public void detectsDuplicateAnswer() {
+        assertViolation(
+                searchWithOrders(parameters(0, 0, 2, 0, false), Set.of("defer"), (values, realCall) -> {
+                    realCall.call();
                     return values;
                 }),
                 "1");
     }
 
     @Test
-    public void aLostAnswerIsCaught() {
-        caught(withOrders(plan(0, 0, 2, 0, false), Set.of("defer", "abandon"), (values, again) -> null), "1");
+    public void detectsLostAnswer() {
+        assertViolation(searchWithOrders(parameters(0, 0, 2, 0, false), Set.of("defer", "abandon"), (values, realCall) -> null), "1");
     }
 
     @Test
-    public void aSecondRingIsCaught() {
-        caught(
-                withOrders(plan(2, 0, 2, 0, false), Set.of("ring"), (values, again) -> {
-                    again.call();
+    public void detectsSecondRingInFlight() {
+        assertViolation(
+                searchWithOrders(parameters(2, 0, 2, 0, false), Set.of("ring"), (values, realCall) -> {
+                    realCall.call();
                     return values;
                 }),
                 "2");
     }
 
     @Test
-    public void aDrainThatIsNotHeardIsCaught() {
-        caught(
-                withModule(
-                        plan(2, 0, 2, 0, false, "drains"),
+    public void detectsIgnoredDrain() {
+        assertViolation(
+                searchWithModule(
+                        parameters(2, 0, 2, 0, false, "drains"),
                         Set.of("switchListReceived"),
-                        (values, again) -> values[1] == ListKind.CHANGES ? null : values),
+                        (values, realCall) -> values[1] == ListKind.CHANGES ? null : values),
                 "3");
     }
 
     @Test
-    public void aColdStartThatIsNotHeardIsCaught() {
-        caught(
-                withModule(
-                        plan(8, 0, 6, 0, false, "cold"),
+    public void detectsIgnoredColdStart() {
+        assertViolation(
+                searchWithModule(
+                        parameters(8, 0, 6, 0, false, "cold"),
                         Set.of("switchListReceived"),
-                        (values, again) -> values[1] == ListKind.CHANGES ? null : values),
+                        (values, realCall) -> values[1] == ListKind.CHANGES ? null : values),
                 "4");
     }
 
     @Test
-    public void aReleaseThatIsForgottenIsCaught() {
-        caught(
-                withModule(plan(2, 0, 2, 2, false), Set.of("ringEnded"), (values, again) -> {
+    public void detectsIgnoredReleaseTime() {
+        assertViolation(
+                searchWithModule(parameters(2, 0, 2, 2, false), Set.of("ringEnded"), (values, realCall) -> {
                     RingEnd end = (RingEnd) values[1];
                     values[1] = new RingEnd(
                             end.contact(),
@@ -175,7 +175,7 @@
     }
 
     @Test
-    public void aCircuitThatIsNeverGivenBackIsCaught() {
-        caught(withModule(plan(2, 0, 2, 0, false), Set.of("ringEnded"), (values, again) -> null), "quiet");
+    public void detectsUnreleasedCircuit() {
+        assertViolation(searchWithModule(parameters(2, 0, 2, 0, false), Set.of("ringEnded"), (values, realCall) -> null), "quiet");
     }
 }
--- a/src/test/java/martenslip/RoutingPolicyTest.java
+++ b/src/test/java/martenslip/RoutingPolicyTest.java
@@ -4,8 +4,8 @@
 import static martenslip.ExchangeFixture.URGENT;
 import static martenslip.ExchangeFixture.at;
 import static martenslip.ExchangeFixture.contact;
-import static martenslip.ExchangeFixture.line;
-import static martenslip.ExchangeFixture.transit;
+import static martenslip.ExchangeFixture.switchEntry;
+import static martenslip.ExchangeFixture.transitContact;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNull;
@@ -22,79 +22,79 @@
 import org.testng.annotations.Test;
 
 public class RoutingPolicyTest {
-    private static RingEnd end(long contact, int ring, RingEndCause cause, RejectionReason blame) {
-        return new RingEnd(contact, ring, 101, cause, blame, Span.ofMillis(10), false, new float[0]);
+    private static RingEnd end(long contact, int ring, RingEndCause cause, RejectionReason reason) {
+        return new RingEnd(contact, ring, 101, cause, reason, Span.ofMillis(10), false, new float[0]);
     }
 
-    private static RoutingPolicy.CircuitRequest ask(ExchangeFixture exchange, int skill, int width) {
+    private static RoutingPolicy.CircuitRequest circuitRequest(ExchangeFixture exchange, int skill, int width) {
         Contact contact = new Contact(1, skill, 0, 1, -1, width, Span.ofMillis(3000), false, false, false);
-        return exchange.ask(contact);
+        return exchange.circuitRequest(contact);
     }
 
     @Test
-    public void directWhileTheGroupHasRoom() {
+    public void ringsDirectlyWhileTheGroupHasCircuits() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
-        assertEquals(exchange.orders(), List.of("ring 1 101"));
+        exchange.policy.contactOffered(at(1), contact(1, CHEAP, 3));
+        assertEquals(exchange.takeOrders(), List.of("ring 1 101"));
     }
 
     @Test
-    public void tandemWhenTheDirectGroupIsFull() {
-        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 40);
-        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
-        List<String> orders = exchange.orders();
+    public void ringsTandemWhenTheDirectGroupIsFull() {
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).reportGroup(1, 0, 40);
+        exchange.policy.contactOffered(at(1), contact(1, URGENT, 3));
+        List<String> orders = exchange.takeOrders();
         assertTrue(orders.equals(List.of("ring 1 102")) || orders.equals(List.of("ring 1 103")), orders.toString());
     }
 
     @Test
-    public void transitGoesOnOrIsTurnedBackAtOnce() {
+    public void transitContactIsRungOrDeferredAtOnce() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.contactOffered(at(1), transit(1, CHEAP));
-        assertEquals(exchange.orders(), List.of("ring 1 101"));
-        exchange.group(1, 1, 40);
-        exchange.logic.contactOffered(at(1), transit(2, CHEAP));
-        assertEquals(exchange.orders(), List.of("defer 2"));
+        exchange.policy.contactOffered(at(1), transitContact(1, CHEAP));
+        assertEquals(exchange.takeOrders(), List.of("ring 1 101"));
+        exchange.reportGroup(1, 1, 40);
+        exchange.policy.contactOffered(at(1), transitContact(2, CHEAP));
+        assertEquals(exchange.takeOrders(), List.of("defer 2"));
     }
 
     @Test
-    public void sharesBindOnlyNearFull() {
+    public void sharesApplyOnlyNearFullGroup() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.switchById(101);
+        RoutingPolicy.Switch group = exchange.policy.switchById(101);
         group.urgentDemand.add(16, Span.ZERO, at(0));
         assertTrue(group.demandStage() >= 2);
-        assertNull(group.checkGroup(ask(exchange, CHEAP, 1), false));
-        exchange.group(1, 1, 40);
-        assertEquals(group.checkGroup(ask(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
-        assertNull(group.checkGroup(ask(exchange, URGENT, 1), false));
+        assertNull(group.checkGroup(circuitRequest(exchange, CHEAP, 1), false));
+        exchange.reportGroup(1, 1, 40);
+        assertEquals(group.checkGroup(circuitRequest(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
+        assertNull(group.checkGroup(circuitRequest(exchange, URGENT, 1), false));
     }
 
     @Test
-    public void theWidthCountsAtAShareEdge() {
+    public void contactWidthCountsTowardTheShare() {
         ExchangeFixture exchange = new ExchangeFixture().ready(1, 40);
-        RoutingPolicy.Switch group = exchange.logic.switchById(101);
+        RoutingPolicy.Switch group = exchange.policy.switchById(101);
         group.urgentDemand.add(10, Span.ZERO, at(0));
-        double limit = exchange.logic.skillShare(CHEAP, group.demandStage()) * 40;
+        double limit = exchange.policy.skillShare(CHEAP, group.demandStage()) * 40;
         group.heldBySkill[URGENT] = 40 - 1 - (int) limit;
         group.freeCircuits = 1;
         assertEquals(group.occupiedCircuits(CHEAP), (int) limit);
-        assertEquals(group.checkGroup(ask(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
+        assertEquals(group.checkGroup(circuitRequest(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
         group.heldBySkill[URGENT]++;
-        assertNull(group.checkGroup(ask(exchange, CHEAP, 1), false));
+        assertNull(group.checkGroup(circuitRequest(exchange, CHEAP, 1), false));
         group.freeCircuits = 2;
         group.heldBySkill[URGENT]--;
-        assertEquals(group.checkGroup(ask(exchange, CHEAP, 2), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
+        assertEquals(group.checkGroup(circuitRequest(exchange, CHEAP, 2), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
     }
 
     @Test
-    public void cheaperSharesShrinkAtHigherStages() {
+    public void cheapShareShrinksAtHigherStages() {
         ExchangeFixture exchange = new ExchangeFixture().ready(1, 40);
         for (int stage = 1; stage < RoutingPolicy.STAGE_SHARES.length; stage++) {
-            assertTrue(exchange.logic.skillShare(CHEAP, stage) < exchange.logic.skillShare(CHEAP, stage - 1));
+            assertTrue(exchange.policy.skillShare(CHEAP, stage) < exchange.policy.skillShare(CHEAP, stage - 1));
         }
     }
 
     @Test
-    public void urgentDemandFades() {
+    public void urgentDemandDecays() {
         RoutingPolicy.DecayingHistogram count =
                 new RoutingPolicy.DecayingHistogram(1, Span.ofMillis(1000), Span.ofMillis(1000), at(0));
         count.add(8, Span.ZERO, at(0.5));
@@ -104,202 +104,202 @@
     }
 
     @Test
-    public void oneCallerWhoRedialsIsOneWant() {
+    public void redialsCountOnceAsUrgentDemand() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
         for (long id = 1; id < 4; id++) {
-            exchange.logic.contactOffered(
+            exchange.policy.contactOffered(
                     at(1 + 2 * id), new Contact(id, URGENT, 77, 1, -1, 1, Span.ofMillis(1000), false, false, false));
-            exchange.logic.callerGone(at(2 + 2 * id), id);
+            exchange.policy.callerGone(at(2 + 2 * id), id);
         }
-        assertEquals(exchange.logic.switchById(101).urgentDemand.binCounts[0], 1.0);
+        assertEquals(exchange.policy.switchById(101).urgentDemand.binCounts[0], 1.0);
     }
 
     @Test
-    public void aCheapRedialPastItsTargetGoesLast() {
+    public void cheapRedialPastItsTargetIsDeferredNearFull() {
         ExchangeFixture exchange = new ExchangeFixture().ready(2, 40);
         for (long id = 1; id < 3; id++) {
-            exchange.logic.contactOffered(
+            exchange.policy.contactOffered(
                     at(2 * id), new Contact(id, CHEAP, 77, 1, -1, 1, Span.ofMillis(1500), false, false, false));
-            exchange.logic.timerExpired(at(2 * id + 1.5), 2 * id);
-            exchange.group(1, 2, 40);
+            exchange.policy.timerExpired(at(2 * id + 1.5), 2 * id);
+            exchange.reportGroup(1, 2, 40);
         }
-        assertEquals(exchange.orders(), List.of("ring 1 101", "off 1 0", "abandon 1", "defer 2"));
+        assertEquals(exchange.takeOrders(), List.of("ring 1 101", "off 1 0", "abandon 1", "defer 2"));
     }
 
     @Test
-    public void oneFinalAnswerBeforePatienceEndsAndNothingAfter() {
+    public void givesOneFinalAnswerBeforePatienceEnds() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
-        exchange.orders();
-        exchange.logic.timerExpired(at(3.99), 2);
-        assertEquals(exchange.orders(), List.of("off 1 0", "abandon 1"));
-        exchange.logic.ringEnded(at(4.02), end(1, 0, RingEndCause.CALLED_OFF, RejectionReason.NONE));
-        exchange.logic.timerExpired(at(5), 2);
-        assertEquals(exchange.orders(), List.of());
+        exchange.policy.contactOffered(at(1), contact(1, CHEAP, 3));
+        exchange.takeOrders();
+        exchange.policy.timerExpired(at(3.99), 2);
+        assertEquals(exchange.takeOrders(), List.of("off 1 0", "abandon 1"));
+        exchange.policy.ringEnded(at(4.02), end(1, 0, RingEndCause.CALLED_OFF, RejectionReason.NONE));
+        exchange.policy.timerExpired(at(5), 2);
+        assertEquals(exchange.takeOrders(), List.of());
     }
 
     @Test
-    public void noSecondRingWhileOneIsOut() {
+    public void noSecondRingWhileOneIsInFlight() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
-        exchange.orders();
-        exchange.logic.timerExpired(at(1.8), 2);
-        exchange.logic.switchById(101).retryWaitingRequests();
-        assertEquals(exchange.orders(), List.of());
+        exchange.policy.contactOffered(at(1), contact(1, URGENT, 3));
+        exchange.takeOrders();
+        exchange.policy.timerExpired(at(1.8), 2);
+        exchange.policy.switchById(101).retryWaitingRequests();
+        assertEquals(exchange.takeOrders(), List.of());
     }
 
     @Test
-    public void theReleaseIsAwaitedAfterACut() {
+    public void waitsForTheReleaseTimeAfterACut() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
-        exchange.logic.ringEnded(at(1.1), end(1, 0, RingEndCause.CUT, RejectionReason.NONE));
-        exchange.orders();
-        exchange.logic.timerExpired(at(1.6), 2);
-        assertEquals(exchange.orders(), List.of());
-        exchange.logic.timerExpired(at(1.606), 2);
-        assertEquals(exchange.orders(), List.of("ring 1 101"));
+        exchange.policy.contactOffered(at(1), contact(1, URGENT, 3));
+        exchange.policy.ringEnded(at(1.1), end(1, 0, RingEndCause.CUT, RejectionReason.NONE));
+        exchange.takeOrders();
+        exchange.policy.timerExpired(at(1.6), 2);
+        assertEquals(exchange.takeOrders(), List.of());
+        exchange.policy.timerExpired(at(1.606), 2);
+        assertEquals(exchange.takeOrders(), List.of("ring 1 101"));
     }
 
     @Test
-    public void nothingNewToADrainingSwitchAsDestinationOrTandem() {
+    public void drainingSwitchGetsNoNewContacts() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.switchListReceived(at(1), ListKind.CHANGES, List.of(line(1, State.DRAINING, null)));
-        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
-        assertEquals(exchange.orders(), List.of("defer 1"));
-        exchange.logic.switchListReceived(
+        exchange.policy.switchListReceived(at(1), ListKind.CHANGES, List.of(switchEntry(1, State.DRAINING, null)));
+        exchange.policy.contactOffered(at(1), contact(1, URGENT, 3));
+        assertEquals(exchange.takeOrders(), List.of("defer 1"));
+        exchange.policy.switchListReceived(
                 at(1),
                 ListKind.FULL,
-                List.of(line(0, State.READY, null), line(1, State.READY, null), line(2, State.READY, null)));
-        exchange.group(1, 0, 40);
-        exchange.logic.contactOffered(at(2), contact(2, URGENT, 3));
-        assertEquals(exchange.orders(), List.of("ring 2 102"));
+                List.of(switchEntry(0, State.READY, null), switchEntry(1, State.READY, null), switchEntry(2, State.READY, null)));
+        exchange.reportGroup(1, 0, 40);
+        exchange.policy.contactOffered(at(2), contact(2, URGENT, 3));
+        assertEquals(exchange.takeOrders(), List.of("ring 2 102"));
     }
 
     @Test
-    public void ownContactsGoOnWhileTheOwnProcessorDrains() {
+    public void routesContactsWhileTheHomeSwitchDrains() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.switchListReceived(at(1), ListKind.CHANGES, List.of(line(0, State.DRAINING, null)));
-        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
-        assertEquals(exchange.orders(), List.of("ring 1 101"));
+        exchange.policy.switchListReceived(at(1), ListKind.CHANGES, List.of(switchEntry(0, State.DRAINING, null)));
+        exchange.policy.contactOffered(at(1), contact(1, CHEAP, 3));
+        assertEquals(exchange.takeOrders(), List.of("ring 1 101"));
     }
 
     @Test
-    public void theSuccessorOfAReplacedMachineIsFound() {
+    public void replacementSwitchTakesTheNumber() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.switchListReceived(
+        exchange.policy.switchListReceived(
                 at(1),
                 ListKind.CHANGES,
-                List.of(line(1, State.GONE, null), new martenslip.control.SwitchEntry(900, 1, State.READY, null, 0)));
-        assertEquals(exchange.logic.switchByNumber(1).id, 900);
+                List.of(switchEntry(1, State.GONE, null), new martenslip.control.SwitchEntry(900, 1, State.READY, null, 0)));
+        assertEquals(exchange.policy.switchByNumber(1).id, 900);
     }
 
     @Test
-    public void aColdSwitchGetsItsPartOnly() {
+    public void coldSwitchGetsOnlyItsShare() {
         ExchangeFixture exchange = new ExchangeFixture().ready(40, 40);
-        exchange.logic.switchListReceived(at(20), ListKind.CHANGES, List.of(line(1, State.READY, at(20))));
+        exchange.policy.switchListReceived(at(20), ListKind.CHANGES, List.of(switchEntry(1, State.READY, at(20))));
         for (int id = 1; id <= 40; id++) {
-            exchange.logic.contactOffered(at(20 + id * 0.05), contact(id, CHEAP, 3));
+            exchange.policy.contactOffered(at(20 + id * 0.05), contact(id, CHEAP, 3));
         }
-        assertTrue(exchange.orders().stream()
+        assertTrue(exchange.takeOrders().stream()
                         .filter(order -> order.startsWith("ring"))
                         .count()
                 <= 2);
     }
 
     @Test
-    public void manySendersWithASmallShareReachAColdSwitchTogether() {
+    public void sendersWithSmallSharesReachAColdSwitch() {
         int rings = 0;
         for (int seed = 0; seed < 40; seed++) {
             ExchangeFixture exchange = new ExchangeFixture().ready(40, 40);
-            exchange.logic = new RoutingPolicy(exchange.settings, seed, at(0), exchange);
-            exchange.logic.switchListReceived(
-                    at(20), ListKind.FULL, List.of(line(0, State.READY, null), line(1, State.READY, at(20))));
-            exchange.group(1, 40, 40);
-            exchange.logic.contactOffered(at(21), contact(1, CHEAP, 3));
-            rings += exchange.orders().contains("ring 1 101") ? 1 : 0;
+            exchange.policy = new RoutingPolicy(exchange.settings, seed, at(0), exchange);
+            exchange.policy.switchListReceived(
+                    at(20), ListKind.FULL, List.of(switchEntry(0, State.READY, null), switchEntry(1, State.READY, at(20))));
+            exchange.reportGroup(1, 40, 40);
+            exchange.policy.contactOffered(at(21), contact(1, CHEAP, 3));
+            rings += exchange.takeOrders().contains("ring 1 101") ? 1 : 0;
         }
         assertTrue(rings > 2 && rings < 20, "" + rings);
     }
 
     @Test
-    public void aReplacedMachineKeepsWhatWasLearnedOfItsNumber() {
+    public void replacementSwitchKeepsTandemWeights() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.switchById(101).tandemGroupReported(2, false);
-        exchange.logic.switchListReceived(
+        exchange.policy.switchById(101).tandemGroupReported(2, false);
+        exchange.policy.switchListReceived(
                 at(1), ListKind.CHANGES, List.of(new martenslip.control.SwitchEntry(900, 1, State.READY, at(1), 0)));
-        assertEquals(exchange.logic.switchById(900).tandemWeight(exchange.logic.switchById(102)), 0.0);
+        assertEquals(exchange.policy.switchById(900).tandemWeight(exchange.policy.switchById(102)), 0.0);
     }
 
     @Test
-    public void aPressedProcessorIsKeptFromTheCheapButAnOldReportFades() {
+    public void overloadRejectsCheapContactsAndOldReportsDecay() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.switchById(101);
-        exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 0.8f});
-        assertEquals(group.rejectionShare(ask(exchange, CHEAP, 1).skill(), 0), 0.8, 1e-6);
-        assertEquals(group.rejectionShare(ask(exchange, URGENT, 1).skill(), 0), 0.0);
-        exchange.logic.stopped(at(6));
-        assertTrue(group.rejectionShare(ask(exchange, CHEAP, 1).skill(), 0) < 0.05);
+        RoutingPolicy.Switch group = exchange.policy.switchById(101);
+        exchange.policy.switchReported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 0.8f});
+        assertEquals(group.rejectionShare(circuitRequest(exchange, CHEAP, 1).skill(), 0), 0.8, 1e-6);
+        assertEquals(group.rejectionShare(circuitRequest(exchange, URGENT, 1).skill(), 0), 0.0);
+        exchange.policy.stopped(at(6));
+        assertTrue(group.rejectionShare(circuitRequest(exchange, CHEAP, 1).skill(), 0) < 0.05);
     }
 
     @Test
-    public void aJammedProcessorGetsNothingHoweverDear() {
+    public void jammedProcessorGetsNoUrgentContactsEither() {
         ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("report.fields", "spare,total,depth,allowed");
         exchange.ready(20, 40);
-        exchange.logic.switchReported(at(0), 101, true, Span.ZERO, new float[] {20, 40, 1, 14});
-        assertEquals(exchange.logic.switchById(101).rejectionShare(ask(exchange, CHEAP, 1).skill(), 0), 0.0);
-        exchange.logic.switchReported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 90, 0.3f});
-        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
-        assertEquals(exchange.orders(), List.of("defer 1"));
+        exchange.policy.switchReported(at(0), 101, true, Span.ZERO, new float[] {20, 40, 1, 14});
+        assertEquals(exchange.policy.switchById(101).rejectionShare(circuitRequest(exchange, CHEAP, 1).skill(), 0), 0.0);
+        exchange.policy.switchReported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 90, 0.3f});
+        exchange.policy.contactOffered(at(1), contact(1, URGENT, 3));
+        assertEquals(exchange.takeOrders(), List.of("defer 1"));
     }
 
     @Test
-    public void aSilentSwitchIsNoTandemAndGetsTrialsOnly() {
+    public void silentSwitchGetsTrialsOnly() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
         for (int id = 1; id < 4; id++) {
-            exchange.logic.contactOffered(at(1), contact(id, CHEAP, 9));
+            exchange.policy.contactOffered(at(1), contact(id, CHEAP, 9));
         }
-        exchange.logic.stopped(at(8));
-        RoutingPolicy.Switch group = exchange.logic.switchById(101);
+        exchange.policy.stopped(at(8));
+        RoutingPolicy.Switch group = exchange.policy.switchById(101);
         assertTrue(group.isSilent());
-        assertFalse(exchange.logic.switchById(102).isSilent());
-        assertNull(group.checkProcessor(ask(exchange, URGENT, 1)));
-        assertEquals(group.checkProcessor(ask(exchange, URGENT, 1)), RoutingPolicy.DenialReason.SWITCH_UNAVAILABLE);
+        assertFalse(exchange.policy.switchById(102).isSilent());
+        assertNull(group.checkProcessor(circuitRequest(exchange, URGENT, 1)));
+        assertEquals(group.checkProcessor(circuitRequest(exchange, URGENT, 1)), RoutingPolicy.DenialReason.SWITCH_UNAVAILABLE);
     }
 
     @Test
-    public void keptBackByTheOwnProcessorAContactLooksAgainWhileItMayBeInTime() {
+    public void contactDeniedByTheHomeSwitchRetriesWithinItsTarget() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
-        RoutingPolicy.OpenContact one = new RoutingPolicy.OpenContact(
-                contact(2, CHEAP, 3), ask(exchange, CHEAP, 1).skill(), at(4), at(1), at(1));
-        exchange.logic.contactManager.openContacts.put(2L, one);
-        exchange.orders();
-        exchange.logic.contactManager.circuitDenied(one, true);
-        assertEquals(exchange.orders(), List.of());
-        exchange.logic.stopped(at(1.4));
-        exchange.logic.contactManager.circuitDenied(one, true);
-        assertEquals(exchange.orders(), List.of("defer 2"));
+        exchange.policy.contactOffered(at(1), contact(1, CHEAP, 3));
+        RoutingPolicy.OpenContact openContact = new RoutingPolicy.OpenContact(
+                contact(2, CHEAP, 3), circuitRequest(exchange, CHEAP, 1).skill(), at(4), at(1), at(1));
+        exchange.policy.contactManager.openContacts.put(2L, openContact);
+        exchange.takeOrders();
+        exchange.policy.contactManager.circuitDenied(openContact, true);
+        assertEquals(exchange.takeOrders(), List.of());
+        exchange.policy.stopped(at(1.4));
+        exchange.policy.contactManager.circuitDenied(openContact, true);
+        assertEquals(exchange.takeOrders(), List.of("defer 2"));
     }
 
     @Test
-    public void aSwitchWhoseRingsTimeOutStaysSilentUntilItAnswersASetUp() {
+    public void switchStaysSilentAfterTimeoutUntilASetUpSucceeds() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.switchById(101);
-        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
-        exchange.logic.contactOffered(at(1), contact(2, CHEAP, 3));
-        exchange.logic.ringEnded(at(4), end(1, 0, RingEndCause.TIMED_OUT, RejectionReason.NONE));
-        exchange.logic.ringEnded(at(4), end(2, 0, RingEndCause.CONCLUDED, RejectionReason.NONE));
+        RoutingPolicy.Switch group = exchange.policy.switchById(101);
+        exchange.policy.contactOffered(at(1), contact(1, CHEAP, 3));
+        exchange.policy.contactOffered(at(1), contact(2, CHEAP, 3));
+        exchange.policy.ringEnded(at(4), end(1, 0, RingEndCause.TIMED_OUT, RejectionReason.NONE));
+        exchange.policy.ringEnded(at(4), end(2, 0, RingEndCause.CONCLUDED, RejectionReason.NONE));
         assertTrue(group.isSilent());
-        exchange.logic.established(at(5), 3, 0, 101, Span.ofMillis(100));
+        exchange.policy.established(at(5), 3, 0, 101, Span.ofMillis(100));
         assertFalse(group.isSilent());
     }
 
     @Test
-    public void aTurnBackLowersATandemsWeightAndTimeMendsIt() {
+    public void turnBackLowersTandemWeightAndTimeRestoresIt() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.switchById(101);
-        RoutingPolicy.Switch tandem = exchange.logic.switchById(102);
+        RoutingPolicy.Switch group = exchange.policy.switchById(101);
+        RoutingPolicy.Switch tandem = exchange.policy.switchById(102);
         group.updateTandemWeight(tandem, true);
         group.updateTandemWeight(tandem, false);
         group.updateTandemWeight(tandem, false);
@@ -307,122 +307,122 @@
         assertTrue(low < RoutingPolicy.INITIAL_WEIGHT);
         group.updateTandemWeight(tandem, true);
         assertTrue(group.tandemWeight(tandem) > low);
-        exchange.logic.stopped(at(500));
+        exchange.policy.stopped(at(500));
         assertTrue(group.tandemWeight(tandem) > 0.95);
     }
 
     @Test
-    public void aSkillGoesOnlyToItsPools() {
+    public void skillUsesOnlyItsPools() {
         ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("family-info.class-cells.1", "1,3");
-        exchange.ready(20, 40).group(1, 0, 40);
-        exchange.logic.contactOffered(at(1), contact(1, URGENT, 3));
-        assertEquals(exchange.orders(), List.of("ring 1 103"));
+        exchange.ready(20, 40).reportGroup(1, 0, 40);
+        exchange.policy.contactOffered(at(1), contact(1, URGENT, 3));
+        assertEquals(exchange.takeOrders(), List.of("ring 1 103"));
     }
 
     @Test
-    public void aFailedSubscriptionIsRenewed() {
+    public void failedSubscriptionIsRenewed() {
         ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("discovery", "subscribe");
-        exchange.ready(20, 40).logic.switchListReceived(at(1), ListKind.FAILED, List.of());
-        assertEquals(exchange.orders(), List.of("watch true", "watch true"));
+        exchange.ready(20, 40).policy.switchListReceived(at(1), ListKind.FAILED, List.of());
+        assertEquals(exchange.takeOrders(), List.of("watch true", "watch true"));
     }
 
     @Test
-    public void aPairWithoutAGroupTriesEachTandemOnce() {
-        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 0);
-        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
-        exchange.logic.ringEnded(at(1.1), end(1, 0, RingEndCause.TURNED_BACK, RejectionReason.TANDEM));
-        exchange.logic.timerExpired(at(1.11), 2);
-        List<String> orders = exchange.orders();
+    public void triesEachTandemOnceWithoutADirectGroup() {
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).reportGroup(1, 0, 0);
+        exchange.policy.contactOffered(at(1), contact(1, CHEAP, 3));
+        exchange.policy.ringEnded(at(1.1), end(1, 0, RingEndCause.TURNED_BACK, RejectionReason.TANDEM));
+        exchange.policy.timerExpired(at(1.11), 2);
+        List<String> orders = exchange.takeOrders();
         assertTrue(orders.containsAll(List.of("ring 1 102", "ring 1 103")), orders.toString());
     }
 
     @Test
-    public void theAdvisedTandemComesFirst() {
-        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 0);
-        exchange.logic.switchById(101).tandemGroupReported(3, true);
-        exchange.logic.stopped(at(500));
+    public void advisedTandemIsDrawnFirst() {
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).reportGroup(1, 0, 0);
+        exchange.policy.switchById(101).tandemGroupReported(3, true);
+        exchange.policy.stopped(at(500));
         Contact advised = new Contact(1, CHEAP, 0, 1, 3, 1, Span.ofMillis(3000), false, false, false);
-        assertEquals(exchange.logic.switchById(101).drawTandems(exchange.ask(advised)).get(0).number, 3);
+        assertEquals(exchange.policy.switchById(101).drawTandems(exchange.circuitRequest(advised)).get(0).number, 3);
     }
 
     @Test
-    public void aPeersGroupsAreBelieved() {
-        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 0);
-        exchange.logic.peerNoteReceived(at(1), 2, new byte[] {0, 2, 1 | 1 << 3});
+    public void peerNoteSetsTandemWeights() {
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).reportGroup(1, 0, 0);
+        exchange.policy.peerNoteReceived(at(1), 2, new byte[] {0, 2, 1 | 1 << 3});
         assertEquals(
-                exchange.logic.switchById(101).drawTandems(exchange.ask(contact(1, CHEAP, 3))).size(), 1);
-        exchange.logic.peerNoteReceived(at(3), 2, new byte[0]);
+                exchange.policy.switchById(101).drawTandems(exchange.circuitRequest(contact(1, CHEAP, 3))).size(), 1);
+        exchange.policy.peerNoteReceived(at(3), 2, new byte[0]);
     }
 
     @Test
-    public void aWideContactDrawsAllTandemsAndAgainWhileItWaits() {
-        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 3, 40);
-        assertEquals(exchange.logic.switchById(101).drawTandems(ask(exchange, CHEAP, 4)).size(), 2);
+    public void wideContactDrawsAllTandemsOnEachTry() {
+        ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).reportGroup(1, 3, 40);
+        assertEquals(exchange.policy.switchById(101).drawTandems(circuitRequest(exchange, CHEAP, 4)).size(), 2);
         assertEquals(
-                exchange.logic.switchById(101).drawTandems(ask(exchange, CHEAP, 4).asRetry()).size(), 2);
-        assertEquals(exchange.logic.switchById(101).drawTandems(ask(exchange, CHEAP, 1)).size(), 1);
+                exchange.policy.switchById(101).drawTandems(circuitRequest(exchange, CHEAP, 4).asRetry()).size(), 2);
+        assertEquals(exchange.policy.switchById(101).drawTandems(circuitRequest(exchange, CHEAP, 1)).size(), 1);
         assertEquals(
-                exchange.logic.switchById(101).drawTandems(ask(exchange, CHEAP, 1).asRetry()).size(), 0);
+                exchange.policy.switchById(101).drawTandems(circuitRequest(exchange, CHEAP, 1).asRetry()).size(), 0);
     }
 
     @Test
-    public void withoutAGroupOrATandemAContactIsRefusedAtOnce() {
+    public void contactWithoutGroupOrTandemIsDeferredAtOnce() {
         ExchangeFixture exchange = new ExchangeFixture().ready(0, 0);
-        exchange.logic.contactOffered(at(1), contact(1, CHEAP, 3));
-        assertEquals(exchange.orders(), List.of("defer 1"));
+        exchange.policy.contactOffered(at(1), contact(1, CHEAP, 3));
+        assertEquals(exchange.takeOrders(), List.of("defer 1"));
     }
 
     @Test
-    public void aSilentSwitchThatAnswersLetsItsZoneBeTried() {
+    public void answerOfASilentSwitchAllowsTrialsInItsZone() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        RoutingPolicy.Switch group = exchange.logic.switchById(101);
-        RoutingPolicy.Switch other = exchange.logic.switchById(102);
+        RoutingPolicy.Switch group = exchange.policy.switchById(101);
+        RoutingPolicy.Switch other = exchange.policy.switchById(102);
         group.unresponsive = true;
         other.nextTrialAt = at(60);
-        exchange.logic.established(at(5), 3, 0, 101, Span.ofMillis(100));
+        exchange.policy.established(at(5), 3, 0, 101, Span.ofMillis(100));
         assertTrue(other.nextTrialAt.before(at(5)));
     }
 
     @Test
-    public void aSwitchThatOnlyAReportHasNamedHasNoNumber() {
+    public void reportedButUnlistedSwitchHasNoNumber() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40);
-        exchange.logic.switchReported(at(1), 900, true, Span.ZERO, new float[] {5, 9, -1});
-        exchange.logic.switchListReceived(
-                at(2), ListKind.FULL, List.of(line(0, State.READY, null), line(1, State.READY, null)));
-        exchange.logic.peerNoteReceived(at(3), 2, new byte[] {0, 2, 1});
-        exchange.logic.contactOffered(at(4), contact(1, CHEAP, 3));
-        assertNull(exchange.logic.switchByNumber(-1));
+        exchange.policy.switchReported(at(1), 900, true, Span.ZERO, new float[] {5, 9, -1});
+        exchange.policy.switchListReceived(
+                at(2), ListKind.FULL, List.of(switchEntry(0, State.READY, null), switchEntry(1, State.READY, null)));
+        exchange.policy.peerNoteReceived(at(3), 2, new byte[] {0, 2, 1});
+        exchange.policy.contactOffered(at(4), contact(1, CHEAP, 3));
+        assertNull(exchange.policy.switchByNumber(-1));
     }
 
     @Test
-    public void theSameEventsGiveTheSameOrders() {
-        List<List<String>> twice = new java.util.ArrayList<>();
+    public void sameEventsGiveSameOrders() {
+        List<List<String>> runs = new java.util.ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).group(1, 0, 40);
+            ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).reportGroup(1, 0, 40);
             for (int id = 1; id < 30; id++) {
-                exchange.logic.contactOffered(at(1 + id * 0.1), contact(id, id % 2, 3));
+                exchange.policy.contactOffered(at(1 + id * 0.1), contact(id, id % 2, 3));
             }
-            twice.add(List.copyOf(exchange.ordered));
+            runs.add(List.copyOf(exchange.orderLines));
         }
-        assertEquals(twice.get(0), twice.get(1));
+        assertEquals(runs.get(0), runs.get(1));
     }
 
     /** Only the oldest are looked at, so none that is young may stand before one that is old. */
     @Test
-    public void firstTriesAreForgottenOnceNoCallerIsThatPatient() {
+    public void firstTryTimesExpireAfterTheMaximumPatience() {
         ExchangeFixture exchange = new ExchangeFixture().ready(9, 9);
-        Contact once = new Contact(1, ExchangeFixture.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), false, false, false);
-        Contact other = new Contact(2, ExchangeFixture.CHEAP, 78, 1, -1, 1, Span.ofMillis(500), false, false, false);
-        exchange.logic.contactOffered(ExchangeFixture.at(0), once);
-        exchange.logic.contactOffered(ExchangeFixture.at(5), other);
-        Contact again = new Contact(3, ExchangeFixture.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), true, false, false);
-        exchange.logic.contactOffered(ExchangeFixture.at(8), again);
-        assertEquals(List.copyOf(exchange.logic.contactManager.firstTryByNumber.keySet()), List.of(77L, 78L));
-        exchange.logic.contactOffered(
+        Contact first = new Contact(1, ExchangeFixture.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), false, false, false);
+        Contact second = new Contact(2, ExchangeFixture.CHEAP, 78, 1, -1, 1, Span.ofMillis(500), false, false, false);
+        exchange.policy.contactOffered(ExchangeFixture.at(0), first);
+        exchange.policy.contactOffered(ExchangeFixture.at(5), second);
+        Contact redial = new Contact(3, ExchangeFixture.CHEAP, 77, 1, -1, 1, Span.ofMillis(500), true, false, false);
+        exchange.policy.contactOffered(ExchangeFixture.at(8), redial);
+        assertEquals(List.copyOf(exchange.policy.contactManager.firstTryByNumber.keySet()), List.of(77L, 78L));
+        exchange.policy.contactOffered(
                 ExchangeFixture.at(9.5),
                 new Contact(4, ExchangeFixture.CHEAP, 79, 1, -1, 1, Span.ofMillis(500), false, false, false));
-        assertEquals(List.copyOf(exchange.logic.contactManager.firstTryByNumber.keySet()), List.of(78L, 79L));
+        assertEquals(List.copyOf(exchange.policy.contactManager.firstTryByNumber.keySet()), List.of(78L, 79L));
     }
 }
--- a/src/test/java/martenslip/ThreeExchangeSimulation.java
+++ b/src/test/java/martenslip/ThreeExchangeSimulation.java
@@ -26,110 +26,110 @@
  * which events may come next; whoever explores it picks one at a time, and {@link RuleChecker} looks on.
  */
 final class ThreeExchangeSimulation implements InterleavingExplorer.Simulation {
-    static final Span RELEASE = Span.ofMillis(100);
-    static final Span ROUND = Span.ofMillis(25);
-    static final Span GRACE = Span.ofMillis(50);
-    static final Span WARM = Span.ofMillis(4000);
-    private static final RejectionReason[] TURNED = {RejectionReason.NO_CIRCUIT, RejectionReason.PROCESSOR};
+    static final Span RELEASE_TIME = Span.ofMillis(100);
+    static final Span TIMER_ROUND = Span.ofMillis(25);
+    static final Span DRAIN_GRACE = Span.ofMillis(50);
+    static final Span WARM_UP_TIME = Span.ofMillis(4000);
+    private static final RejectionReason[] TURN_BACK_REASONS = {RejectionReason.NO_CIRCUIT, RejectionReason.PROCESSOR};
 
     /** What a world is made of; {@code late} has every clock heard a round late. */
     record Parameters(
-            int direct, int around, int offers, int troubles, boolean late, int patience, List<String> faults) {}
+            int directCircuits, int tandemCircuits, int offers, int failures, boolean lateTimers, int patience, List<String> faults) {}
 
-    private record ScheduledEvent(Moment at, long order, Runnable what) {}
+    private record ScheduledEvent(Moment at, long order, Runnable action) {}
 
     /** A contact at a controller; {@code from} is the ring that brought it here, or null. */
     private final class Offer {
-        final ControllerNode at;
+        final ControllerNode node;
         final Contact contact;
-        final RingInFlight from;
+        final RingInFlight incomingRing;
         boolean answered;
 
-        Offer(ControllerNode at, Contact contact, RingInFlight from) {
-            this.at = at;
+        Offer(ControllerNode node, Contact contact, RingInFlight incomingRing) {
+            this.node = node;
             this.contact = contact;
-            this.from = from;
+            this.incomingRing = incomingRing;
         }
 
         String key() {
-            return at.number + "." + at.life + "/" + contact.id();
+            return node.number + "." + node.generation + "/" + contact.id();
         }
     }
 
     private final class RingInFlight {
         final Offer offer;
         final int ring;
-        final int to;
+        final int targetNumber;
         final long target;
         final String group;
-        Offer beyond;
-        boolean stood;
-        boolean sure;
-        boolean calledOff;
-        RingEndCause back;
+        Offer transitOffer;
+        boolean established;
+        boolean answeredBeyond;
+        boolean cancelled;
+        RingEndCause refusal;
 
         RingInFlight(Offer offer, int ring, long target) {
             this.offer = offer;
             this.ring = ring;
             this.target = target;
-            to = number(target);
-            group = group(offer.at.number, to);
+            targetNumber = number(target);
+            group = group(offer.node.number, targetNumber);
         }
 
-        boolean last() {
-            return to == offer.contact.destination();
+        boolean reachesDestination() {
+            return targetNumber == offer.contact.destination();
         }
     }
 
-    private final RuleChecker rules = new RuleChecker(GRACE, RELEASE, WARM);
-    private final Parameters plan;
-    private final UnaryOperator<Orders> spoilsOrders;
-    private final java.util.function.Function<Controller, Controller> spoils;
-    private final Map<String, Integer> free = new LinkedHashMap<>();
-    private final Map<String, Integer> size = new HashMap<>();
-    private final Map<Integer, SwitchEntry> lines = new LinkedHashMap<>();
-    private final Map<Integer, ControllerNode> controls = new LinkedHashMap<>();
-    private final List<RingInFlight> flights = new ArrayList<>();
-    private final PriorityQueue<ScheduledEvent> due =
+    private final RuleChecker rules = new RuleChecker(DRAIN_GRACE, RELEASE_TIME, WARM_UP_TIME);
+    private final Parameters parameters;
+    private final UnaryOperator<Orders> ordersInterceptor;
+    private final java.util.function.Function<Controller, Controller> controllerInterceptor;
+    private final Map<String, Integer> freeCircuits = new LinkedHashMap<>();
+    private final Map<String, Integer> groupSizes = new HashMap<>();
+    private final Map<Integer, SwitchEntry> entries = new LinkedHashMap<>();
+    private final Map<Integer, ControllerNode> nodes = new LinkedHashMap<>();
+    private final List<RingInFlight> inFlight = new ArrayList<>();
+    private final PriorityQueue<ScheduledEvent> scheduledEvents =
             new PriorityQueue<>(Comparator.comparing(ScheduledEvent::at).thenComparing(ScheduledEvent::order));
-    private final List<String> faults;
+    private final List<String> pendingFaults;
     private Moment now = new Moment(1_000_000_000_000L);
-    private long count;
-    private long ids;
+    private long nextSequence;
+    private long lastContactId;
     private int offered;
-    private int troubles;
-    private boolean left;
+    private int failures;
+    private boolean callerLeft;
 
     ThreeExchangeSimulation(
-            Parameters plan,
-            UnaryOperator<Orders> spoilsOrders,
-            java.util.function.Function<Controller, Controller> spoils) {
-        this.plan = plan;
-        this.spoilsOrders = spoilsOrders;
-        this.spoils = spoils;
-        faults = new ArrayList<>(plan.faults);
-        group("0-1", plan.direct);
-        group("0-2", plan.around);
-        group("1-2", plan.around);
+            Parameters parameters,
+            UnaryOperator<Orders> ordersInterceptor,
+            java.util.function.Function<Controller, Controller> controllerInterceptor) {
+        this.parameters = parameters;
+        this.ordersInterceptor = ordersInterceptor;
+        this.controllerInterceptor = controllerInterceptor;
+        pendingFaults = new ArrayList<>(parameters.faults);
+        group("0-1", parameters.directCircuits);
+        group("0-2", parameters.tandemCircuits);
+        group("1-2", parameters.tandemCircuits);
         for (int number = 0; number < 3; number++) {
-            lines.put(number, new SwitchEntry(100 + number, number, State.READY, null, 0));
+            entries.put(number, new SwitchEntry(100 + number, number, State.READY, null, 0));
         }
         for (int number : new int[] {0, 2}) {
-            controls.put(number, new ControllerNode(number, 0));
-            controls.get(number).begin(ListKind.FULL);
+            nodes.put(number, new ControllerNode(number, 0));
+            nodes.get(number).begin(ListKind.FULL);
         }
-        if (faults.contains("cold")) {
-            ordinaryTraffic();
+        if (pendingFaults.contains("cold")) {
+            playOrdinaryTraffic();
         }
     }
 
     private void group(String name, int circuits) {
-        free.put(name, circuits);
-        size.put(name, circuits);
+        freeCircuits.put(name, circuits);
+        groupSizes.put(name, circuits);
     }
 
-    private static String group(int a, int b) {
-        return Math.min(a, b) + "-" + Math.max(a, b);
+    private static String group(int firstNumber, int secondNumber) {
+        return Math.min(firstNumber, secondNumber) + "-" + Math.max(firstNumber, secondNumber);
     }
 
     private int number(long id) {
@@ -137,264 +137,264 @@
     }
 
     /** So that the module has something usual to measure a cold switch by: two contacts a second. */
-    private void ordinaryTraffic() {
+    private void playOrdinaryTraffic() {
         for (int i = 0; i < 8; i++) {
             now = now.plus(Span.ofMillis(500));
             offer(0);
-            List<RingInFlight> begun = List.copyOf(flights);
-            begun.forEach(this::stands);
-            begun.forEach(flight -> end(flight, RingEndCause.CONCLUDED, RejectionReason.NONE));
+            List<RingInFlight> started = List.copyOf(inFlight);
+            started.forEach(this::establish);
+            started.forEach(ring -> endRing(ring, RingEndCause.CONCLUDED, RejectionReason.NONE));
         }
-        due.clear();
+        scheduledEvents.clear();
     }
 
-    private void after(Span span, Runnable what) {
-        due.add(new ScheduledEvent(now.plus(span), count++, what));
+    private void schedule(Span delay, Runnable action) {
+        scheduledEvents.add(new ScheduledEvent(now.plus(delay), nextSequence++, action));
     }
 
     @Override
     public List<Event> enabledEvents() {
         List<Event> all = new ArrayList<>();
-        if (offered < plan.offers) {
+        if (offered < parameters.offers) {
             all.add(new Event("offer", () -> offer(offered++ % 2)));
         }
-        for (RingInFlight flight : flights) {
-            flightEvents(flight, all);
+        for (RingInFlight ring : inFlight) {
+            addRingEvents(ring, all);
         }
-        for (ControllerNode control : controls.values()) {
-            for (Offer offer : control.offers.values()) {
-                if (!left && !offer.answered && offer.from == null) {
+        for (ControllerNode node : nodes.values()) {
+            for (Offer offer : node.offers.values()) {
+                if (!callerLeft && !offer.answered && offer.incomingRing == null) {
                     all.add(new Event("leaves " + offer.key(), () -> {
-                        left = true;
-                        leaves(offer);
+                        callerLeft = true;
+                        callerLeaves(offer);
                     }));
                 }
             }
         }
-        for (String fault : faults) {
+        for (String fault : pendingFaults) {
             all.add(new Event(fault, () -> {
-                faults.remove(fault);
-                strike(fault);
+                pendingFaults.remove(fault);
+                applyFault(fault);
             }));
         }
-        if (!due.isEmpty()) {
+        if (!scheduledEvents.isEmpty()) {
             all.add(new Event("time", () -> {
-                ScheduledEvent next = due.poll();
-                now = now.before(next.at) ? next.at : now;
+                ScheduledEvent event = scheduledEvents.poll();
+                now = now.before(event.at) ? event.at : now;
                 rules.checkDeadlines(now);
-                next.what.run();
+                event.action.run();
             }));
         }
         return all;
     }
 
-    private void flightEvents(RingInFlight flight, List<Event> all) {
-        String name = flight.offer.key() + "#" + flight.ring;
-        if (flight.back != null) {
-            all.add(new Event(
-                    name + " " + flight.back,
-                    () -> end(
-                            flight,
-                            flight.back,
-                            flight.back == RingEndCause.TURNED_BACK
+    private void addRingEvents(RingInFlight ring, List<Event> events) {
+        String name = ring.offer.key() + "#" + ring.ring;
+        if (ring.refusal != null) {
+            events.add(new Event(
+                    name + " " + ring.refusal,
+                    () -> endRing(
+                            ring,
+                            ring.refusal,
+                            ring.refusal == RingEndCause.TURNED_BACK
                                     ? RejectionReason.TANDEM
                                     : RejectionReason.NO_CIRCUIT)));
             return;
         }
-        if (!flight.stood && (flight.last() || flight.sure)) {
-            all.add(new Event(name + " stands", () -> stands(flight)));
-        }
-        if (!flight.last() && flight.beyond == null && !flight.calledOff) {
-            all.add(new Event(name + " arrives", () -> arrives(flight)));
-        }
-        if (flight.stood) {
-            all.add(new Event(name + " concludes", () -> end(flight, RingEndCause.CONCLUDED, RejectionReason.NONE)));
-        }
-        if (flight.calledOff) {
-            all.add(new Event(name + " is off", () -> end(flight, RingEndCause.CALLED_OFF, RejectionReason.NONE)));
-        } else if (troubles < plan.troubles) {
-            trouble(flight, name, RingEndCause.CUT, RejectionReason.NONE, all);
-            if (!flight.stood) {
-                trouble(flight, name, RingEndCause.TIMED_OUT, RejectionReason.NONE, all);
-                trouble(flight, name, RingEndCause.UNREACHABLE, RejectionReason.NONE, all);
-                trouble(flight, name, RingEndCause.BUSY, RejectionReason.LINES_BUSY, all);
-                for (RejectionReason blame : TURNED) {
-                    trouble(flight, name, RingEndCause.TURNED_BACK, blame, all);
+        if (!ring.established && (ring.reachesDestination() || ring.answeredBeyond)) {
+            events.add(new Event(name + " stands", () -> establish(ring)));
+        }
+        if (!ring.reachesDestination() && ring.transitOffer == null && !ring.cancelled) {
+            events.add(new Event(name + " arrives", () -> arriveAtTandem(ring)));
+        }
+        if (ring.established) {
+            events.add(new Event(name + " concludes", () -> endRing(ring, RingEndCause.CONCLUDED, RejectionReason.NONE)));
+        }
+        if (ring.cancelled) {
+            events.add(new Event(name + " is off", () -> endRing(ring, RingEndCause.CALLED_OFF, RejectionReason.NONE)));
+        } else if (failures < parameters.failures) {
+            addFailureEvent(ring, name, RingEndCause.CUT, RejectionReason.NONE, events);
+            if (!ring.established) {
+                addFailureEvent(ring, name, RingEndCause.TIMED_OUT, RejectionReason.NONE, events);
+                addFailureEvent(ring, name, RingEndCause.UNREACHABLE, RejectionReason.NONE, events);
+                addFailureEvent(ring, name, RingEndCause.BUSY, RejectionReason.LINES_BUSY, events);
+                for (RejectionReason blame : TURN_BACK_REASONS) {
+                    addFailureEvent(ring, name, RingEndCause.TURNED_BACK, blame, events);
                 }
             }
         }
     }
 
-    private void trouble(RingInFlight flight, String name, RingEndCause cause, RejectionReason blame, List<Event> all) {
-        all.add(new Event(name + " " + cause + " " + blame, () -> {
-            troubles++;
-            end(flight, cause, blame);
+    private void addFailureEvent(RingInFlight ring, String name, RingEndCause cause, RejectionReason reason, List<Event> events) {
+        events.add(new Event(name + " " + cause + " " + reason, () -> {
+            failures++;
+            endRing(ring, cause, reason);
         }));
     }
 
     private void offer(int skill) {
-        ControllerNode control = controls.get(0);
+        ControllerNode node = nodes.get(0);
         Contact contact = new Contact(
-                ++ids,
+                ++lastContactId,
                 skill,
                 70 + skill,
                 1,
                 -1,
                 1,
-                Span.ofMillis(skill == 0 ? plan.patience : plan.patience / 1.5),
+                Span.ofMillis(skill == 0 ? parameters.patience : parameters.patience / 1.5),
                 false,
                 false,
                 false);
-        control.take(new Offer(control, contact, null));
+        node.take(new Offer(node, contact, null));
     }
 
-    private void arrives(RingInFlight flight) {
-        ControllerNode control = controls.get(flight.to);
-        Contact was = flight.offer.contact;
+    private void arriveAtTandem(RingInFlight ring) {
+        ControllerNode node = nodes.get(ring.targetNumber);
+        Contact offered = ring.offer.contact;
         Contact contact = new Contact(
-                ++ids,
-                was.skill(),
-                was.dialledNumber(),
-                was.destination(),
-                flight.offer.at.number,
+                ++lastContactId,
+                offered.skill(),
+                offered.dialledNumber(),
+                offered.destination(),
+                ring.offer.node.number,
                 1,
-                Span.ofMillis(plan.patience / 2.0),
+                Span.ofMillis(parameters.patience / 2.0),
                 false,
                 true,
                 false);
-        flight.beyond = new Offer(control, contact, flight);
-        control.take(flight.beyond);
+        ring.transitOffer = new Offer(node, contact, ring);
+        node.take(ring.transitOffer);
     }
 
-    private void stands(RingInFlight flight) {
-        flight.stood = true;
-        Offer offer = flight.offer;
+    private void establish(RingInFlight ring) {
+        ring.established = true;
+        Offer offer = ring.offer;
         if (!offer.answered) {
             offer.answered = true;
             rules.contactAnswered(now, offer.key());
-            if (offer.from != null) {
-                offer.from.sure = true;
+            if (offer.incomingRing != null) {
+                offer.incomingRing.answeredBeyond = true;
             }
         }
-        offer.at.module.established(now, offer.contact.id(), flight.ring, flight.target, Span.ofMillis(10));
-        told();
+        offer.node.module.established(now, offer.contact.id(), ring.ring, ring.target, Span.ofMillis(10));
+        reportGroups();
     }
 
-    private void end(RingInFlight flight, RingEndCause cause, RejectionReason blame) {
-        if (!flights.remove(flight)) {
+    private void endRing(RingInFlight ring, RingEndCause cause, RejectionReason reason) {
+        if (!inFlight.remove(ring)) {
             return;
         }
-        Offer offer = flight.offer;
+        Offer offer = ring.offer;
         if (cause != RingEndCause.NOT_SENT) {
-            free.merge(flight.group, 1, Integer::sum);
+            freeCircuits.merge(ring.group, 1, Integer::sum);
         }
         rules.ringEnded(
                 now,
                 offer.key(),
                 cause == RingEndCause.TIMED_OUT || cause == RingEndCause.CUT || cause == RingEndCause.CALLED_OFF);
-        boolean stood = flight.stood;
-        offer.at.module.ringEnded(
+        boolean established = ring.established;
+        offer.node.module.ringEnded(
                 now,
                 new RingEnd(
                         offer.contact.id(),
-                        flight.ring,
-                        flight.target,
+                        ring.ring,
+                        ring.target,
                         cause,
-                        blame,
+                        reason,
                         Span.ofMillis(10),
                         offer.answered,
                         new float[0]));
-        if (flight.beyond != null) {
-            leaves(flight.beyond);
+        if (ring.transitOffer != null) {
+            callerLeaves(ring.transitOffer);
         }
-        if (stood && offer.from != null) {
-            end(offer.from, cause, blame);
+        if (established && offer.incomingRing != null) {
+            endRing(offer.incomingRing, cause, reason);
         }
-        told();
+        reportGroups();
     }
 
     /** The caller, or the exchange that this contact came from, wants it no more. */
-    private void leaves(Offer offer) {
+    private void callerLeaves(Offer offer) {
         if (!offer.answered) {
             offer.answered = true;
             rules.callerGone(offer.key());
-            offer.at.module.callerGone(now, offer.contact.id());
+            offer.node.module.callerGone(now, offer.contact.id());
         }
-        List.copyOf(flights).stream()
-                .filter(one -> one.offer == offer && one.stood)
-                .forEach(one -> end(one, RingEndCause.CALLED_OFF, RejectionReason.NONE));
-        told();
+        List.copyOf(inFlight).stream()
+                .filter(ring -> ring.offer == offer && ring.established)
+                .forEach(ring -> endRing(ring, RingEndCause.CALLED_OFF, RejectionReason.NONE));
+        reportGroups();
     }
 
-    private void strike(String fault) {
+    private void applyFault(String fault) {
         switch (fault) {
-            case "drains" -> listed(1, State.DRAINING, null);
-            case "gone" -> listed(1, State.GONE, null);
-            case "tandem drains" -> listed(2, State.DRAINING, null);
-            case "ready" -> listed(1, State.READY, null);
+            case "drains" -> changeEntry(1, State.DRAINING, null);
+            case "gone" -> changeEntry(1, State.GONE, null);
+            case "tandem drains" -> changeEntry(2, State.DRAINING, null);
+            case "ready" -> changeEntry(1, State.READY, null);
             case "replaced" -> {
-                listed(1, State.GONE, null);
-                lines.put(1, new SwitchEntry(201, 1, State.READY, now, 0));
-                controls.values()
-                        .forEach(one -> one.module.switchListReceived(now, ListKind.CHANGES, List.of(lines.get(1))));
-                told();
+                changeEntry(1, State.GONE, null);
+                entries.put(1, new SwitchEntry(201, 1, State.READY, now, 0));
+                nodes.values()
+                        .forEach(node -> node.module.switchListReceived(now, ListKind.CHANGES, List.of(entries.get(1))));
+                reportGroups();
             }
             case "cold" -> {
                 rules.switchStarted(now, 101, 2.5);
-                listed(1, State.READY, now);
+                changeEntry(1, State.READY, now);
             }
             case "restart" -> restart();
-            case "jammed" -> report(new float[] {-1, -1, 0, 40});
-            case "unknown" -> report(new float[] {-1, -1, Float.NaN, Float.POSITIVE_INFINITY});
+            case "jammed" -> reportProcessor(new float[] {-1, -1, 0, 40});
+            case "unknown" -> reportProcessor(new float[] {-1, -1, Float.NaN, Float.POSITIVE_INFINITY});
             case "circuits lost" -> {
-                size.put("0-1", 0);
-                free.put("0-1", 0);
-                told();
+                groupSizes.put("0-1", 0);
+                freeCircuits.put("0-1", 0);
+                reportGroups();
             }
             default -> throw new IllegalArgumentException(fault);
         }
     }
 
-    private void report(float[] said) {
-        controls.values()
-                .forEach(one -> one.module.switchReported(now, 101, true, Span.ZERO, new float[] {
-                    free.get(group(one.number, 1)), size.get(group(one.number, 1)), said[2], said[3]
+    private void reportProcessor(float[] report) {
+        nodes.values()
+                .forEach(node -> node.module.switchReported(now, 101, true, Span.ZERO, new float[] {
+                    freeCircuits.get(group(node.number, 1)), groupSizes.get(group(node.number, 1)), report[2], report[3]
                 }));
     }
 
-    private void listed(int number, State state, Moment started) {
-        SwitchEntry was = lines.get(number);
-        lines.put(number, new SwitchEntry(was.id(), number, state, started, 0));
-        controls.values().forEach(one -> {
-            rules.setDraining(now, "" + one.number, was.id(), state != State.READY);
-            one.module.switchListReceived(now, ListKind.CHANGES, List.of(lines.get(number)));
+    private void changeEntry(int number, State state, Moment startedAt) {
+        SwitchEntry previous = entries.get(number);
+        entries.put(number, new SwitchEntry(previous.id(), number, state, startedAt, 0));
+        nodes.values().forEach(node -> {
+            rules.setDraining(now, "" + node.number, previous.id(), state != State.READY);
+            node.module.switchListReceived(now, ListKind.CHANGES, List.of(entries.get(number)));
         });
     }
 
     /** The controller at 0 dies, and what it held with it; the next one has nothing but the list. */
     private void restart() {
-        ControllerNode dead = controls.get(0);
-        controls.put(0, new ControllerNode(0, dead.life + 1));
-        dead.offers.values().forEach(offer -> rules.callerGone(offer.key()));
-        for (RingInFlight flight : List.copyOf(flights)) {
-            if (flight.offer.at == dead && flights.remove(flight)) {
-                free.merge(flight.group, 1, Integer::sum);
-                if (flight.beyond != null) {
-                    leaves(flight.beyond);
+        ControllerNode stopped = nodes.get(0);
+        nodes.put(0, new ControllerNode(0, stopped.generation + 1));
+        stopped.offers.values().forEach(offer -> rules.callerGone(offer.key()));
+        for (RingInFlight ring : List.copyOf(inFlight)) {
+            if (ring.offer.node == stopped && inFlight.remove(ring)) {
+                freeCircuits.merge(ring.group, 1, Integer::sum);
+                if (ring.transitOffer != null) {
+                    callerLeaves(ring.transitOffer);
                 }
             }
         }
-        controls.get(0).begin(ListKind.CACHED);
+        nodes.get(0).begin(ListKind.CACHED);
     }
 
     /** Each end of a group is told of it. */
-    private void told() {
-        for (ControllerNode control : controls.values()) {
-            for (int far = 0; far < 3; far++) {
-                Integer spare = far == control.number ? null : free.get(group(control.number, far));
-                if (spare != null) {
-                    control.module.switchReported(now, lines.get(far).id(), true, Span.ZERO, new float[] {
-                        Math.max(0, spare), size.get(group(control.number, far)), -1, -1
+    private void reportGroups() {
+        for (ControllerNode node : nodes.values()) {
+            for (int farNumber = 0; farNumber < 3; farNumber++) {
+                Integer free = farNumber == node.number ? null : freeCircuits.get(group(node.number, farNumber));
+                if (free != null) {
+                    node.module.switchReported(now, entries.get(farNumber).id(), true, Span.ZERO, new float[] {
+                        Math.max(0, free), groupSizes.get(group(node.number, farNumber)), -1, -1
                     });
                 }
             }
@@ -408,20 +408,20 @@
 
     @Override
     public void checkQuiescent() {
-        for (ControllerNode control : controls.values()) {
-            if (!control.logic.contactManager.openContacts.isEmpty()) {
-                rules.addViolation("quiet", "open at " + control.number + " " + control.logic.contactManager.openContacts.keySet());
+        for (ControllerNode node : nodes.values()) {
+            if (!node.policy.contactManager.openContacts.isEmpty()) {
+                rules.addViolation("quiet", "open at " + node.number + " " + node.policy.contactManager.openContacts.keySet());
             }
             for (long id : new long[] {100, 101, 102, 201}) {
-                RoutingPolicy.Switch one = control.logic.switchById(id);
-                int held = java.util.Arrays.stream(one.heldBySkill).sum();
-                if (held != 0 || !one.inFlight.isEmpty() || !one.established.isEmpty() || !one.waitingRequests.isEmpty()) {
+                RoutingPolicy.Switch trunkSwitch = node.policy.switchById(id);
+                int held = java.util.Arrays.stream(trunkSwitch.heldBySkill).sum();
+                if (held != 0 || !trunkSwitch.inFlight.isEmpty() || !trunkSwitch.established.isEmpty() || !trunkSwitch.waitingRequests.isEmpty()) {
                     rules.addViolation(
                             "quiet",
-                            control.number + " holds " + held + " circuits toward " + id
-                                    + ", rings " + one.inFlight.keySet() + ", standing " + one.established.keySet()
+                            node.number + " holds " + held + " circuits toward " + id
+                                    + ", rings " + trunkSwitch.inFlight.keySet() + ", standing " + trunkSwitch.established.keySet()
                                     + ", waiting "
-                                    + one.waitingRequests.size());
+                                    + trunkSwitch.waitingRequests.size());
                 }
             }
         }
@@ -429,15 +429,15 @@
 
     final class ControllerNode implements Orders {
         final int number;
-        final int life;
-        final RoutingPolicy logic;
+        final int generation;
+        final RoutingPolicy policy;
         final Controller module;
         final Map<Long, Offer> offers = new LinkedHashMap<>();
-        private final Map<Long, Integer> rings = new HashMap<>();
+        private final Map<Long, Integer> ringCounts = new HashMap<>();
 
-        ControllerNode(int number, int life) {
+        ControllerNode(int number, int generation) {
             this.number = number;
-            this.life = life;
+            this.generation = generation;
             Map<String, String> settings = new HashMap<>(new martenslip.ExchangeFixture().settings);
             settings.putAll(Map.of(
                     "classes.0.aim-ns",
@@ -449,11 +449,11 @@
                     "family-info.home-no",
                     "" + number,
                     "family-info.release-ns",
-                    "" + RELEASE.ns(),
+                    "" + RELEASE_TIME.ns(),
                     "round-ns",
-                    "" + ROUND.ns(),
+                    "" + TIMER_ROUND.ns(),
                     "guarantees.warm-within-ns",
-                    "" + WARM.ns(),
+                    "" + WARM_UP_TIME.ns(),
                     "guarantees.fall-multiple",
                     "3",
                     "report.fields",
@@ -462,65 +462,65 @@
                     "3"));
             settings.put("classes.0.hard-limit-ns", "600000000");
             settings.put("classes.1.hard-limit-ns", "400000000");
-            logic = new RoutingPolicy(settings, 7, now, spoilsOrders.apply(this));
-            module = spoils.apply(logic);
+            policy = new RoutingPolicy(settings, 7, now, ordersInterceptor.apply(this));
+            module = controllerInterceptor.apply(policy);
         }
 
         void begin(ListKind kind) {
-            module.switchListReceived(now, kind, List.copyOf(lines.values()));
-            lines.values().forEach(line -> rules.setDraining(now, "" + number, line.id(), line.state() != State.READY));
-            told();
+            module.switchListReceived(now, kind, List.copyOf(entries.values()));
+            entries.values().forEach(entry -> rules.setDraining(now, "" + number, entry.id(), entry.state() != State.READY));
+            reportGroups();
         }
 
         void take(Offer offer) {
             offers.put(offer.contact.id(), offer);
             rules.contactTaken(offer.key(), now.plus(offer.contact.patience()));
-            after(offer.contact.patience().plus(new Span(1)), () -> {
-                if (!offer.answered && life == controls.get(number).life) {
-                    leaves(offer);
+            schedule(offer.contact.patience().plus(new Span(1)), () -> {
+                if (!offer.answered && generation == nodes.get(number).generation) {
+                    callerLeaves(offer);
                 }
             });
             module.contactOffered(now, offer.contact);
-            told();
+            reportGroups();
         }
 
         @Override
         public void ring(long contact, long target, Span limit) {
             Offer offer = offers.get(contact);
-            int ring = rings.merge(contact, 1, Integer::sum) - 1;
-            RingInFlight flight = new RingInFlight(offer, ring, target);
+            int ring = ringCounts.merge(contact, 1, Integer::sum) - 1;
+            RingInFlight inFlightRing = new RingInFlight(offer, ring, target);
             rules.ringSent(now, "" + number, offer.key(), target);
-            flights.add(flight);
-            if (free.getOrDefault(flight.group, 0) < 1) {
-                flight.back = RingEndCause.NOT_SENT;
+            inFlight.add(inFlightRing);
+            if (freeCircuits.getOrDefault(inFlightRing.group, 0) < 1) {
+                inFlightRing.refusal = RingEndCause.NOT_SENT;
                 return;
             }
-            free.merge(flight.group, -1, Integer::sum);
-            after(limit, () -> {
-                if (!flight.stood) {
-                    end(flight, RingEndCause.TIMED_OUT, RejectionReason.NONE);
+            freeCircuits.merge(inFlightRing.group, -1, Integer::sum);
+            schedule(limit, () -> {
+                if (!inFlightRing.established) {
+                    endRing(inFlightRing, RingEndCause.TIMED_OUT, RejectionReason.NONE);
                 }
             });
         }
 
         @Override
         public void cancel(long contact, int ring) {
-            flights.stream()
-                    .filter(one -> one.offer.contact.id() == contact && one.ring == ring)
-                    .forEach(one -> one.calledOff = true);
+            inFlight.stream()
+                    .filter(inFlightRing -> inFlightRing.offer.contact.id() == contact && inFlightRing.ring == ring)
+                    .forEach(inFlightRing -> inFlightRing.cancelled = true);
         }
 
         private void answered(long contact) {
             Offer offer = offers.get(contact);
             rules.contactAnswered(now, offer.key());
             offer.answered = true;
-            if (offer.from != null) {
-                offer.from.back = RingEndCause.TURNED_BACK;
+            if (offer.incomingRing != null) {
+                offer.incomingRing.refusal = RingEndCause.TURNED_BACK;
             }
         }
 
         @Override
-        public void defer(long contact, Span comeBack) {
+        public void defer(long contact, Span retryAfter) {
             answered(contact);
         }
 
@@ -531,10 +531,10 @@
 
         @Override
         public void startTimer(Span delay, long token) {
-            after(plan.late ? delay.plus(ROUND) : delay, () -> {
-                if (controls.get(number) == this) {
+            schedule(parameters.lateTimers ? delay.plus(TIMER_ROUND) : delay, () -> {
+                if (nodes.get(number) == this) {
                     module.timerExpired(now, token);
-                    told();
+                    reportGroups();
                 }
             });
         }
@@ -550,7 +550,7 @@
         }
 
         @Override
-        public void watchSwitchList(boolean on) {
+        public void watchSwitchList(boolean enabled) {
             // The list is told unasked.
         }
 
--- a/src/test/java/martenslip/tracking/ContactRegistryTest.java
+++ b/src/test/java/martenslip/tracking/ContactRegistryTest.java
@@ -24,13 +24,13 @@
 import org.testng.annotations.Test;
 
 public class ContactRegistryTest {
-    private final List<String> heard = new ArrayList<>();
-    private ContactRegistry roll;
+    private final List<String> notifications = new ArrayList<>();
+    private ContactRegistry registry;
 
     @BeforeMethod
-    public void begin() {
-        heard.clear();
-        Map<String, Function<Object[], String>> texts = Map.of(
+    public void setUp() {
+        notifications.clear();
+        Map<String, Function<Object[], String>> descriptions = Map.of(
                 "contactOffered",
                 values -> "offered " + ((Contact) values[1]).id() + " left "
                         + ((Contact) values[1]).patience().ns() / 1_000_000,
@@ -41,19 +41,19 @@
                 values -> "stands " + values[1] + " " + values[2]);
         Set<String> methods =
                 Stream.of(Controller.class.getMethods()).map(Method::getName).collect(Collectors.toSet());
-        assertTrue(methods.containsAll(texts.keySet()), texts.keySet() + ", but there are " + methods);
+        assertTrue(methods.containsAll(descriptions.keySet()), descriptions.keySet() + ", but there are " + methods);
         Controller module = (Controller) Proxy.newProxyInstance(
                 Controller.class.getClassLoader(), new Class<?>[] {Controller.class}, (proxy, method, values) -> {
-                    heard.add(texts.getOrDefault(method.getName(), given -> method.getName() + " " + given[1])
+                    notifications.add(descriptions.getOrDefault(method.getName(), arguments -> method.getName() + " " + arguments[1])
                             .apply(values));
                     return null;
                 });
-        roll = new ContactRegistry(
-                module, Span.ofMillis(500), (contact, ring) -> heard.add("call off " + contact + " " + ring));
+        registry = new ContactRegistry(
+                module, Span.ofMillis(500), (contact, ring) -> notifications.add("call off " + contact + " " + ring));
     }
 
-    private static Moment at(double ms) {
-        return new Moment(Span.ofMillis(ms).ns());
+    private static Moment at(double milliseconds) {
+        return new Moment(Span.ofMillis(milliseconds).ns());
     }
 
     private static Contact contact(long id) {
@@ -64,109 +64,109 @@
         return new RingEnd(contact, ring, 9, cause, RejectionReason.NONE, Span.ZERO, false, new float[0]);
     }
 
-    private static ContactRegistry.LaneContact held(
-            long id, int rings, int out, boolean stood, boolean answered, Moment heldUntil) {
-        return new ContactRegistry.LaneContact(contact(id), at(0), rings, out, 9, stood, answered, heldUntil);
+    private static ContactRegistry.LaneContact laneContact(
+            long id, int ringCount, int inFlightRing, boolean established, boolean answered, Moment heldRingEndedAt) {
+        return new ContactRegistry.LaneContact(contact(id), at(0), ringCount, inFlightRing, 9, established, answered, heldRingEndedAt);
     }
 
-    private List<String> said() {
-        List<String> all = List.copyOf(heard);
-        heard.clear();
+    private List<String> takeNotifications() {
+        List<String> all = List.copyOf(notifications);
+        notifications.clear();
         return all;
     }
 
     @Test
-    public void eachThingIsToldOnceAndTheRollEndsEmpty() {
-        roll.contactOffered(at(0), contact(4), 0);
-        roll.contactOffered(at(0), contact(4), 0);
-        assertEquals(roll.ringOrdered(4, 9), 0);
-        assertTrue(roll.ringEnded(at(1), end(4, 0, RingEndCause.TURNED_BACK)));
-        assertFalse(roll.ringEnded(at(1), end(4, 0, RingEndCause.TURNED_BACK)));
-        assertEquals(roll.ringOrdered(4, 9), 1);
-        roll.established(at(2), 4, 0, 9, Span.ZERO);
-        roll.established(at(2), 4, 1, 9, Span.ZERO);
-        roll.established(at(2), 4, 1, 9, Span.ZERO);
-        roll.callerGone(at(3), 4);
-        roll.ringEnded(at(4), end(4, 1, RingEndCause.CONCLUDED));
+    public void notifiesEachEventOnceAndEndsEmpty() {
+        registry.contactOffered(at(0), contact(4), 0);
+        registry.contactOffered(at(0), contact(4), 0);
+        assertEquals(registry.ringOrdered(4, 9), 0);
+        assertTrue(registry.ringEnded(at(1), end(4, 0, RingEndCause.TURNED_BACK)));
+        assertFalse(registry.ringEnded(at(1), end(4, 0, RingEndCause.TURNED_BACK)));
+        assertEquals(registry.ringOrdered(4, 9), 1);
+        registry.established(at(2), 4, 0, 9, Span.ZERO);
+        registry.established(at(2), 4, 1, 9, Span.ZERO);
+        registry.established(at(2), 4, 1, 9, Span.ZERO);
+        registry.callerGone(at(3), 4);
+        registry.ringEnded(at(4), end(4, 1, RingEndCause.CONCLUDED));
         assertEquals(
-                said(), List.of("offered 4 left 4000", "ended 4 0 TURNED_BACK", "stands 4 1", "ended 4 1 CONCLUDED"));
-        assertEquals(roll.size(), 0);
-        assertEquals(roll.ringOrdered(4, 9), -1);
+                takeNotifications(), List.of("offered 4 left 4000", "ended 4 0 TURNED_BACK", "stands 4 1", "ended 4 1 CONCLUDED"));
+        assertEquals(registry.size(), 0);
+        assertEquals(registry.ringOrdered(4, 9), -1);
     }
 
     @Test
-    public void aReplacedLaneTellsWhatWasLost() {
+    public void replacedLaneReportsLostEvents() {
         for (long id = 1; id <= 6; id++) {
-            roll.contactOffered(at(0), contact(id), 2);
+            registry.contactOffered(at(0), contact(id), 2);
         }
-        roll.contactOffered(at(0), contact(9), 1);
+        registry.contactOffered(at(0), contact(9), 1);
         for (long id = 2; id <= 6; id++) {
-            roll.ringOrdered(id, 9);
+            registry.ringOrdered(id, 9);
         }
-        said();
+        takeNotifications();
         // 1 waits, 2 rings still, 3 stands and 4 timed out unheard, 5's order is in the inbox, 6 is gone altogether.
-        roll.reconcileLane(
+        registry.reconcileLane(
                 at(100),
                 2,
                 List.of(
-                        held(1, 0, -1, false, false, null),
-                        held(2, 1, 0, false, false, null),
-                        held(3, 1, 0, true, true, null),
-                        held(4, 1, -1, false, false, at(90)),
-                        held(5, 0, -1, false, false, null),
-                        held(7, 0, -1, false, false, null)));
-        assertEquals(said(), List.of("stands 3 0", "ended 4 0 TIMED_OUT", "callerGone 6", "ended 6 0 CUT"));
-        roll.offerDue(at(100));
-        assertEquals(said(), List.of("offered 7 left 3900"), "its offer had been lost");
-        assertTrue(roll.ringEnded(at(200), end(5, 0, RingEndCause.TIMED_OUT)));
+                        laneContact(1, 0, -1, false, false, null),
+                        laneContact(2, 1, 0, false, false, null),
+                        laneContact(3, 1, 0, true, true, null),
+                        laneContact(4, 1, -1, false, false, at(90)),
+                        laneContact(5, 0, -1, false, false, null),
+                        laneContact(7, 0, -1, false, false, null)));
+        assertEquals(takeNotifications(), List.of("stands 3 0", "ended 4 0 TIMED_OUT", "callerGone 6", "ended 6 0 CUT"));
+        registry.offerDue(at(100));
+        assertEquals(takeNotifications(), List.of("offered 7 left 3900"), "its offer had been lost");
+        assertTrue(registry.ringEnded(at(200), end(5, 0, RingEndCause.TIMED_OUT)));
     }
 
     @Test
-    public void aNewModuleWaitsForTheReleaseOfWhatAnotherSent() {
-        roll.reconcileLane(
+    public void newModuleWaitsForTheReleaseTimeOfForeignRings() {
+        registry.reconcileLane(
                 at(1000),
                 0,
                 List.of(
-                        held(1, 1, -1, false, false, at(900)),
-                        held(2, 2, 1, false, false, null),
-                        held(3, 1, 0, true, true, null),
-                        held(4, 1, -1, false, true, null),
-                        held(5, 0, -1, false, false, null)));
-        assertEquals(roll.nextOfferAt(), at(1000));
-        roll.offerDue(at(1000));
-        assertEquals(said(), List.of("offered 5 left 3000"));
+                        laneContact(1, 1, -1, false, false, at(900)),
+                        laneContact(2, 2, 1, false, false, null),
+                        laneContact(3, 1, 0, true, true, null),
+                        laneContact(4, 1, -1, false, true, null),
+                        laneContact(5, 0, -1, false, false, null)));
+        assertEquals(registry.nextOfferAt(), at(1000));
+        registry.offerDue(at(1000));
+        assertEquals(takeNotifications(), List.of("offered 5 left 3000"));
         // 1's ring was given up at 900 and may hold something until 1400.
-        roll.offerDue(at(1399));
-        assertEquals(said(), List.of());
-        roll.offerDue(at(1400));
-        assertEquals(said(), List.of("offered 1 left 2600"));
-        assertEquals(roll.ringOrdered(1, 9), 1, "the lane's own count goes on");
-        roll.ringEnded(at(1500), end(1, 1, RingEndCause.TURNED_BACK));
-        assertEquals(said(), List.of("ended 1 0 TURNED_BACK"), "the module's begins at 0");
+        registry.offerDue(at(1399));
+        assertEquals(takeNotifications(), List.of());
+        registry.offerDue(at(1400));
+        assertEquals(takeNotifications(), List.of("offered 1 left 2600"));
+        assertEquals(registry.ringOrdered(1, 9), 1, "the lane's own count goes on");
+        registry.ringEnded(at(1500), end(1, 1, RingEndCause.TURNED_BACK));
+        assertEquals(takeNotifications(), List.of("ended 1 0 TURNED_BACK"), "the module's begins at 0");
         // 2's ring is another's: its end is not told, and the contact is offered once it may be sent again.
-        roll.ringEnded(at(1600), end(2, 1, RingEndCause.TIMED_OUT));
-        roll.offerDue(at(2099));
-        assertEquals(said(), List.of());
-        roll.offerDue(at(2100));
-        assertEquals(said(), List.of("offered 2 left 1900"));
-        roll.ringEnded(at(3000), end(3, 0, RingEndCause.CONCLUDED));
-        assertEquals(said(), List.of());
+        registry.ringEnded(at(1600), end(2, 1, RingEndCause.TIMED_OUT));
+        registry.offerDue(at(2099));
+        assertEquals(takeNotifications(), List.of());
+        registry.offerDue(at(2100));
+        assertEquals(takeNotifications(), List.of("offered 2 left 1900"));
+        registry.ringEnded(at(3000), end(3, 0, RingEndCause.CONCLUDED));
+        assertEquals(takeNotifications(), List.of());
     }
 
     @Test
-    public void aCallerWhoGivesUpOnAnothersRingHasItCalledOff() {
-        roll.reconcileLane(at(0), 0, List.of(held(2, 2, 1, false, false, null)));
-        roll.callerGone(at(10), 2);
-        assertEquals(said(), List.of("call off 2 1"));
-        roll.ringEnded(at(20), end(2, 1, RingEndCause.CALLED_OFF));
-        assertEquals(roll.size(), 0);
-        assertEquals(said(), List.of());
+    public void callerGoneCancelsAForeignRing() {
+        registry.reconcileLane(at(0), 0, List.of(laneContact(2, 2, 1, false, false, null)));
+        registry.callerGone(at(10), 2);
+        assertEquals(takeNotifications(), List.of("call off 2 1"));
+        registry.ringEnded(at(20), end(2, 1, RingEndCause.CALLED_OFF));
+        assertEquals(registry.size(), 0);
+        assertEquals(takeNotifications(), List.of());
     }
 
     @Test
-    public void patienceThatIsOverIsNotOffered() {
-        roll.reconcileLane(at(3990), 0, List.of(held(1, 1, -1, false, false, at(3900))));
-        roll.offerDue(at(4400));
-        assertEquals(said(), List.of());
+    public void contactWithoutPatienceIsNotOffered() {
+        registry.reconcileLane(at(3990), 0, List.of(laneContact(1, 1, -1, false, false, at(3900))));
+        registry.offerDue(at(4400));
+        assertEquals(takeNotifications(), List.of());
     }
 }
