--- a/src/main/java/martenslip/RoutingPolicy.java
+++ b/src/main/java/martenslip/RoutingPolicy.java
@@ -4,15 +4,16 @@
 import java.util.*;
 import martenslip.control.*;
 
-/*
- * The module: every decision of martenslip. A program makes one Logic for each exchange, tells it what
- * happens through martenslip.control.Controller and carries out what it orders through its Orders. A call
- * becomes notes in inboxes, which one loop empties before the call returns. See docs/design.md.
+/**
+ * The module: makes every routing decision. A program creates one for each exchange, notifies it of events through
+ * {@link Controller} and carries out the {@link Orders} it gives. Each event becomes messages in the inboxes of actors,
+ * and one loop empties all inboxes before the call returns. See docs/design.md.
  */
 public final class RoutingPolicy implements Controller {
-    // Thresholds of urgent demand: the paper's but for the first, as 11.2% is never met at a few urgent
-    // contacts in a hundred, and a full group then keeps nothing for them. Table 2's upper limits over their
-    // stage's total: emergency, gold, silver, bronze.
+    // Shares of a group by stage of urgent demand. The thresholds (urgent demand over the group's size) are the
+    // paper's, except the first: its 11.2% is never reached when a few contacts in a hundred are urgent, and a full
+    // group would then keep no circuits for them. The shares are the upper limits in table 2 of the paper, divided
+    // by the total of their stage: emergency, gold, silver, bronze.
     static final double[] STAGE_DEMAND_THRESHOLDS = {0.02, 0.256, 0.40, 0.60};
     static final double[][] STAGE_SHARES = {
         {0.112, 0.400, 0.428, 0.060},
@@ -21,27 +22,40 @@
         {0.600, 0.137, 0.235, 0.028},
         {0.800, 0.163, 0.037, 0.000}
     };
-    // Binding levels, in square roots of the group's size: the spread of circuits held by chance arrivals.
-    // They bind early for a contact over a tandem, which takes circuits of two groups, and for a late one.
-    static final double NEAR_FULL_LEVEL_SQRT_SIZE = 0.15, EARLY_NEAR_FULL_LEVEL_SQRT_SIZE = 0.5;
-    static final double WEIGHT_GAIN_FACTOR = 0.3, WEIGHT_LOSS_FACTOR = 0.5, INITIAL_WEIGHT = 0.6, MIN_WEIGHT = 0.05;
-    // The part of its capacity that a processor is taken to be loaded with on an ordinary day.
+    // Free circuits below which the shares apply, in square roots of the group's size, the standard deviation of the
+    // number of circuits held by random arrivals. The early level is for contacts over a tandem, which take circuits
+    // of two groups, and for late contacts.
+    static final double NEAR_FULL_LEVEL_SQRT_SIZE = 0.15;
+    static final double EARLY_NEAR_FULL_LEVEL_SQRT_SIZE = 0.5;
+    // Weights of tandems, from 0 (never drawn) to 1.
+    static final double WEIGHT_GAIN_FACTOR = 0.3;
+    static final double WEIGHT_LOSS_FACTOR = 0.5;
+    static final double INITIAL_WEIGHT = 0.6;
+    static final double MIN_WEIGHT = 0.05;
+    /** Assumed load of a processor on an ordinary day, as a share of its capacity. */
     static final double USUAL_LOAD_SHARE = 0.8;
-    // What is sent to a cold switch over its part of the usual: well under the rule's multiple.
+    /** Limit of the rate sent to a cold switch, over its share of the usual rate; well below the rule's multiple. */
     static final double MAX_COLD_USUAL_RATIO = 1.25;
-    // The work of a message that waits at a processor, in set-ups: most are looks, answers and repeats.
+    /** Work of a message in a processor's queue, in set-ups; most are queries, answers and retransmissions. */
     static final double SET_UPS_PER_QUEUED_MESSAGE = 0.4;
-    // More set-ups, messages or milliseconds than any processor has: such a figure is a fault of its report.
+    /** More set-ups, messages or milliseconds than any processor can have; a larger value is a faulty report. */
     static final double MAX_REPORTED_VALUE = 1e6;
-    // Rings out that one switch may count for; how much readier a late contact is kept back; the gap
-    // between trials of a silent switch, in turns; exchanges whose trials together are no load on one.
-    static final int MAX_COUNTED_RINGS_PER_SWITCH = 3, LATE_REJECTION_FACTOR = 3, SILENT_TRIAL_GAP_INTERVALS = 4;
+    /** How many rings in flight toward one switch are counted. */
+    static final int MAX_COUNTED_RINGS_PER_SWITCH = 3;
+    /** Multiplies the rejection share of late contacts. */
+    static final int LATE_REJECTION_FACTOR = 3;
+    /** Time between trials of a silent switch, in trial intervals. */
+    static final int SILENT_TRIAL_GAP_INTERVALS = 4;
+    /** Number of exchanges whose trials within one answer target together are no load on a switch. */
     static final double EXCHANGES_PER_TRIAL_TARGET = 6;
-    // The part of its answer target that a contact may wait for a circuit, the rest is for the set-up; and
-    // the part after which it looks again where its own processor had no room.
-    static final double CIRCUIT_WAIT_TARGET_SHARE = 0.5, RETRY_DELAY_TARGET_SHARE = 0.25;
+    /** Share of its answer target that a contact may wait for a circuit; the rest is for the set-up. */
+    static final double CIRCUIT_WAIT_TARGET_SHARE = 0.5;
+    /** Delay, as a share of the urgent answer target, of the retry after the home switch's processor had no room. */
+    static final double RETRY_DELAY_TARGET_SHARE = 0.25;
+
     static final Moment NEVER = new Moment(Long.MIN_VALUE / 4);
 
+    /** Why a switch or group denied a circuit. */
     enum DenialReason {
         SHARE_EXCEEDED,
         GROUP_FULL,
@@ -50,7 +64,7 @@
         SWITCH_UNAVAILABLE
     }
 
-    /** A note in an inbox; it knows which part of its reader takes it. */
+    /** A message in an actor's inbox; it calls the receiver's method that handles it. */
     interface Message<A> {
         void deliverTo(A receiver);
     }
@@ -97,7 +111,7 @@
         }
     }
 
-    /** A contact looks for its next ring: first at the own exchange's switch, then at its destination's. */
+    /** A contact requests a circuit for its next ring: first from the home switch, then from its destination. */
     record CircuitRequest(
             Contact contact,
             Skill skill,
@@ -120,13 +134,14 @@
             return skill.rank == 0;
         }
 
-        /** Its answer target began with the first try: a cheap contact past it pays little and goes last. */
+        /** The answer target counts from the first try; a cheap contact past it is worth little and is served last. */
         boolean isLate(Moment now) {
             return !isUrgent() && !now.before(firstTryAt.plus(skill.target));
         }
 
         CircuitRequest asRetry() {
-            return new CircuitRequest(contact, skill, destination, false, waitUntil, ringsInFlight, firstTryAt, triedSwitches);
+            return new CircuitRequest(
+                    contact, skill, destination, false, waitUntil, ringsInFlight, firstTryAt, triedSwitches);
         }
     }
 
@@ -197,18 +212,19 @@
         }
     }
 
-    /** A skill as the settings describe it; rank 0 is the urgent one, the row its place in the paper. */
+    /** A skill from the settings. Rank 0 is the urgent one; {@code shareRow} is its column in the stage shares. */
     record Skill(int id, int rank, int shareRow, int width, Span target, Span meanHold, List<String> pools) {
-        /** With pools in place of a mesh a skill has only some of them. */
+        /** Where exchanges form pools instead of a full mesh, a skill may use only some of them as tandems. */
         boolean mayUseTandem(int tandemNumber) {
             return pools.contains("") || pools.contains("" + tandemNumber);
         }
     }
 
-    /** A histogram over doubling bins below a scale, halved each third period; one bin makes it a count. */
+    /** A histogram of spans whose counts are halved every three periods. Bin widths double; one bin makes it a count. */
     static final class DecayingHistogram {
         final double[] binCounts;
-        final Span maxSpan, period;
+        final Span maxSpan;
+        final Span period;
         final Moment startedAt;
         long halvings;
 
@@ -238,16 +254,17 @@
             binCounts[bin] += amount;
         }
 
-        /** The mean for one period; while young, over what has passed but not under a whole period. */
+        /** Mean count per period; at the start, over the time that has passed, but at least one period. */
         double mean(Moment now) {
             double effectivePeriods = 3 * (1 + decay(now) - halvings - Math.pow(0.5, halvings));
             return Arrays.stream(binCounts).sum() / Math.max(1, effectivePeriods);
         }
 
-        /** The upper edge of the bin that holds this part of what was seen; zero where too little was. */
+        /** Upper edge of the bin that contains this quantile; zero if too little was counted. */
         Span quantile(double fraction, Moment now) {
             decay(now);
-            double total = Arrays.stream(binCounts).sum(), remaining = total * fraction;
+            double total = Arrays.stream(binCounts).sum();
+            double remaining = total * fraction;
             for (int i = 0; total >= 1 && i < binCounts.length; i++) {
                 remaining -= binCounts[i];
                 if (remaining <= 0) {
@@ -262,6 +279,7 @@
         return new DecayingHistogram(1, period, period, now);
     }
 
+    /** Handles the messages of its inbox one at a time. */
     class Actor<A extends Actor<A>> {
         private final ArrayDeque<Message<A>> inbox = new ArrayDeque<>();
 
@@ -278,8 +296,8 @@
                 try {
                     inbox.peek().deliverTo((A) this);
                 } catch (RuntimeException fault) {
-                    // It costs this piece of news; left in there, it would keep later ones from being read.
-                    // A fault that comes often has no trace.
+                    // The faulty message is dropped; left in the inbox, it would block the later ones. The stack
+                    // trace may be empty: the JVM omits it for a fault that occurs often.
                     orders.log("fault: " + fault + " at "
                             + Arrays.stream(fault.getStackTrace()).limit(1).toList());
                 } finally {
@@ -289,31 +307,44 @@
         }
     }
 
-    /** A ring's circuits on the group; since is null once the contact stands. */
+    /** Circuits that a ring holds on the group; {@code sentAt} is null once the contact is established. */
     private record HeldCircuits(Skill skill, int width, Moment sentAt) {}
 
-    /** What time mends, but for 0: no group leads on there. */
+    /** A tandem's weight when last updated; it recovers with time unless 0, which means the tandem has no group there. */
     private record TandemWeight(double value, Moment updatedAt) {}
 
+    /** A switch, its processor, and the group of circuits toward it. */
     final class Switch extends Actor<Switch> {
         final long id;
-        int number = -1, zone = -1;
+        int number = -1;
+        int zone = -1;
         SwitchEntry.State state = SwitchEntry.State.GONE;
         Moment startedAt;
-        int freeCircuits, groupSize;
-        // Apart, as what stands is many times what is out, and each contact asks for the first one out.
-        final Map<Long, HeldCircuits> inFlight = new LinkedHashMap<>(), established = new HashMap<>();
+        int freeCircuits;
+        int groupSize;
+        // Separate maps: far more contacts are established than in flight, and each request reads the oldest in flight.
+        final Map<Long, HeldCircuits> inFlight = new LinkedHashMap<>();
+        final Map<Long, HeldCircuits> established = new HashMap<>();
         final int[] heldBySkill = new int[readSkills.length];
         final DecayingHistogram urgentDemand = newCount(urgentSkill.meanHold);
         Map<Integer, TandemWeight> tandemWeights = new TreeMap<>();
         final List<CircuitRequest> waitingRequests = new ArrayList<>();
-        boolean retryTimerRunning, unresponsive;
-        final DecayingHistogram setUpTimes = new DecayingHistogram(8, maxPatience, urgentSkill.target.times(1 / 3.0), now);
-        final DecayingHistogram sentRings = newCount(urgentSkill.target),
-                establishedCount = newCount(urgentSkill.target),
-                requestCount = newCount(urgentSkill.target);
-        double warmSendRate, coldBudget, capacityCut, usualCapacity, queueDepth;
-        Moment coldBudgetAt = now, lastResponseAt = now, nextTrialAt = NEVER, reportedAt = NEVER;
+        boolean retryTimerRunning;
+        boolean unresponsive;
+        final DecayingHistogram setUpTimes =
+                new DecayingHistogram(8, maxPatience, urgentSkill.target.times(1 / 3.0), now);
+        final DecayingHistogram sentRings = newCount(urgentSkill.target);
+        final DecayingHistogram establishedCount = newCount(urgentSkill.target);
+        final DecayingHistogram requestCount = newCount(urgentSkill.target);
+        double warmSendRate;
+        double coldBudget;
+        double capacityCut;
+        double usualCapacity;
+        double queueDepth;
+        Moment coldBudgetAt = now;
+        Moment lastResponseAt = now;
+        Moment nextTrialAt = NEVER;
+        Moment reportedAt = NEVER;
         Span queueWait = Span.ZERO;
 
         Switch(long id) {
@@ -322,7 +353,8 @@
 
         void contactEstablished(long contact, Span setUpTime) {
             if (isSilent()) {
-                // It may have been cut off together with others, which else wait for their trials one by one.
+                // Other switches of its zone may have been cut off with it and would wait for their own trials one by
+                // one.
                 switches.values().stream()
                         .filter(other -> other.zone == zone)
                         .forEach(other -> other.enqueue(new AllowTrial()));
@@ -338,14 +370,15 @@
 
         void listEntryReceived(SwitchEntry entry) {
             number = entry.number();
-            // A machine that takes another's place keeps its groups, and so what was learned of them.
+            // A machine that replaces another keeps its groups, and so the weights learned for them.
             tandemWeights = weightsByDestination.computeIfAbsent(number, any -> new TreeMap<>());
             state = entry.state();
             zone = entry.zone();
             if (entry.startedAt() != null && (startedAt == null || startedAt.before(entry.startedAt()))) {
-                // What was known of the processor that ran before says nothing of this one.
+                // Reports of the previous processor say nothing about this one.
                 startedAt = entry.startedAt();
-                // One share of many senders is a fraction of a contact: who may send one early is drawn.
+                // With many senders the share of each is a fraction of a contact; a random start decides who sends
+                // early.
                 coldBudget = random.nextDouble();
                 coldBudgetAt = now;
                 responseReceived();
@@ -363,7 +396,7 @@
                 }
             }
             for (int i = 2; i < report.length && i < reportFields.size(); i++) {
-                // No number, or more than any processor does, was not told: it would be learned for good.
+                // NaN and impossibly large values are ignored; the learned capacity would not recover from them.
                 double value = report[i] <= MAX_REPORTED_VALUE ? report[i] : -1;
                 reportedAt = value < 0 ? reportedAt : now;
                 switch (value < 0 ? "" : reportFields.get(i)) {
@@ -372,8 +405,9 @@
                     case "mean_ms" -> queueWait = Span.ofMillis(value);
                     case "allowed" -> {
                         usualCapacity += (value - usualCapacity) * (value > usualCapacity ? 0.2 : 0.002);
-                        // One that takes nothing at the first word is jammed, not free.
-                        capacityCut = usualCapacity == 0 ? 1 : Math.max(0, 1 - value / usualCapacity / USUAL_LOAD_SHARE);
+                        // A processor whose first report allows nothing is jammed, not idle.
+                        capacityCut =
+                                usualCapacity == 0 ? 1 : Math.max(0, 1 - value / usualCapacity / USUAL_LOAD_SHARE);
                         double setUpsPerSecond = Math.max(0.01, Math.max(value, usualCapacity / 100));
                         queueWait = Span.ofMillis(1000 * SET_UPS_PER_QUEUED_MESSAGE * queueDepth / setUpsPerSecond);
                     }
@@ -394,7 +428,8 @@
 
         HeldCircuits releaseCircuits(long contact) {
             waitingRequests.removeIf(request -> request.contact.id() == contact);
-            HeldCircuits heldRing = inFlight.containsKey(contact) ? inFlight.remove(contact) : established.remove(contact);
+            HeldCircuits heldRing =
+                    inFlight.containsKey(contact) ? inFlight.remove(contact) : established.remove(contact);
             if (heldRing != null) {
                 heldBySkill[heldRing.skill.id] -= heldRing.width;
             }
@@ -415,6 +450,7 @@
             contactManager.enqueue(new CircuitGranted(request.contact.id(), this));
         }
 
+        /** Number of thresholds below the urgent demand on this group: the row of the stage shares. */
         int demandStage() {
             double demand = groupSize == 0 ? 0 : urgentDemand.mean(now) / groupSize;
             return (int) Arrays.stream(STAGE_DEMAND_THRESHOLDS)
@@ -422,29 +458,34 @@
                     .count();
         }
 
-        /** Circuits that no ring from here explains were placed at the far end and count as the cheapest. */
+        /** Circuits held by a skill; those that no ring from here holds were taken by the far end and count as cheapest. */
         int occupiedCircuits(int skill) {
-            int unknown = Math.max(0, groupSize - freeCircuits - Arrays.stream(heldBySkill).sum());
+            int unknown = Math.max(
+                    0, groupSize - freeCircuits - Arrays.stream(heldBySkill).sum());
             return heldBySkill[skill] + (skill == cheapestSkillId ? unknown : 0);
         }
 
-        /** Null where the group takes the contact, else why not. */
+        /** Returns null if the group admits the contact, else the reason why not. */
         DenialReason checkGroup(CircuitRequest request, boolean overTandem) {
             if (freeCircuits < request.width()) {
                 return DenialReason.GROUP_FULL;
             }
             boolean bindsEarly = overTandem || request.isLate(now);
-            double nearFullLevel = Math.max((bindsEarly ? EARLY_NEAR_FULL_LEVEL_SQRT_SIZE : NEAR_FULL_LEVEL_SQRT_SIZE) * Math.sqrt(groupSize), urgentSkill.width);
+            double nearFullLevel = Math.max(
+                    (bindsEarly ? EARLY_NEAR_FULL_LEVEL_SQRT_SIZE : NEAR_FULL_LEVEL_SQRT_SIZE) * Math.sqrt(groupSize),
+                    urgentSkill.width);
             if (request.isUrgent() || freeCircuits - request.width() >= nearFullLevel) {
                 return null;
             }
-            // With next to no urgent demand a class may fill the group.
+            // With almost no urgent demand one skill may fill the group.
             int stage = demandStage();
             double limit = stage == 0 ? groupSize : skillShare(request.skill.id, stage) * groupSize;
-            return !bindsEarly && occupiedCircuits(request.skill.id) + request.width() <= limit ? null : DenialReason.SHARE_EXCEEDED;
+            return !bindsEarly && occupiedCircuits(request.skill.id) + request.width() <= limit
+                    ? null
+                    : DenialReason.SHARE_EXCEEDED;
         }
 
-        /** Rings out and no word for longer than set-ups here take: it may be hung, cut off, jammed, slow. */
+        /** Whether no response came for longer than set-ups take here: the switch may be hung, cut off, jammed or slow. */
         boolean isSilent() {
             Span longest = setUpTimes.quantile(0.9, now).times(2).atLeast(urgentSkill.target);
             return unresponsive
@@ -454,20 +495,26 @@
                                     && now.since(ring.sentAt).longerThan(longest));
         }
 
+        /** Share of its full capacity that a switch has since its start; 1 once it is warm. */
         double warmUpShare() {
-            double warmUpProgress = startedAt == null ? 1 : Math.max(0, now.since(startedAt).ratioTo(warmUpTime));
-            return warmUpProgress >= 1 ? 1 : 1 - (1 - numberSetting("guarantees.cold-share", 0.2)) * (1 - warmUpProgress);
+            double warmUpProgress =
+                    startedAt == null ? 1 : Math.max(0, now.since(startedAt).ratioTo(warmUpTime));
+            return warmUpProgress >= 1
+                    ? 1
+                    : 1 - (1 - numberSetting("guarantees.cold-share", 0.2)) * (1 - warmUpProgress);
         }
 
-        /** Each exchange sends a cold processor its own usual part, cut as its capacity is. */
+        /** Each exchange may send a cold switch its own usual rate, reduced as the capacity of the switch is. */
         boolean spendColdBudget(CircuitRequest request) {
             double share = warmUpShare();
             if (share >= 1) {
                 return true;
             }
-            // Asks count by half: after a refusal the same caller asks again. A rush says nothing of the processor, and
-            // one that started a moment ago has seen nothing else: no more than the group is built to carry.
-            double groupPeriodCapacity = groupSize * sentRings.period.ratioTo(readSkills[cheapestSkillId].meanHold) / readSkills[cheapestSkillId].width;
+            // Requests count by half because a refused caller tries again. The rate is limited to what the group can
+            // carry: a rush says nothing about the processor, and a module that just started has seen only the rush.
+            double groupPeriodCapacity = groupSize
+                    * sentRings.period.ratioTo(readSkills[cheapestSkillId].meanHold)
+                    / readSkills[cheapestSkillId].width;
             double usualPerPeriod = Math.min(groupPeriodCapacity, Math.max(warmSendRate, requestCount.mean(now) / 2));
             share *= Math.min(MAX_COLD_USUAL_RATIO, 0.6 * numberSetting("guarantees.fall-multiple", 1));
             double periods = now.since(coldBudgetAt).ratioTo(sentRings.period);
@@ -476,17 +523,20 @@
             return coldBudget >= 1 && coldBudget-- > 0;
         }
 
-        /** The part of the contacts of this skill to keep back from this processor. */
+        /** The share of the contacts of this skill, 0 to 1, to reject because of the load of this processor. */
         double rejectionShare(Skill skill, int ringsInFlight) {
             Span age = reportedAt == NEVER ? maxPatience : now.since(reportedAt);
-            // An old report must not shut a switch for good: with nothing sent there, no better one comes.
+            // The weight of a report decays with its age: a switch that gets no contacts sends no better report.
             double reportWeight = Math.pow(0.5, age.ratioTo(trialInterval()));
             Span ownSetUpTime = this == homeSwitch() ? setUpTimes.quantile(0.25, now) : Span.ZERO;
-            // Rings out over answers in a time is the wait to come, known before the first slow answer.
-            double queueRatio =
-                    Math.max(0, ringsInFlight - 1) / Math.max(3, establishedCount.mean(now)) * establishedCount.period.ratioTo(skill.target);
-            double waitRatio = Math.max(queueRatio, queueWait.times(reportWeight).atLeast(ownSetUpTime).ratioTo(skill.target));
-            // One that takes next to nothing is jammed: what is sent there, however dear, only feeds it.
+            // Rings in flight divided by the answer rate predict the wait before the first slow answer shows it.
+            double queueRatio = Math.max(0, ringsInFlight - 1)
+                    / Math.max(3, establishedCount.mean(now))
+                    * establishedCount.period.ratioTo(skill.target);
+            double waitRatio = Math.max(
+                    queueRatio,
+                    queueWait.times(reportWeight).atLeast(ownSetUpTime).ratioTo(skill.target));
+            // A processor that accepts almost nothing is jammed; even urgent contacts would only add to its queue.
             return skill.rank == 0
                     ? Math.max(ramp(capacityCut * reportWeight, 0.85, 0.95), ramp(waitRatio, 1, 2))
                     : Math.max(capacityCut * reportWeight, ramp(waitRatio, 0.2, 0.7));
@@ -494,18 +544,22 @@
 
         DenialReason checkProcessor(CircuitRequest request) {
             boolean trial = isSilent();
-            // A draining own processor still sets up; what it is to send elsewhere is no new work to it.
-            boolean acceptsWork = state == SwitchEntry.State.READY || this == homeSwitch() && state != SwitchEntry.State.GONE;
+            // A draining home switch still sends contacts elsewhere, which is no new work for its processor.
+            boolean acceptsWork =
+                    state == SwitchEntry.State.READY || this == homeSwitch() && state != SwitchEntry.State.GONE;
             if (!acceptsWork || trial && now.before(nextTrialAt)) {
                 return DenialReason.SWITCH_UNAVAILABLE;
             }
             if (trial) {
-                // The trials of all exchanges must not keep a slow processor jammed.
+                // Trials are spaced so that those of all exchanges together don't keep a slow processor jammed.
                 nextTrialAt = now.plus(trialInterval().times(SILENT_TRIAL_GAP_INTERVALS));
             }
-            double rejection = trial ? 0 : rejectionShare(request.skill, this == request.destination ? 0 : request.ringsInFlight);
+            double rejection =
+                    trial ? 0 : rejectionShare(request.skill, this == request.destination ? 0 : request.ringsInFlight);
             rejection *= request.isLate(now) ? LATE_REJECTION_FACTOR : 1;
-            return rejection >= 1 || request.initial && random.nextDouble() < rejection ? DenialReason.PROCESSOR_BUSY : null;
+            return rejection >= 1 || request.initial && random.nextDouble() < rejection
+                    ? DenialReason.PROCESSOR_BUSY
+                    : null;
         }
 
         void handleRequest(CircuitRequest request) {
@@ -520,31 +574,34 @@
                 return;
             }
             requestCount.add(request.initial ? 1 : 0, Span.ZERO, now);
-            // A blocked caller who asks again is one want.
+            // Redials of a blocked caller count once as urgent demand.
             if (request.initial && request.isUrgent() && now.before(request.firstTryAt.plus(request.skill.target))) {
                 urgentDemand.add(request.width(), Span.ZERO, now);
             }
             reason = reason == null ? checkGroup(request, inTransit) : reason;
             reason = reason == null && !spendColdBudget(request) ? DenialReason.SWITCH_COLD : reason;
-            List<Switch> tandems = reason == DenialReason.GROUP_FULL && !inTransit && warmUpShare() >= 1 ? drawTandems(request) : List.of();
+            List<Switch> tandems = reason == DenialReason.GROUP_FULL && !inTransit && warmUpShare() >= 1
+                    ? drawTandems(request)
+                    : List.of();
             if (reason == null) {
                 grant(request);
             } else if (tandems.isEmpty()) {
-                // With no group that can ever take it and no tandem, nothing is worth waiting for.
+                // Without a group large enough and without a tandem, waiting is useless.
                 waitOrDeny(request, groupSize < request.width() ? DenialReason.SWITCH_UNAVAILABLE : reason);
             } else {
                 passToNextTandem(request, tandems);
             }
         }
 
-        /** What may still pay within its answer target waits for a circuit. */
+        /** Lets a request wait for a circuit while that may meet the answer target; otherwise denies it. */
         void waitOrDeny(CircuitRequest request, DenialReason reason) {
             if (request.contact.inTransit() || reason != DenialReason.GROUP_FULL || !now.before(request.waitUntil)) {
                 contactManager.enqueue(new CircuitDenied(request.contact.id(), this != request.destination));
                 return;
             }
             int position = 0;
-            while (position < waitingRequests.size() && waitingRequests.get(position).skill.rank <= request.skill.rank) {
+            while (position < waitingRequests.size()
+                    && waitingRequests.get(position).skill.rank <= request.skill.rank) {
                 position++;
             }
             waitingRequests.add(position, request);
@@ -566,17 +623,18 @@
             tandemWeights.put(tandem.number, new TandemWeight(Math.max(MIN_WEIGHT, weight), now));
         }
 
-        /** What a tandem itself says of its group to here stands over what was learned of it. */
+        /** A tandem's own note about its group toward this switch replaces the learned weight. */
         void tandemGroupReported(int tandem, boolean hasGroup) {
             tandemWeights.put(tandem, new TandemWeight(hasGroup ? INITIAL_WEIGHT : 0, now));
         }
 
         /**
-         * Tandems in an order drawn by weight, each once for a contact. With a group that can take it a
-         * cheap contact draws once; without one a tandem is the planned route.
+         * Tandems in a random order by weight, each used once by a contact. If the direct group is large enough, a
+         * cheap contact gets one tandem for each of its circuits; without such a group a tandem is the planned route.
          */
         List<Switch> drawTandems(CircuitRequest request) {
-            boolean singleTandem = groupSize >= request.width() && request.width() <= urgentSkill.width && !request.isUrgent();
+            boolean singleTandem =
+                    groupSize >= request.width() && request.width() <= urgentSkill.width && !request.isUrgent();
             if (singleTandem && (!request.initial || request.isLate(now))) {
                 return List.of();
             }
@@ -590,7 +648,9 @@
                 }
             }
             List<Switch> tandems = new ArrayList<>(byDrawKey.values());
-            return singleTandem && !tandems.isEmpty() ? tandems.subList(0, Math.min(request.width(), tandems.size())) : tandems;
+            return singleTandem && !tandems.isEmpty()
+                    ? tandems.subList(0, Math.min(request.width(), tandems.size()))
+                    : tandems;
         }
 
         void tryAsTandem(CircuitRequest request, List<Switch> nextTandems) {
@@ -608,7 +668,7 @@
             }
         }
 
-        /** The last in the row is the destination again, where the contact waits or is refused. */
+        /** Passes the request on; after the last tandem it returns to the destination, where it waits or is denied. */
         void passToNextTandem(CircuitRequest request, List<Switch> tandems) {
             Switch receiver = tandems.isEmpty() ? request.destination : tandems.get(0);
             receiver.enqueue(new TandemRequest(request, tandems.subList(Math.min(1, tandems.size()), tandems.size())));
@@ -634,12 +694,16 @@
     static final class OpenContact {
         final Contact contact;
         final Skill skill;
-        final Moment answerBy, waitUntil, retryUntil, firstTryAt;
+        final Moment answerBy;
+        final Moment waitUntil;
+        final Moment retryUntil;
+        final Moment firstTryAt;
         final Set<Long> triedSwitches = new HashSet<>();
         ContactState state = ContactState.AWAITING_CIRCUIT;
         int ringCount;
         boolean requested;
-        Switch ringTarget, destination;
+        Switch ringTarget;
+        Switch destination;
         Moment retryAt;
 
         OpenContact(Contact contact, Skill skill, Moment answerBy, Moment targetFrom, Moment firstTryAt) {
@@ -652,10 +716,12 @@
         }
     }
 
+    /** Keeps the contacts that are owed a final answer, and gives all orders for them. */
     final class ContactManager extends Actor<ContactManager> {
         final Map<Long, OpenContact> openContacts = new LinkedHashMap<>();
         final Map<Long, Moment> firstTryByNumber = new LinkedHashMap<>();
-        Moment probedAt = NEVER, groupsUnsentSince = now;
+        Moment probedAt = NEVER;
+        Moment groupsUnsentSince = now;
 
         void established(long contact) {
             OpenContact openContact = openContacts.remove(contact);
@@ -668,10 +734,13 @@
             }
         }
 
-        /** Where the own processor has no room, a few more looks within the time that pays spare redials. */
+        /** If the home switch had no room, retrying within the answer target avoids redials. */
         void circuitDenied(OpenContact openContact, boolean byHomeSwitch) {
             Moment retryTime = now.plus(urgentSkill.target.times(RETRY_DELAY_TARGET_SHARE));
-            if (openContact != null && byHomeSwitch && !openContact.contact.inTransit() && retryTime.before(openContact.waitUntil)) {
+            if (openContact != null
+                    && byHomeSwitch
+                    && !openContact.contact.inTransit()
+                    && retryTime.before(openContact.waitUntil)) {
                 openContact.requested = false;
                 retryAt(openContact, retryTime);
             } else {
@@ -679,10 +748,12 @@
             }
         }
 
-        /** The numbers that this exchange has groups to, for peers that look for a tandem. */
+        /** Sends the numbers that this exchange has groups to, for peers that need a tandem. */
         void sendGroupsToPeers() {
             BitSet groups = new BitSet();
-            switchesWithGroup.values().stream().filter(target -> target.number >= 0).forEach(target -> groups.set(target.number));
+            switchesWithGroup.values().stream()
+                    .filter(target -> target.number >= 0)
+                    .forEach(target -> groups.set(target.number));
             byte[] groupBits = groups.toByteArray();
             ByteBuffer note = ByteBuffer.allocate(2 + groupBits.length)
                     .putShort((short) homeNumber)
@@ -694,10 +765,11 @@
             int tandem = note.length < 2
                     ? -1
                     : Short.toUnsignedInt(ByteBuffer.wrap(note).getShort());
-            // One of no exchange that is listed would only be kept, and for good.
+            // Weights of an exchange that is not listed would be kept forever.
             if (switchesByNumber.containsKey(tandem)) {
                 BitSet groups = BitSet.valueOf(Arrays.copyOfRange(note, 2, note.length));
-                switchesByNumber.forEach((number, destination) -> destination.enqueue(new TandemGroupReported(tandem, groups.get(number))));
+                switchesByNumber.forEach((number, destination) ->
+                        destination.enqueue(new TandemGroupReported(tandem, groups.get(number))));
             }
         }
 
@@ -706,11 +778,11 @@
         }
 
         void contactOffered(Contact contact) {
-            // Two rounds early: a clock is heard up to a round late, and a late answer counts as none.
+            // Two timer rounds early: a timer may expire a round late, and a late answer counts as none.
             Moment answerBy = now.plus(contact.patience()).plus(timerRound.times(-2));
             boolean isKnownSkill = contact.skill() >= 0 && contact.skill() < readSkills.length;
             Skill skill = readSkills[isKnownSkill ? contact.skill() : cheapestSkillId];
-            // They stand in the order of time: a look at each, at every contact, is what a flood of redials costs.
+            // In order of time; checking every entry for each contact would be too slow in a flood of redials.
             for (Iterator<Moment> firstTryAt = firstTryByNumber.values().iterator();
                     firstTryAt.hasNext() && now.since(firstTryAt.next()).longerThan(maxPatience); ) {
                 firstTryAt.remove();
@@ -718,16 +790,19 @@
             Moment firstTryAt = contact.dialledNumber() == 0 || contact.inTransit()
                     ? now
                     : firstTryByNumber.computeIfAbsent(contact.dialledNumber(), any -> now);
-            OpenContact openContact = new OpenContact(contact, skill, answerBy, skill.rank == 0 ? now : firstTryAt, firstTryAt);
+            OpenContact openContact =
+                    new OpenContact(contact, skill, answerBy, skill.rank == 0 ? now : firstTryAt, firstTryAt);
             openContacts.put(contact.id(), openContact);
-            // First of all, so that it ends whatever becomes of the rest.
+            // Started first, so that the contact ends even if a later step fails.
             startTimer(openContact, answerBy);
             if (!now.before(answerBy)) {
                 defer(openContact);
                 return;
             }
-            if (isAllowed("peers") && groupsUnsentSince != null && now.since(groupsUnsentSince).longerThan(urgentSkill.target)) {
-                // Not at once: peers that start together with this one would not hear it.
+            if (isAllowed("peers")
+                    && groupsUnsentSince != null
+                    && now.since(groupsUnsentSince).longerThan(urgentSkill.target)) {
+                // Not at the start: peers that start at the same time would miss the note.
                 groupsUnsentSince = null;
                 sendGroupsToPeers();
             }
@@ -742,7 +817,7 @@
 
         void requestCircuit(OpenContact openContact) {
             openContact.destination = switchByNumber(openContact.contact.destination());
-            // A number of the own exchange is no matter of trunks: over a tandem it would come back here.
+            // Numbers of the own exchange need no trunk; over a tandem the contact would return here.
             if (openContact.destination == null
                     || openContact.destination == homeSwitch()
                     || openContact.ringCount >= numberSetting("policy-limits.send-cap", 1)) {
@@ -763,18 +838,23 @@
             openContact.requested = true;
         }
 
-        /** Rings without an answer; a switch that swallows them counts for a few only. */
+        /** Rings in flight; a switch that answers none of them counts for a few only. */
         int countRingsInFlight() {
             Map<Switch, Integer> ringsBySwitch = new HashMap<>();
             openContacts.values().stream()
                     .filter(openContact -> openContact.state == ContactState.RINGING)
-                    .forEach(openContact -> ringsBySwitch.merge(openContact.ringTarget, 1, (sum, count) -> Math.min(MAX_COUNTED_RINGS_PER_SWITCH, sum + count)));
+                    .forEach(openContact -> ringsBySwitch.merge(
+                            openContact.ringTarget,
+                            1,
+                            (sum, count) -> Math.min(MAX_COUNTED_RINGS_PER_SWITCH, sum + count)));
             return ringsBySwitch.values().stream().mapToInt(count -> count).sum();
         }
 
         void circuitGranted(long contact, Switch target) {
             OpenContact openContact = openContacts.get(contact);
-            if (openContact == null || openContact.state != ContactState.AWAITING_CIRCUIT || !now.before(openContact.answerBy)) {
+            if (openContact == null
+                    || openContact.state != ContactState.AWAITING_CIRCUIT
+                    || !now.before(openContact.answerBy)) {
                 target.enqueue(new ReleaseCircuits(contact));
                 return;
             }
@@ -786,7 +866,8 @@
         }
 
         void ringEnded(RingEnd end) {
-            OpenContact openContact = end.answered() ? openContacts.remove(end.contact()) : openContacts.get(end.contact());
+            OpenContact openContact =
+                    end.answered() ? openContacts.remove(end.contact()) : openContacts.get(end.contact());
             if (openContact == null || end.answered() || end.ring() != openContact.ringCount - 1) {
                 return;
             }
@@ -825,11 +906,14 @@
             }
         }
 
-        // The two places of a final answer; a contact is forgotten there, so nothing can follow.
+        // Final answers are given only here and in abandon; the contact is removed first, so nothing can follow.
         void defer(OpenContact openContact) {
             if (close(openContact)) {
-                double retryAfterNs = isAllowed("retry-after") ? numberSetting("policy-limits.max-retry-after-ns", 0) : 0;
-                orders.defer(openContact.contact.id(), openContact.contact.inTransit() ? Span.ZERO : new Span((long) retryAfterNs));
+                double retryAfterNs =
+                        isAllowed("retry-after") ? numberSetting("policy-limits.max-retry-after-ns", 0) : 0;
+                orders.defer(
+                        openContact.contact.id(),
+                        openContact.contact.inTransit() ? Span.ZERO : new Span((long) retryAfterNs));
             }
         }
 
@@ -839,13 +923,15 @@
             }
         }
 
+        /** Ends an open contact and releases what it holds; returns false if it was not open. */
         boolean close(OpenContact openContact) {
             if (openContact == null || openContacts.remove(openContact.contact.id()) == null) {
                 return false;
             }
             if (openContact.state == ContactState.AWAITING_CIRCUIT && openContact.destination != null) {
                 openContact.destination.enqueue(new ReleaseCircuits(openContact.contact.id()));
-                (homeSwitch() == null ? openContact.destination : homeSwitch()).enqueue(new ReleaseCircuits(openContact.contact.id()));
+                (homeSwitch() == null ? openContact.destination : homeSwitch())
+                        .enqueue(new ReleaseCircuits(openContact.contact.id()));
             } else if (openContact.state == ContactState.RINGING && isAllowed("cancel")) {
                 orders.cancel(openContact.contact.id(), openContact.ringCount - 1);
             }
@@ -867,10 +953,13 @@
     private int cheapestSkillId;
     private Span maxPatience = Span.ZERO;
     private final List<String> reportFields;
-    private final Span timerRound, releaseTime, warmUpTime;
+    private final Span timerRound;
+    private final Span releaseTime;
+    private final Span warmUpTime;
     private final int homeNumber;
     final ContactManager contactManager;
 
+    /** Reads the settings; the same settings, seed and events give the same orders. */
     public RoutingPolicy(Map<String, String> settings, long seed, Moment now, Orders orders) {
         this.settings = settings;
         this.orders = orders;
@@ -896,7 +985,9 @@
 
     private static double listItem(String list, int position, double defaultValue) {
         String[] items = list == null ? new String[0] : list.split(",");
-        return position < items.length && !items[position].isBlank() ? Double.parseDouble(items[position].trim()) : defaultValue;
+        return position < items.length && !items[position].isBlank()
+                ? Double.parseDouble(items[position].trim())
+                : defaultValue;
     }
 
     private Skill[] readSkills() {
@@ -908,7 +999,7 @@
         for (int rank = 0; rank < count; rank++) {
             int skillId = byValue[rank];
             String prefix = "classes." + skillId + ".";
-            // The cheapest plays bronze; the ones between take silver, then gold, from below.
+            // The cheapest skill takes the bronze shares; those between take silver, then gold, from below.
             int shareRow = rank == 0 ? 0 : Math.max(1, 3 - (count - 1 - rank));
             int width = (int) listItem(settings.get("family-info.widths"), skillId, 1);
             Span meanHold = new Span((long) listItem(settings.get("family-info.mean-hold-ns"), skillId, 1e10));
@@ -928,16 +1019,17 @@
         return skills;
     }
 
-    /** Shares of the paper's classes that no skill here plays go to the cheapest, so none is stranded. */
+    /** Share of a group that a skill may hold. Shares of classes without a skill go to the cheapest skill. */
     double skillShare(int skill, int stage) {
         double unassigned = 1;
         for (Skill other : readSkills) {
             unassigned -= STAGE_SHARES[stage][other.shareRow];
         }
-        return STAGE_SHARES[stage][readSkills[skill].shareRow] + (skill == cheapestSkillId ? Math.max(0, unassigned) : 0);
+        return STAGE_SHARES[stage][readSkills[skill].shareRow]
+                + (skill == cheapestSkillId ? Math.max(0, unassigned) : 0);
     }
 
-    /** How long one sender leaves a doubtful switch alone, so that the trials of all are not a load on it. */
+    /** Interval between one exchange's trials of a switch, so that the trials of all exchanges don't load it. */
     Span trialInterval() {
         return urgentSkill.target.times(Math.max(1, switchesByNumber.size() / EXCHANGES_PER_TRIAL_TARGET));
     }
@@ -946,6 +1038,7 @@
         return first.before(second) ? first : second;
     }
 
+    /** Rises linearly from 0 at {@code start} to 1 at {@code end}. */
     static double ramp(double value, double start, double end) {
         return Math.max(0, Math.min(1, (value - start) / (end - start)));
     }
@@ -964,29 +1057,34 @@
 
     @Override
     public void switchListReceived(Moment eventTime, ListKind kind, List<SwitchEntry> entries) {
-        // Where the list must be asked for, a failed subscription is renewed, or drains would go unheard.
+        // If the list is subscribed to, a failed subscription is renewed; otherwise drains would be missed.
         if (kind == ListKind.FAILED && "subscribe".equals(settings.get("discovery"))) {
             orders.watchSwitchList(true);
         }
         entries.forEach(entry -> process(eventTime, switchById(entry.id()), new SwitchListed(entry)));
         boolean isComplete = kind == ListKind.FULL || kind == ListKind.CACHED;
-        Set<Long> listedIds = new HashSet<>(entries.stream().map(SwitchEntry::id).toList());
+        Set<Long> listedIds =
+                new HashSet<>(entries.stream().map(SwitchEntry::id).toList());
         switches.values().stream()
                 .filter(knownSwitch -> isComplete && !listedIds.contains(knownSwitch.id))
                 .forEach(knownSwitch -> process(
                         eventTime,
                         knownSwitch,
-                        new SwitchListed(new SwitchEntry(knownSwitch.id, knownSwitch.number, SwitchEntry.State.GONE, null, 0))));
-        // While a machine replaces another, both bear the number: the one that takes what is new counts.
-        // One that only a report has named, with no number yet, is nobody's destination.
+                        new SwitchListed(
+                                new SwitchEntry(knownSwitch.id, knownSwitch.number, SwitchEntry.State.GONE, null, 0))));
+        // While a machine replaces another, both have the number; the one that is ready takes precedence.
+        // A switch known only from a report has no number yet and is no destination.
         switchesByNumber.clear();
         switches.values()
                 .forEach(knownSwitch -> switchesByNumber.merge(
                         knownSwitch.number,
                         knownSwitch,
-                        (current, other) -> current.state == SwitchEntry.State.READY || other.state != SwitchEntry.State.READY ? current : other));
+                        (current, other) ->
+                                current.state == SwitchEntry.State.READY || other.state != SwitchEntry.State.READY
+                                        ? current
+                                        : other));
         switchesByNumber.keySet().removeIf(number -> number < 0);
-        // A machine that was replaced, and holds nothing any more, would else be kept and counted for good.
+        // Replaced machines that hold nothing are removed; otherwise they would be kept and counted forever.
         switches.values()
                 .removeIf(knownSwitch -> knownSwitch.state == SwitchEntry.State.GONE
                         && switchesByNumber.get(knownSwitch.number) != knownSwitch
--- a/src/main/java/martenslip/control/Controller.java
+++ b/src/main/java/martenslip/control/Controller.java
@@ -3,37 +3,46 @@
 import java.util.List;
 
 /**
- * What a program tells the module that decides. Each call carries the moment at which the program
- * learned of it; what the module wants done goes to the {@link Orders} it was made with.
+ * The module as a program sees it. Each call carries the moment at which the program learned of the event; the module
+ * answers through the {@link Orders} it was created with.
  */
 public interface Controller {
+    /** What a received switch list contains; the simulator protocol sends the ordinals. */
     enum ListKind {
-        /** Only the lines that changed. */
+        /** Only the entries that changed. */
         CHANGES,
-        /** All lines: what is missing is gone. */
+        /** All entries; a switch that is missing is gone. */
         FULL,
-        /** All lines as they were last known here; they may be stale. */
+        /** All entries as last stored here; they may be stale. */
         CACHED,
-        /** The list could not be had; what was known stands. */
+        /** The list could not be fetched; the known entries remain valid. */
         FAILED
     }
 
+    /** The switch list or a part of it was received, or could not be fetched. */
     void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> entries);
 
+    /** A contact requests to be set up; the module owes it one final answer within its patience. */
     void contactOffered(Moment now, Contact contact);
 
+    /** A ring was answered and its contact is established; {@code setUpTime} is how long that took. */
     void established(Moment now, long contact, int ring, long target, Span setUpTime);
 
+    /** A ring has ended, before or after it was established. */
     void ringEnded(Moment now, RingEnd end);
 
+    /** The caller gave up before the final answer; no answer is owed any more. */
     void callerGone(Moment now, long contact);
 
+    /** A timer that the module started has expired. */
     void timerExpired(Moment now, long token);
 
-    /** Circuits toward a switch, and what its processor reports where that was asked for. */
+    /** Free and total circuits toward a switch, and the values that its processor reported if it was probed. */
     void switchReported(Moment now, long target, boolean reached, Span responseTime, float[] report);
 
+    /** A note of a peer controller was received. */
     void peerNoteReceived(Moment now, int peer, byte[] note);
 
+    /** The program is stopping. */
     void stopped(Moment now);
 }
--- a/src/main/java/martenslip/control/ControllerFactory.java
+++ b/src/main/java/martenslip/control/ControllerFactory.java
@@ -2,7 +2,8 @@
 
 import java.util.Map;
 
-/** Makes the module; programs know it by its interface only. */
+/** Creates the module, so that programs depend only on its interface. */
 public interface ControllerFactory {
+    /** Creates a module; the same settings, seed and events give the same orders. */
     Controller create(Map<String, String> settings, long seed, Moment now, Orders orders);
 }
--- a/src/main/java/martenslip/control/RingEndCause.java
+++ b/src/main/java/martenslip/control/RingEndCause.java
@@ -1,21 +1,21 @@
 package martenslip.control;
 
-/** How a ring ended. */
+/** How a ring ended. Logs, journals and counts write the value names out. */
 public enum RingEndCause {
-    /** The contact stood and has now been released in good order. */
+    /** The contact was established and has been released normally. */
     CONCLUDED,
-    /** All lines of the number are busy, or signalling went wrong. */
+    /** All lines of the number are busy, or signalling failed. */
     BUSY,
-    /** Turned away before any set-up: see {@link RejectionReason}. */
+    /** Rejected before any set-up; see {@link RejectionReason}. */
     TURNED_BACK,
-    /** No answer within the ring's limit; the set-up may have gone on. */
+    /** No answer within the ring's time limit; the far side may still be setting the contact up. */
     TIMED_OUT,
-    /** No connection to the switch could be had. */
+    /** No connection to the switch could be established. */
     UNREACHABLE,
-    /** The set-up or the standing contact was cut. */
+    /** The set-up or the established contact was interrupted. */
     CUT,
-    /** Called off, or released from the caller's side. */
+    /** Cancelled, or released from the caller's side. */
     CALLED_OFF,
-    /** It never left: no circuit free, own processor down, or the contact was over. */
+    /** The ring was never sent: no circuit was free, the own processor was down, or the contact had ended. */
     NOT_SENT
 }
--- a/src/main/java/martenslip/control/SwitchEntry.java
+++ b/src/main/java/martenslip/control/SwitchEntry.java
@@ -1,7 +1,16 @@
 package martenslip.control;
 
-/** A line of the switch list. {@code started} is null where the start was long ago. */
+/**
+ * One entry of the switch list.
+ *
+ * @param id the machine; it changes when another machine takes over the number
+ * @param number the exchange number of the switch
+ * @param state whether the switch takes new contacts
+ * @param startedAt when the machine started, or null if that was long ago
+ * @param zone the zone of the machine; machines of a zone may lose their network together
+ */
 public record SwitchEntry(long id, int number, State state, Moment startedAt, int zone) {
+    /** State of a switch; logs write the value names out and the simulator protocol sends the ordinals. */
     public enum State {
         READY,
         DRAINING,
--- a/src/main/java/martenslip/liveness/LivenessMonitor.java
+++ b/src/main/java/martenslip/liveness/LivenessMonitor.java
@@ -4,41 +4,42 @@
 import martenslip.control.Span;
 
 /**
- * Decides from one switch's silence when to ask for a sign of life, and when what stands there is to be taken as over.
- * A machine that disappeared ends no connection and releases nothing: what stands on it ends unheard, and its callers
- * are owed a release within 8 s of that. A healthy switch may be as silent where nothing changes, so silence alone
- * proves nothing: a further connection is asked for, which a machine that lives takes at once and tells its state on.
+ * Decides, from how long a switch has been silent, when to probe it and when to take its contacts as ended. A machine
+ * that disappeared closes no connection and releases nothing: its contacts end unnoticed, and their callers are owed a
+ * release within 8 s of that. A healthy switch may be silent as long when nothing changes, so silence alone proves
+ * nothing. The probe is a further connection: a live machine accepts it at once and reports its state on it.
  *
  * <p>Without I/O, threads or clock.
  */
 public final class LivenessMonitor {
-    /** What is to be done now. */
+    /** What the caller of {@link #check} is to do. */
     public enum Action {
         NONE,
         PROBE,
         DECLARE_DEAD
     }
 
-    /** Two missed seconds of an ordinary switch's states, and time left for a second question. */
+    /** Two missed one-second reports of an ordinary switch, with time left for a second probe. */
     static final Span PROBE_AFTER = Span.ofMillis(3000);
 
     static final Span PROBE_INTERVAL = Span.ofMillis(1000);
-    /** Under the 8 s by what a look, a connection's limit and the release's way may take. */
+    /** Below the 8 s by the time that a check, the connect timeout and the transport of the release may take. */
     static final Span DEAD_AFTER = Span.ofMillis(6300);
-    /** One that has left the list is no longer asked; it has told all that it will. */
+    /** A switch that has left the list is not probed; it reports nothing more. */
     static final Span UNLISTED_DEAD_AFTER = Span.ofMillis(3000);
 
     private Moment lastSignalAt;
     private Moment probedAt;
     private boolean probeFailed;
-    private boolean setListed = true;
+    private boolean listed = true;
     private boolean declaredDead;
 
+    /** Starts as if the switch had just given a sign of life. */
     public LivenessMonitor(Moment now) {
         lastSignalAt = now;
     }
 
-    /** It has said something, or taken a connection. */
+    /** The switch has sent something or accepted a connection. */
     public void signalReceived(Moment now) {
         lastSignalAt = now;
         probedAt = null;
@@ -46,25 +47,28 @@
         declaredDead = false;
     }
 
-    /** A connection that was asked for has not come up. */
+    /** A connection to the switch could not be established. */
     public void connectFailed(Moment now) {
         probeFailed |= probedAt != null && !now.before(probedAt);
     }
 
+    /** Whether the switch is still in the switch list. */
     public void setListed(boolean listed) {
-        setListed = listed;
+        this.listed = listed;
     }
 
-    /** Looks at it; where it says to ask, that counts as asked, and each silence is over but once. */
+    /** The action due now. A returned {@code PROBE} counts as sent, and each silence is declared dead only once. */
     public Action check(Moment now) {
         Span silence = now.since(lastSignalAt);
-        boolean dead = setListed ? probeFailed && !DEAD_AFTER.longerThan(silence) : !UNLISTED_DEAD_AFTER.longerThan(silence);
+        boolean dead =
+                listed ? probeFailed && !DEAD_AFTER.longerThan(silence) : !UNLISTED_DEAD_AFTER.longerThan(silence);
         if (dead && !declaredDead) {
             declaredDead = true;
             return Action.DECLARE_DEAD;
         }
-        boolean probeDue = probedAt == null ? !PROBE_AFTER.longerThan(silence) : !PROBE_INTERVAL.longerThan(now.since(probedAt));
-        if (setListed && !declaredDead && probeDue) {
+        boolean probeDue =
+                probedAt == null ? !PROBE_AFTER.longerThan(silence) : !PROBE_INTERVAL.longerThan(now.since(probedAt));
+        if (listed && !declaredDead && probeDue) {
             probedAt = now;
             return Action.PROBE;
         }
--- a/src/main/java/martenslip/tracking/ContactRegistry.java
+++ b/src/main/java/martenslip/tracking/ContactRegistry.java
@@ -16,17 +16,26 @@
 import martenslip.control.Span;
 
 /**
- * Which contacts the module knows of, and what it has heard of each, so that it hears all once and in order while the
- * threads around it are replaced. Rings are numbered by the lane that sends them; a module that took over amid a
- * contact counts its own from 0, so each contact has a base. What a lane still holds after a replacement is compared
- * with what the module was told, and the difference is told.
+ * Tracks the contacts that the module knows and the events it was notified of for each, so that the module is notified
+ * of each event once and in order while the threads around it are replaced. The lane that sends the rings numbers them;
+ * a module that took over a contact in progress numbers its own rings from 0, so each contact has an offset. After a
+ * replacement the registry compares what a lane still holds with what the module was notified of, and notifies the
+ * module of the difference.
  *
- * <p>Without I/O, threads or clock; the thread that owns the module owns it. Bounded by the contacts that are open.
+ * <p>Without I/O, threads or clock; owned by the thread that owns the module. Its size is bounded by the open contacts.
  */
 public final class ContactRegistry {
     /**
-     * What a lane holds of a contact: when it was taken, how many rings it had, the one that is out or stands, or -1,
-     * and when the last one ended that may still hold something, or null.
+     * A contact as its lane holds it.
+     *
+     * @param contact the contact
+     * @param takenAt when the lane took it
+     * @param ringCount how many rings the lane has sent for it
+     * @param inFlightRing the ring that is in flight or established, or -1
+     * @param target switch of that ring
+     * @param established whether that ring is established
+     * @param answered whether the contact has its final answer
+     * @param lastHeldRingEndedAt when the last ring ended that may still hold circuits, or null
      */
     public record LaneContact(
             Contact contact,
@@ -38,9 +47,9 @@
             boolean answered,
             Moment lastHeldRingEndedAt) {}
 
-    /** What the roll orders beside the module. */
+    /** Orders that the registry itself gives to lanes. */
     public interface LaneOrders {
-        /** A ring that this module never ordered, of a contact that is over. */
+        /** Cancels a ring that this module never ordered, of a contact that has ended. */
         void cancel(long contact, int ring);
     }
 
@@ -48,7 +57,7 @@
         final Contact contact;
         final int lane;
         final Moment takenAt;
-        /** Rings below this number were another module's. */
+        /** Rings with a lower number were ordered by a previous module. */
         int firstModuleRing;
 
         int nextRing;
@@ -79,18 +88,19 @@
             new PriorityQueue<>(Comparator.comparing(DelayedOffer::dueAt).thenComparing(DelayedOffer::sequence));
     private long nextOfferSequence;
 
-    /** {@code release} is how long nothing is sent for a contact after a ring that may still hold something. */
+    /** {@code releaseTime} is how long no ring is sent for a contact after one that may still hold circuits. */
     public ContactRegistry(Controller module, Span releaseTime, LaneOrders laneOrders) {
         this.module = module;
         this.releaseTime = releaseTime;
         this.laneOrders = laneOrders;
     }
 
+    /** Number of contacts that have not ended. */
     public int size() {
         return entries.size();
     }
 
-    /** A contact that a lane has taken; one that is known already is not told again. */
+    /** Offers a contact that a lane has taken to the module, unless it is already registered. */
     public void contactOffered(Moment now, Contact contact, int lane) {
         if (!entries.containsKey(contact.id())) {
             Entry entry = new Entry(contact, lane, now);
@@ -100,7 +110,7 @@
         }
     }
 
-    /** The module orders a ring: its number for the lane, or -1 where the contact is not on the roll. */
+    /** The module orders a ring; returns the lane's number of it, or -1 if the contact is not registered. */
     public int ringOrdered(long contact, long target) {
         Entry entry = entries.get(contact);
         if (entry == null) {
@@ -111,16 +121,17 @@
         return entry.inFlightRing;
     }
 
+    /** Whether the contact is registered. */
     public boolean contains(long contact) {
         return entries.containsKey(contact);
     }
 
-    /** How many circuits a contact on the roll takes. */
+    /** How many circuits a registered contact takes. */
     public int width(long contact) {
         return entries.get(contact).contact.width();
     }
 
-    /** The lane's number of a ring that the module names. */
+    /** The lane's number of a ring that has this number for the module, or -1 if the contact is not registered. */
     public int laneRingNumber(long contact, int ring) {
         Entry entry = entries.get(contact);
         return entry == null ? -1 : entry.firstModuleRing + ring;
@@ -135,6 +146,7 @@
         }
     }
 
+    /** A ring was answered; the module is notified once, and only of its own rings. */
     public void established(Moment now, long contact, int ring, long target, Span setUpTime) {
         Entry entry = entries.get(contact);
         if (entry == null || entry.inFlightRing != ring || entry.established) {
@@ -148,7 +160,7 @@
         }
     }
 
-    /** The outcome of a ring, numbered by its lane; true where it is news. */
+    /** A ring, numbered by its lane, has ended; returns false if it is not the one in flight. */
     public boolean ringEnded(Moment now, RingEnd end) {
         Entry entry = entries.get(end.contact());
         if (entry == null || entry.inFlightRing != end.ring()) {
@@ -175,12 +187,15 @@
         return true;
     }
 
-    /** Rule 5: after these nothing is sent for the release time, as the switch may still hold something. */
+    /**
+     * Whether the switch may still hold circuits after a ring that ended this way. Rule 5: no ring is then sent for the
+     * contact during the release time.
+     */
     public static boolean mayHoldCircuits(RingEndCause cause) {
         return cause == RingEndCause.TIMED_OUT || cause == RingEndCause.CUT || cause == RingEndCause.CALLED_OFF;
     }
 
-    /** The caller is gone, or the lane had the last word. */
+    /** The caller is gone, or the lane gave the final answer itself. */
     public void callerGone(Moment now, long contact) {
         Entry entry = entries.get(contact);
         if (entry == null || entry.answered) {
@@ -202,7 +217,7 @@
         }
     }
 
-    /** A lane's thread, or this one, was replaced: all that the lane holds. */
+    /** Compares the registry with all that a lane holds, after the lane's thread or this one was replaced. */
     public void reconcileLane(Moment now, int lane, List<LaneContact> laneContacts) {
         Map<Long, LaneContact> byId = new HashMap<>();
         laneContacts.forEach(laneContact -> byId.put(laneContact.contact().id(), laneContact));
@@ -212,7 +227,8 @@
             reconcileEntry(now, entry, byId.get(entry.contact.id()));
         }
         for (LaneContact laneContact : laneContacts) {
-            if (!entries.containsKey(laneContact.contact().id()) && !(laneContact.answered() && laneContact.inFlightRing() < 0)) {
+            if (!entries.containsKey(laneContact.contact().id())
+                    && !(laneContact.answered() && laneContact.inFlightRing() < 0)) {
                 adoptContact(now, lane, laneContact);
             }
         }
@@ -221,17 +237,19 @@
     private void reconcileEntry(Moment now, Entry entry, LaneContact laneContact) {
         long id = entry.contact.id();
         if (laneContact == null) {
-            // The lane had done with it, and what it said of that was lost.
+            // The lane has ended the contact, and its notification was lost.
             callerGone(now, id);
             endRing(now, entry, RingEndCause.CUT);
             return;
         }
         if (laneContact.established()) {
             established(now, id, laneContact.inFlightRing(), laneContact.target(), now.since(laneContact.takenAt()));
-        } else if (entry.inFlightRing >= 0 && entry.inFlightRing < laneContact.ringCount() && laneContact.inFlightRing() != entry.inFlightRing) {
+        } else if (entry.inFlightRing >= 0
+                && entry.inFlightRing < laneContact.ringCount()
+                && laneContact.inFlightRing() != entry.inFlightRing) {
             endRing(now, entry, entry.established ? RingEndCause.CUT : RingEndCause.TIMED_OUT);
         }
-        // A ring that the lane has no count of is an order that still stands in its inbox.
+        // A ring that the lane has not counted is an order that is still in its inbox.
         if (laneContact.answered()) {
             callerGone(now, id);
         }
@@ -280,7 +298,7 @@
         return delayedOffers.isEmpty() ? null : delayedOffers.peek().dueAt();
     }
 
-    /** Offers what another module had been offered before and is due; with what is left of its patience. */
+    /** Offers the contacts that are due and were offered to a previous module, with their remaining patience. */
     public void offerDue(Moment now) {
         while (!delayedOffers.isEmpty() && !now.before(delayedOffers.peek().dueAt())) {
             Entry entry = entries.get(delayedOffers.poll().contact());
@@ -290,7 +308,7 @@
             Contact contact = entry.contact;
             Span remainingPatience = contact.patience().minus(now.since(entry.takenAt));
             if (!remainingPatience.longerThan(Span.ZERO)) {
-                // Its lane has the last word about now.
+                // Its lane gives the final answer at about this time.
                 continue;
             }
             entry.offered = true;
--- a/src/main/java/martenslip/tracking/InFlightCircuits.java
+++ b/src/main/java/martenslip/tracking/InFlightCircuits.java
@@ -8,27 +8,29 @@
 import martenslip.control.Span;
 
 /**
- * Circuits of rings that the far end may not have counted when it told how many are free: they are taken off what it
- * told, or the last circuits of a nearly full group would be given twice after each notice. A ring counts as afloat
- * from its order until a word of it has come, and {@link #SETTLING_TIME} longer, as a notice that was counted before it
- * arrived may be read after that word.
+ * Circuits of rings that the far end may not have counted when it reported how many are free. They are subtracted from
+ * the reported number; otherwise the last circuits of a nearly full group would be assigned twice after each report. A
+ * ring counts from its order until its first response, and {@link #SETTLING_TIME} longer, because a report that was
+ * counted before the ring arrived may be read after that response.
  *
- * <p>Without I/O, threads or clock; one thread owns it. Bounded by the rings of a set-up's time.
+ * <p>Without I/O, threads or clock; owned by one thread. Its size is bounded by the rings sent during one set-up time.
  */
 public final class InFlightCircuits {
-    /** How old a notice may be when it is read: two turns of a busy thread and a way between regions. */
+    /** How old a report may be when it is read: two iterations of a busy thread and the latency between regions. */
     public static final Span SETTLING_TIME = Span.ofMillis(30);
 
     private record Ring(int number, int width, Moment countedUntil) {}
 
     private final Map<Integer, Map<Long, Ring>> ringsByExchange = new HashMap<>();
 
-    /** A ring goes out toward a far exchange. */
+    /** A ring was sent toward a far exchange. */
     public void ringSent(int farExchange, long contact, int ring, int width) {
-        ringsByExchange.computeIfAbsent(farExchange, exchange -> new LinkedHashMap<>()).put(contact, new Ring(ring, width, null));
+        ringsByExchange
+                .computeIfAbsent(farExchange, exchange -> new LinkedHashMap<>())
+                .put(contact, new Ring(ring, width, null));
     }
 
-    /** The first word of it has come. */
+    /** A response to the ring was received; only the first one counts. */
     public void responseReceived(Moment now, int farExchange, long contact, int ring) {
         Map<Long, Ring> rings = ringsByExchange.get(farExchange);
         Ring sentRing = rings == null ? null : rings.get(contact);
@@ -37,7 +39,7 @@
         }
     }
 
-    /** It is over, and its circuits are free again. */
+    /** The ring has ended, and its circuits are free again. */
     public void ringEnded(int farExchange, long contact, int ring) {
         Map<Long, Ring> rings = ringsByExchange.get(farExchange);
         Ring sentRing = rings == null ? null : rings.get(contact);
@@ -46,7 +48,7 @@
         }
     }
 
-    /** Circuits to take off what is told of the group toward a far exchange. */
+    /** Circuits to subtract from the reported free circuits of the group toward a far exchange. */
     public int inFlightCount(Moment now, int farExchange) {
         Map<Long, Ring> rings = ringsByExchange.get(farExchange);
         if (rings == null) {
@@ -64,7 +66,7 @@
         return circuits;
     }
 
-    /** Drops rings whose contact is not {@code known} any more: lost with a lane, nobody will tell of them. */
+    /** Drops rings whose contact is no longer known: they were lost with a lane, and no response will come. */
     public void retainContacts(java.util.function.LongPredicate isKnown) {
         ringsByExchange.values().forEach(rings -> rings.keySet().removeIf(contact -> !isKnown.test(contact)));
     }
--- a/src/main/java/martenslip/watchdog/Watchdog.java
+++ b/src/main/java/martenslip/watchdog/Watchdog.java
@@ -6,52 +6,52 @@
 import martenslip.control.Span;
 
 /**
- * Decides which of a process's threads have stalled and are to be replaced. It knows only when each began its last
- * turn and when it looks itself. Without I/O, threads or clock; one thread owns it.
+ * Decides which threads of a process have stalled and are to be replaced. It knows only when each thread began its last
+ * loop iteration and when it was itself called. Without I/O, threads or clock; owned by one thread.
  *
- * <p>A pause of the whole process (a collector, a starved machine) stops the look-out too: it then sees its own look
- * come late and forgives what it can't tell apart. A replacement costs little where it was not needed, as nothing is
- * lost by it, so the span is short against the patience of contacts; but the threads that hang stay, so their number
- * is bounded.
+ * <p>A pause of the whole process (garbage collection, a machine short of CPU time) also delays the watchdog's check. A
+ * check that comes late can't tell such a pause from a stall and therefore doesn't count the time before it. An
+ * unneeded replacement loses nothing and costs little, so the timeout is short compared with the patience of contacts;
+ * but hung threads remain, so the number of replacements is bounded.
  */
 public final class Watchdog {
-    /** An idle loop turns each 50 ms; collectors were seen to pause a busy process by up to 60. */
+    /** An idle loop iterates every 50 ms; garbage collection paused a busy process for up to 60 ms. */
     public static final Span STALL_TIMEOUT = Span.ofMillis(150);
-    /** How often to look: a stall is met at most this much later. */
+    /** Interval between checks; a stall is found at most this much later. */
     public static final Span CHECK_INTERVAL = Span.ofMillis(20);
-    /** A look this late says that the process did not run, and not which thread did not. */
+    /** A check later than this shows that the process did not run, but not which thread stalled. */
     private static final Span MAX_CHECK_GAP = Span.ofMillis(60);
-    /** A replacement has its inheritance to take over before it is judged. */
+    /** Time that a replacement gets to take over the state of its predecessor before it is checked. */
     private static final Span REPLACEMENT_GRACE = Span.ofMillis(500);
-    /** Replacements in {@link #REPLACEMENT_WINDOW}; past them it is the machine that fails, and more threads don't help. */
+    /** Replacements within {@link #REPLACEMENT_WINDOW}; beyond them the machine itself fails and more threads don't help. */
     private static final int MAX_REPLACEMENTS = 8;
 
     private static final Span REPLACEMENT_WINDOW = Span.ofMillis(30_000);
 
-    private final Moment[] loopTurned;
+    private final Moment[] lastIterationAt;
     private final Moment[] judgedFrom;
     private final List<Moment> replacedAt = new ArrayList<>();
     private Moment lastCheckAt;
     private long lateChecks;
     private long suppressedReplacements;
 
-    /** All {@code places} have just begun at {@code now}. */
+    /** Starts with all {@code threads} having begun an iteration at {@code now}. */
     public Watchdog(int threads, Moment now) {
-        loopTurned = new Moment[threads];
+        lastIterationAt = new Moment[threads];
         judgedFrom = new Moment[threads];
         for (int i = 0; i < threads; i++) {
-            loopTurned[i] = now;
+            lastIterationAt[i] = now;
             judgedFrom[i] = now;
         }
         lastCheckAt = now;
     }
 
-    /** When the place's thread began its last turn. */
+    /** Records when a thread began its last loop iteration. */
     public void loopTurned(int thread, Moment at) {
-        loopTurned[thread] = at;
+        lastIterationAt[thread] = at;
     }
 
-    /** The place whose thread is to be replaced now, or -1: at most one a look. */
+    /** Index of the thread to replace now, or -1; at most one at each check. */
     public int findStalled(Moment now) {
         if (now.since(lastCheckAt).longerThan(MAX_CHECK_GAP)) {
             lateChecks++;
@@ -61,7 +61,7 @@
         }
         lastCheckAt = now;
         int stalledThread = -1;
-        for (int i = 0; i < loopTurned.length; i++) {
+        for (int i = 0; i < lastIterationAt.length; i++) {
             if (stalledFor(i, now).longerThan(STALL_TIMEOUT)
                     && (stalledThread < 0 || stalledFor(i, now).longerThan(stalledFor(stalledThread, now)))) {
                 stalledThread = i;
@@ -76,23 +76,23 @@
             return -1;
         }
         replacedAt.add(now);
-        loopTurned[stalledThread] = now;
+        lastIterationAt[stalledThread] = now;
         judgedFrom[stalledThread] = now.plus(REPLACEMENT_GRACE);
         return stalledThread;
     }
 
-    /** How long the place has not turned, as far as it may be held against it. */
+    /** How long the thread has not iterated, without the time that is not counted against it. */
     public Span stalledFor(int thread, Moment now) {
-        Moment from = loopTurned[thread].before(judgedFrom[thread]) ? judgedFrom[thread] : loopTurned[thread];
+        Moment from = lastIterationAt[thread].before(judgedFrom[thread]) ? judgedFrom[thread] : lastIterationAt[thread];
         return now.since(from);
     }
 
-    /** Looks that came too late to judge by. */
+    /** Number of checks that came too late to find a stall. */
     public long lateChecks() {
         return lateChecks;
     }
 
-    /** Stalls that were seen and left, as too many had been met before. */
+    /** Number of stalls whose replacement was suppressed because the limit was reached. */
     public long suppressedReplacements() {
         return suppressedReplacements;
     }
--- a/src/test/java/martenslip/ArchitectureTest.java
+++ b/src/test/java/martenslip/ArchitectureTest.java
@@ -39,12 +39,14 @@
     }
 
     private DescribedPredicate<JavaClass> inPackages(String... identifiers) {
-        return resideInAnyPackage(Stream.of(identifiers).map(this::requirePackage).toArray(String[]::new));
+        return resideInAnyPackage(
+                Stream.of(identifiers).map(this::requirePackage).toArray(String[]::new));
     }
 
     private String classNames(String... names) {
         for (String name : names) {
-            assertTrue(all.stream().anyMatch(javaClass -> javaClass.getSimpleName().equals(name)), "no class " + name);
+            assertTrue(
+                    all.stream().anyMatch(javaClass -> javaClass.getSimpleName().equals(name)), "no class " + name);
         }
         return String.join("|", names);
     }
@@ -141,7 +143,8 @@
             classes()
                     .that(inPackages(packageName))
                     .should()
-                    .onlyDependOnClassesThat(inPackages(packageName, "martenslip.control", "java.util..", "java.lang.."))
+                    .onlyDependOnClassesThat(
+                            inPackages(packageName, "martenslip.control", "java.util..", "java.lang.."))
                     .check(all);
             noClasses()
                     .that(inPackages(packageName))
--- a/src/test/java/martenslip/BadInputTest.java
+++ b/src/test/java/martenslip/BadInputTest.java
@@ -165,8 +165,11 @@
         for (int generation = 1; generation <= 500; generation++) {
             SwitchEntry previous = new SwitchEntry(generation == 1 ? 101 : 1000 + generation, 1, State.GONE, null, 0);
             exchange.policy.switchListReceived(
-                    at(generation), ListKind.CHANGES, List.of(previous, new SwitchEntry(1001 + generation, 1, State.READY, null, 0)));
-            exchange.policy.switchReported(at(generation), 1001 + generation, true, Span.ZERO, new float[] {20, 40, -1, -1});
+                    at(generation),
+                    ListKind.CHANGES,
+                    List.of(previous, new SwitchEntry(1001 + generation, 1, State.READY, null, 0)));
+            exchange.policy.switchReported(
+                    at(generation), 1001 + generation, true, Span.ZERO, new float[] {20, 40, -1, -1});
         }
         assertEquals(exchange.policy.trialInterval(), Span.ofMillis(1000));
         offer(exchange, 1, CHEAP, 600);
--- a/src/test/java/martenslip/ColdStartFleetSimulation.java
+++ b/src/test/java/martenslip/ColdStartFleetSimulation.java
@@ -91,7 +91,9 @@
             policy.switchListReceived(
                     nowMoment(),
                     ListKind.CACHED,
-                    List.of(new SwitchEntry(1000 + number, number, State.READY, null, 0), switchReplaced ? coldEntry() : warmEntry()));
+                    List.of(
+                            new SwitchEntry(1000 + number, number, State.READY, null, 0),
+                            switchReplaced ? coldEntry() : warmEntry()));
             reportGroups();
         }
 
@@ -252,7 +254,11 @@
             window.poll();
         }
         double warmUpProgress = Math.min(1, (now - REPLACED_S) / WARM_UP_S);
-        double allowed = MAX_COLD_MULTIPLE * parameters.calls / UTILIZATION * (COLD_SHARE + (1 - COLD_SHARE) * warmUpProgress) * WINDOW_S;
+        double allowed = MAX_COLD_MULTIPLE
+                * parameters.calls
+                / UTILIZATION
+                * (COLD_SHARE + (1 - COLD_SHARE) * warmUpProgress)
+                * WINDOW_S;
         double excess = (window.size() - allowed) / (2 * Math.sqrt(allowed) + 2);
         boolean mostlyNotified = window.stream().filter(Arrival::senderNotified).count() * 3 > window.size() * 2;
         if (mostlyNotified && warmUpProgress < 1 && excess > worstResult.worst) {
@@ -277,6 +283,10 @@
             now = event.at;
             event.action.run();
         }
-        return new Result(worstResult.worst, worstResult.sent, worstResult.allowed, (double) ringsToReplacement / Math.max(1, callsAfterReplacement));
+        return new Result(
+                worstResult.worst,
+                worstResult.sent,
+                worstResult.allowed,
+                (double) ringsToReplacement / Math.max(1, callsAfterReplacement));
     }
 }
--- a/src/test/java/martenslip/RoutingPolicyInterleavingTest.java
+++ b/src/test/java/martenslip/RoutingPolicyInterleavingTest.java
@@ -29,7 +29,8 @@
                 () -> new ThreeExchangeSimulation(parameters, orders -> orders, module -> module), depth);
     }
 
-    private static Parameters parameters(int direct, int tandem, int offers, int failures, boolean lateTimers, String... faults) {
+    private static Parameters parameters(
+            int direct, int tandem, int offers, int failures, boolean lateTimers, String... faults) {
         return new Parameters(direct, tandem, offers, failures, lateTimers, 600, List.of(faults));
     }
 
@@ -66,8 +67,9 @@
     @SuppressWarnings("unchecked")
     private static <T> T intercept(Class<T> type, T target, Set<String> methodNames, CallInterceptor interceptor) {
         return (T) Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, (proxy, method, values) -> {
-            Object[] changed =
-                    methodNames.contains(method.getName()) ? interceptor.arguments(values, () -> method.invoke(target, values)) : values;
+            Object[] changed = methodNames.contains(method.getName())
+                    ? interceptor.arguments(values, () -> method.invoke(target, values))
+                    : values;
             try {
                 return changed == null ? null : method.invoke(target, changed);
             } catch (InvocationTargetException e) {
@@ -90,19 +92,25 @@
         void call() throws Exception;
     }
 
-    private static SearchResult searchWithOrders(Parameters parameters, Set<String> methodNames, CallInterceptor interceptor) {
+    private static SearchResult searchWithOrders(
+            Parameters parameters, Set<String> methodNames, CallInterceptor interceptor) {
         checkCalls(Orders.class, methodNames);
         return InterleavingExplorer.search(
                 () -> new ThreeExchangeSimulation(
-                        parameters, orders -> intercept(Orders.class, orders, methodNames, interceptor), module -> module),
+                        parameters,
+                        orders -> intercept(Orders.class, orders, methodNames, interceptor),
+                        module -> module),
                 6);
     }
 
-    private static SearchResult searchWithModule(Parameters parameters, Set<String> methodNames, CallInterceptor interceptor) {
+    private static SearchResult searchWithModule(
+            Parameters parameters, Set<String> methodNames, CallInterceptor interceptor) {
         checkCalls(Controller.class, methodNames);
         return InterleavingExplorer.search(
                 () -> new ThreeExchangeSimulation(
-                        parameters, orders -> orders, module -> intercept(Controller.class, module, methodNames, interceptor)),
+                        parameters,
+                        orders -> orders,
+                        module -> intercept(Controller.class, module, methodNames, interceptor)),
                 6);
     }
 
@@ -122,7 +130,9 @@
 
     @Test
     public void detectsLostAnswer() {
-        assertViolation(searchWithOrders(parameters(0, 0, 2, 0, false), Set.of("defer", "abandon"), (values, realCall) -> null), "1");
+        assertViolation(
+                searchWithOrders(parameters(0, 0, 2, 0, false), Set.of("defer", "abandon"), (values, realCall) -> null),
+                "1");
     }
 
     @Test
@@ -176,6 +186,8 @@
 
     @Test
     public void detectsUnreleasedCircuit() {
-        assertViolation(searchWithModule(parameters(2, 0, 2, 0, false), Set.of("ringEnded"), (values, realCall) -> null), "quiet");
+        assertViolation(
+                searchWithModule(parameters(2, 0, 2, 0, false), Set.of("ringEnded"), (values, realCall) -> null),
+                "quiet");
     }
 }
--- a/src/test/java/martenslip/RoutingPolicyTest.java
+++ b/src/test/java/martenslip/RoutingPolicyTest.java
@@ -64,7 +64,8 @@
         assertTrue(group.demandStage() >= 2);
         assertNull(group.checkGroup(circuitRequest(exchange, CHEAP, 1), false));
         exchange.reportGroup(1, 1, 40);
-        assertEquals(group.checkGroup(circuitRequest(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
+        assertEquals(
+                group.checkGroup(circuitRequest(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
         assertNull(group.checkGroup(circuitRequest(exchange, URGENT, 1), false));
     }
 
@@ -77,12 +78,14 @@
         group.heldBySkill[URGENT] = 40 - 1 - (int) limit;
         group.freeCircuits = 1;
         assertEquals(group.occupiedCircuits(CHEAP), (int) limit);
-        assertEquals(group.checkGroup(circuitRequest(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
+        assertEquals(
+                group.checkGroup(circuitRequest(exchange, CHEAP, 1), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
         group.heldBySkill[URGENT]++;
         assertNull(group.checkGroup(circuitRequest(exchange, CHEAP, 1), false));
         group.freeCircuits = 2;
         group.heldBySkill[URGENT]--;
-        assertEquals(group.checkGroup(circuitRequest(exchange, CHEAP, 2), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
+        assertEquals(
+                group.checkGroup(circuitRequest(exchange, CHEAP, 2), false), RoutingPolicy.DenialReason.SHARE_EXCEEDED);
     }
 
     @Test
@@ -169,7 +172,10 @@
         exchange.policy.switchListReceived(
                 at(1),
                 ListKind.FULL,
-                List.of(switchEntry(0, State.READY, null), switchEntry(1, State.READY, null), switchEntry(2, State.READY, null)));
+                List.of(
+                        switchEntry(0, State.READY, null),
+                        switchEntry(1, State.READY, null),
+                        switchEntry(2, State.READY, null)));
         exchange.reportGroup(1, 0, 40);
         exchange.policy.contactOffered(at(2), contact(2, URGENT, 3));
         assertEquals(exchange.takeOrders(), List.of("ring 2 102"));
@@ -189,7 +195,9 @@
         exchange.policy.switchListReceived(
                 at(1),
                 ListKind.CHANGES,
-                List.of(switchEntry(1, State.GONE, null), new martenslip.control.SwitchEntry(900, 1, State.READY, null, 0)));
+                List.of(
+                        switchEntry(1, State.GONE, null),
+                        new martenslip.control.SwitchEntry(900, 1, State.READY, null, 0)));
         assertEquals(exchange.policy.switchByNumber(1).id, 900);
     }
 
@@ -213,7 +221,9 @@
             ExchangeFixture exchange = new ExchangeFixture().ready(40, 40);
             exchange.policy = new RoutingPolicy(exchange.settings, seed, at(0), exchange);
             exchange.policy.switchListReceived(
-                    at(20), ListKind.FULL, List.of(switchEntry(0, State.READY, null), switchEntry(1, State.READY, at(20))));
+                    at(20),
+                    ListKind.FULL,
+                    List.of(switchEntry(0, State.READY, null), switchEntry(1, State.READY, at(20))));
             exchange.reportGroup(1, 40, 40);
             exchange.policy.contactOffered(at(21), contact(1, CHEAP, 3));
             rings += exchange.takeOrders().contains("ring 1 101") ? 1 : 0;
@@ -247,7 +257,11 @@
         exchange.settings.put("report.fields", "spare,total,depth,allowed");
         exchange.ready(20, 40);
         exchange.policy.switchReported(at(0), 101, true, Span.ZERO, new float[] {20, 40, 1, 14});
-        assertEquals(exchange.policy.switchById(101).rejectionShare(circuitRequest(exchange, CHEAP, 1).skill(), 0), 0.0);
+        assertEquals(
+                exchange.policy
+                        .switchById(101)
+                        .rejectionShare(circuitRequest(exchange, CHEAP, 1).skill(), 0),
+                0.0);
         exchange.policy.switchReported(at(1), 101, true, Span.ZERO, new float[] {20, 40, 90, 0.3f});
         exchange.policy.contactOffered(at(1), contact(1, URGENT, 3));
         assertEquals(exchange.takeOrders(), List.of("defer 1"));
@@ -264,7 +278,9 @@
         assertTrue(group.isSilent());
         assertFalse(exchange.policy.switchById(102).isSilent());
         assertNull(group.checkProcessor(circuitRequest(exchange, URGENT, 1)));
-        assertEquals(group.checkProcessor(circuitRequest(exchange, URGENT, 1)), RoutingPolicy.DenialReason.SWITCH_UNAVAILABLE);
+        assertEquals(
+                group.checkProcessor(circuitRequest(exchange, URGENT, 1)),
+                RoutingPolicy.DenialReason.SWITCH_UNAVAILABLE);
     }
 
     @Test
@@ -344,7 +360,13 @@
         exchange.policy.switchById(101).tandemGroupReported(3, true);
         exchange.policy.stopped(at(500));
         Contact advised = new Contact(1, CHEAP, 0, 1, 3, 1, Span.ofMillis(3000), false, false, false);
-        assertEquals(exchange.policy.switchById(101).drawTandems(exchange.circuitRequest(advised)).get(0).number, 3);
+        assertEquals(
+                exchange.policy
+                        .switchById(101)
+                        .drawTandems(exchange.circuitRequest(advised))
+                        .get(0)
+                        .number,
+                3);
     }
 
     @Test
@@ -352,19 +374,41 @@
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).reportGroup(1, 0, 0);
         exchange.policy.peerNoteReceived(at(1), 2, new byte[] {0, 2, 1 | 1 << 3});
         assertEquals(
-                exchange.policy.switchById(101).drawTandems(exchange.circuitRequest(contact(1, CHEAP, 3))).size(), 1);
+                exchange.policy
+                        .switchById(101)
+                        .drawTandems(exchange.circuitRequest(contact(1, CHEAP, 3)))
+                        .size(),
+                1);
         exchange.policy.peerNoteReceived(at(3), 2, new byte[0]);
     }
 
     @Test
     public void wideContactDrawsAllTandemsOnEachTry() {
         ExchangeFixture exchange = new ExchangeFixture().ready(20, 40).reportGroup(1, 3, 40);
-        assertEquals(exchange.policy.switchById(101).drawTandems(circuitRequest(exchange, CHEAP, 4)).size(), 2);
         assertEquals(
-                exchange.policy.switchById(101).drawTandems(circuitRequest(exchange, CHEAP, 4).asRetry()).size(), 2);
-        assertEquals(exchange.policy.switchById(101).drawTandems(circuitRequest(exchange, CHEAP, 1)).size(), 1);
+                exchange.policy
+                        .switchById(101)
+                        .drawTandems(circuitRequest(exchange, CHEAP, 4))
+                        .size(),
+                2);
+        assertEquals(
+                exchange.policy
+                        .switchById(101)
+                        .drawTandems(circuitRequest(exchange, CHEAP, 4).asRetry())
+                        .size(),
+                2);
+        assertEquals(
+                exchange.policy
+                        .switchById(101)
+                        .drawTandems(circuitRequest(exchange, CHEAP, 1))
+                        .size(),
+                1);
         assertEquals(
-                exchange.policy.switchById(101).drawTandems(circuitRequest(exchange, CHEAP, 1).asRetry()).size(), 0);
+                exchange.policy
+                        .switchById(101)
+                        .drawTandems(circuitRequest(exchange, CHEAP, 1).asRetry())
+                        .size(),
+                0);
     }
 
     @Test
--- a/src/test/java/martenslip/RuleChecker.java
+++ b/src/test/java/martenslip/RuleChecker.java
@@ -88,9 +88,14 @@
         ColdStart coldStart = coldStarts.get(target);
         if (coldStart != null) {
             double warmUpProgress = Math.min(1, now.since(coldStart.since).ratioTo(warmUpTime));
-            double budget = MAX_COLD_MULTIPLE * coldStart.setUpsPerSecond * (COLD_SHARE + (1 - COLD_SHARE) * warmUpProgress) * COLD_WINDOW.ns() / 1e9;
+            double budget = MAX_COLD_MULTIPLE
+                    * coldStart.setUpsPerSecond
+                    * (COLD_SHARE + (1 - COLD_SHARE) * warmUpProgress)
+                    * COLD_WINDOW.ns()
+                    / 1e9;
             long recent = sentRings.stream()
-                    .filter(ring -> ring.target == target && !now.since(ring.sentAt).longerThan(COLD_WINDOW))
+                    .filter(ring ->
+                            ring.target == target && !now.since(ring.sentAt).longerThan(COLD_WINDOW))
                     .count();
             if (recent > budget) {
                 addViolation(4, target + " got " + recent + " set-ups while cold, budget " + budget);
--- a/src/test/java/martenslip/ThreeExchangeSimulation.java
+++ b/src/test/java/martenslip/ThreeExchangeSimulation.java
@@ -34,7 +34,13 @@
 
     /** What a world is made of; {@code late} has every clock heard a round late. */
     record Parameters(
-            int directCircuits, int tandemCircuits, int offers, int failures, boolean lateTimers, int patience, List<String> faults) {}
+            int directCircuits,
+            int tandemCircuits,
+            int offers,
+            int failures,
+            boolean lateTimers,
+            int patience,
+            List<String> faults) {}
 
     private record ScheduledEvent(Moment at, long order, Runnable action) {}
 
@@ -208,7 +214,8 @@
             events.add(new Event(name + " arrives", () -> arriveAtTandem(ring)));
         }
         if (ring.established) {
-            events.add(new Event(name + " concludes", () -> endRing(ring, RingEndCause.CONCLUDED, RejectionReason.NONE)));
+            events.add(
+                    new Event(name + " concludes", () -> endRing(ring, RingEndCause.CONCLUDED, RejectionReason.NONE)));
         }
         if (ring.cancelled) {
             events.add(new Event(name + " is off", () -> endRing(ring, RingEndCause.CALLED_OFF, RejectionReason.NONE)));
@@ -225,7 +232,8 @@
         }
     }
 
-    private void addFailureEvent(RingInFlight ring, String name, RingEndCause cause, RejectionReason reason, List<Event> events) {
+    private void addFailureEvent(
+            RingInFlight ring, String name, RingEndCause cause, RejectionReason reason, List<Event> events) {
         events.add(new Event(name + " " + cause + " " + reason, () -> {
             failures++;
             endRing(ring, cause, reason);
@@ -336,7 +344,8 @@
                 changeEntry(1, State.GONE, null);
                 entries.put(1, new SwitchEntry(201, 1, State.READY, now, 0));
                 nodes.values()
-                        .forEach(node -> node.module.switchListReceived(now, ListKind.CHANGES, List.of(entries.get(1))));
+                        .forEach(
+                                node -> node.module.switchListReceived(now, ListKind.CHANGES, List.of(entries.get(1))));
                 reportGroups();
             }
             case "cold" -> {
@@ -410,16 +419,21 @@
     public void checkQuiescent() {
         for (ControllerNode node : nodes.values()) {
             if (!node.policy.contactManager.openContacts.isEmpty()) {
-                rules.addViolation("quiet", "open at " + node.number + " " + node.policy.contactManager.openContacts.keySet());
+                rules.addViolation(
+                        "quiet", "open at " + node.number + " " + node.policy.contactManager.openContacts.keySet());
             }
             for (long id : new long[] {100, 101, 102, 201}) {
                 RoutingPolicy.Switch trunkSwitch = node.policy.switchById(id);
                 int held = java.util.Arrays.stream(trunkSwitch.heldBySkill).sum();
-                if (held != 0 || !trunkSwitch.inFlight.isEmpty() || !trunkSwitch.established.isEmpty() || !trunkSwitch.waitingRequests.isEmpty()) {
+                if (held != 0
+                        || !trunkSwitch.inFlight.isEmpty()
+                        || !trunkSwitch.established.isEmpty()
+                        || !trunkSwitch.waitingRequests.isEmpty()) {
                     rules.addViolation(
                             "quiet",
                             node.number + " holds " + held + " circuits toward " + id
-                                    + ", rings " + trunkSwitch.inFlight.keySet() + ", standing " + trunkSwitch.established.keySet()
+                                    + ", rings " + trunkSwitch.inFlight.keySet() + ", standing "
+                                    + trunkSwitch.established.keySet()
                                     + ", waiting "
                                     + trunkSwitch.waitingRequests.size());
                 }
@@ -468,7 +482,8 @@
 
         void begin(ListKind kind) {
             module.switchListReceived(now, kind, List.copyOf(entries.values()));
-            entries.values().forEach(entry -> rules.setDraining(now, "" + number, entry.id(), entry.state() != State.READY));
+            entries.values()
+                    .forEach(entry -> rules.setDraining(now, "" + number, entry.id(), entry.state() != State.READY));
             reportGroups();
         }
 
--- a/src/test/java/martenslip/tracking/ContactRegistryTest.java
+++ b/src/test/java/martenslip/tracking/ContactRegistryTest.java
@@ -44,7 +44,8 @@
         assertTrue(methods.containsAll(descriptions.keySet()), descriptions.keySet() + ", but there are " + methods);
         Controller module = (Controller) Proxy.newProxyInstance(
                 Controller.class.getClassLoader(), new Class<?>[] {Controller.class}, (proxy, method, values) -> {
-                    notifications.add(descriptions.getOrDefault(method.getName(), arguments -> method.getName() + " " + arguments[1])
+                    notifications.add(descriptions
+                            .getOrDefault(method.getName(), arguments -> method.getName() + " " + arguments[1])
                             .apply(values));
                     return null;
                 });
@@ -66,7 +67,8 @@
 
     private static ContactRegistry.LaneContact laneContact(
             long id, int ringCount, int inFlightRing, boolean established, boolean answered, Moment heldRingEndedAt) {
-        return new ContactRegistry.LaneContact(contact(id), at(0), ringCount, inFlightRing, 9, established, answered, heldRingEndedAt);
+        return new ContactRegistry.LaneContact(
+                contact(id), at(0), ringCount, inFlightRing, 9, established, answered, heldRingEndedAt);
     }
 
     private List<String> takeNotifications() {
@@ -89,7 +91,8 @@
         registry.callerGone(at(3), 4);
         registry.ringEnded(at(4), end(4, 1, RingEndCause.CONCLUDED));
         assertEquals(
-                takeNotifications(), List.of("offered 4 left 4000", "ended 4 0 TURNED_BACK", "stands 4 1", "ended 4 1 CONCLUDED"));
+                takeNotifications(),
+                List.of("offered 4 left 4000", "ended 4 0 TURNED_BACK", "stands 4 1", "ended 4 1 CONCLUDED"));
         assertEquals(registry.size(), 0);
         assertEquals(registry.ringOrdered(4, 9), -1);
     }
@@ -115,7 +118,8 @@
                         laneContact(4, 1, -1, false, false, at(90)),
                         laneContact(5, 0, -1, false, false, null),
                         laneContact(7, 0, -1, false, false, null)));
-        assertEquals(takeNotifications(), List.of("stands 3 0", "ended 4 0 TIMED_OUT", "callerGone 6", "ended 6 0 CUT"));
+        assertEquals(
+                takeNotifications(), List.of("stands 3 0", "ended 4 0 TIMED_OUT", "callerGone 6", "ended 6 0 CUT"));
         registry.offerDue(at(100));
         assertEquals(takeNotifications(), List.of("offered 7 left 3900"), "its offer had been lost");
         assertTrue(registry.ringEnded(at(200), end(5, 0, RingEndCause.TIMED_OUT)));
