--- a/src/test/java/martenslip/ArchitectureTest.java
+++ b/src/test/java/martenslip/ArchitectureTest.java
@@ -20,6 +20,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
+/** Which packages may depend on which, and where the system clock may be read. */
 public class ArchitectureTest {
     private final JavaClasses all = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -31,7 +32,7 @@
             .map(JavaClass::getPackageName)
             .collect(Collectors.toSet());
 
-    /** A rule about a package without classes forbids nothing, so every package a rule names goes through here. */
+    /** A rule on a package without classes would forbid nothing, so every package named in a rule is checked here. */
     private String requirePackage(String identifier) {
         PackageMatcher matcher = PackageMatcher.of(identifier);
         assertTrue(packages.stream().anyMatch(matcher::matches), "no class in " + identifier);
@@ -190,7 +191,7 @@
                 .check(all);
     }
 
-    /** The desk takes what the sockets' packages bring; none of these knows another, and the desk knows none. */
+    /** The contact table receives what the socket packages deliver; none of these packages depends on another or on it. */
     @Test
     public void platformPackagesMeetOnlyInTheContactTable() {
         String[] parts = {"caller", "switchconnection", "journal", "peer"};
--- a/src/test/java/martenslip/BadInputTest.java
+++ b/src/test/java/martenslip/BadInputTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What is out of range or no number never costs a contact its answer and never throws out of the module. */
+/** Values out of range and NaN never cost a contact its answer and never make the module throw. */
 public class BadInputTest {
     private static final float NAN = Float.NaN;
     private static final float INFINITY = Float.POSITIVE_INFINITY;
@@ -145,7 +145,7 @@
         assertTrue(orders.get(0).startsWith("log fault"), "" + orders);
     }
 
-    /** The machine leaves the trace out of a fault that has come often. */
+    /** The JVM omits the stack trace of a fault that has occurred often. */
     @Test
     public void faultWithoutStackTraceIsHandled() {
         ExchangeFixture exchange = exchange();
--- a/src/test/java/martenslip/ColdStartFleetSimulation.java
+++ b/src/test/java/martenslip/ColdStartFleetSimulation.java
@@ -19,9 +19,9 @@
 import martenslip.control.SwitchEntry.State;
 
 /**
- * A fleet of modules before one switch that is replaced, on driven time: what all of them send to the cold machine,
- * held against what the settings allow it in each window. Traffic is thin and uneven, callers who are refused come
- * again. It knows nothing of how the module spends.
+ * Simulates many modules that send to one switch while it is replaced, on simulated time. Measures what all of them
+ * send to the cold switch against what the settings allow in each time window. Traffic is thin and uneven, and refused
+ * callers redial. The simulation knows nothing of how the module spends its budget.
  */
 final class ColdStartFleetSimulation {
     static final double WARM_UP_S = 14;
@@ -35,16 +35,20 @@
     private static final double HOLD_S = 10;
 
     /**
-     * {@code calls} a second to the switch by all processes on an ordinary second, {@code rush} times as many once it
-     * is replaced, {@code young} the part of processes that started a moment before or after. {@code sameId}: the
-     * machine itself came back, rather than another in its place.
+     * A fleet and its traffic.
+     *
+     * @param processes number of exchange processes that send to the switch
+     * @param calls ordinary calls a second to the switch from all processes
+     * @param rush factor of the calls once the switch is replaced
+     * @param young share of the processes that start shortly before or after the replacement
+     * @param sameId whether the machine itself restarts, rather than another one replacing it
      */
     record Parameters(int processes, double calls, double rush, double young, boolean sameId) {}
 
-    /** Worst window: sent less the allowance N, in units of 2 sqrt(N) + 2; over 1 the switch falls. */
+    /** The worst window: rings sent above the allowance N, in units of 2 sqrt(N) + 2; above 1 the switch fails. */
     record Result(double worst, int sent, double allowed, double sentCold) {}
 
-    /** {@code told}: its sender knew of the start. A fall is the fleet's where over two thirds of a window did. */
+    /** A ring at the switch. A failure counts against the fleet if over two thirds of the senders in a window were notified. */
     private record Arrival(double at, boolean senderNotified) {}
 
     private record ScheduledEvent(double at, long order, Runnable action) {}
@@ -97,7 +101,7 @@
             reportGroups();
         }
 
-        /** Built for what it carries and a third more; all of it is free once the machine was replaced. */
+        /** Groups carry the ordinary traffic and 30% more; all circuits are free once the machine is replaced. */
         private void reportGroups() {
             float size = (float) Math.max(2, Math.ceil(callsPerSecond * HOLD_S * 1.3));
             for (long id : new long[] {101, 201}) {
@@ -197,7 +201,7 @@
 
         @Override
         public void cancel(long contact, int ring) {
-            // Rings here stand before anybody gives up.
+            // Rings are established before any caller gives up.
         }
 
         @Override
@@ -212,7 +216,7 @@
 
         @Override
         public void watchSwitchList(boolean enabled) {
-            // Told unasked.
+            // The simulation sends the list without a subscription.
         }
 
         @Override
--- a/src/test/java/martenslip/ColdStartFleetTest.java
+++ b/src/test/java/martenslip/ColdStartFleetTest.java
@@ -7,11 +7,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a whole fleet sends to a cold switch stays within what the settings allow it, whoever sends it. */
+/** The rings that a whole fleet sends to a cold switch stay within what the settings allow. */
 public class ColdStartFleetTest {
     private static final int SEEDS = 8;
 
-    /** Processes, calls a second to the switch, times as many after, part just started, the same machine again. */
+    /** Processes, calls a second, factor after the replacement, share started lately, whether the same machine restarts. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
--- a/src/test/java/martenslip/DeploymentIsolationTest.java
+++ b/src/test/java/martenslip/DeploymentIsolationTest.java
@@ -16,7 +16,7 @@
 import martenslip.control.SwitchEntry.State;
 import org.testng.annotations.Test;
 
-/** Two deployments in one JVM, one after the other and side by side, decide as each does alone. */
+/** Two deployments in one JVM, one after the other or side by side, decide as each does alone. */
 public class DeploymentIsolationTest {
     private static final int STEPS = 600;
 
@@ -24,7 +24,7 @@
         return new ExchangeFixture().ready(20, 40);
     }
 
-    /** Another customer's: three classes, one of them wide, other worths, limits and rules. */
+    /** Settings of another deployment: three classes, wide contacts, other worths, limits and rules. */
     private static ExchangeFixture secondDeployment() {
         ExchangeFixture exchange = new ExchangeFixture();
         exchange.settings.put("classes.count", "3");
@@ -42,7 +42,7 @@
         return exchange.ready(12, 24);
     }
 
-    /** The same events for the same seed, whatever the module makes of them. */
+    /** Sends one event; the same seed gives the same events whatever the module orders. */
     private static void step(ExchangeFixture exchange, SplittableRandom random, int step) {
         double now = 0.02 * step;
         int number = 1 + random.nextInt(3);
--- a/src/test/java/martenslip/DrillTest.java
+++ b/src/test/java/martenslip/DrillTest.java
@@ -13,6 +13,7 @@
 import martenslip.simulatorprotocol.SimulatorProtocol;
 import org.testng.annotations.Test;
 
+/** The simulator protocol, byte for byte, with the real module behind it. */
 public class DrillTest {
     private static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replace(" ", ""));
--- a/src/test/java/martenslip/ExchangeFixture.java
+++ b/src/test/java/martenslip/ExchangeFixture.java
@@ -12,7 +12,7 @@
 import martenslip.control.Span;
 import martenslip.control.SwitchEntry;
 
-/** An exchange numbered 0 with three others, for tests: what the module orders is kept as lines of text. */
+/** Exchange 0 with three others; keeps the orders of the module as lines of text. */
 final class ExchangeFixture implements Orders {
     static final int CHEAP = 0;
     static final int URGENT = 1;
@@ -51,7 +51,7 @@
         return new Contact(id, skill, 0, 1, 2, 1, Span.ofMillis(3000), false, true, false);
     }
 
-    /** All switches ready, each with a group of this size and this many circuits free. */
+    /** Lists all switches as ready, each with a group of this size and this many free circuits. */
     ExchangeFixture ready(int free, int size) {
         policy = new RoutingPolicy(settings, 7, at(0), this);
         List<SwitchEntry> entries = new ArrayList<>();
@@ -75,10 +75,10 @@
                 contact, policy.readSkills[contact.skill()], policy.switchById(101), true, at(9), 0, at(0), Set.of());
     }
 
-    /** What was ordered but for clocks, which is cleared. */
+    /** Returns the orders except timers, and clears all. */
     List<String> takeOrders() {
         List<String> taken =
-                orderLines.stream().filter(line -> !line.startsWith("clock")).toList();
+                orderLines.stream().filter(line -> !line.startsWith("timer")).toList();
         orderLines.clear();
         return taken;
     }
@@ -90,7 +90,7 @@
 
     @Override
     public void cancel(long contact, int ring) {
-        orderLines.add("off " + contact + " " + ring);
+        orderLines.add("cancel " + contact + " " + ring);
     }
 
     @Override
@@ -105,7 +105,7 @@
 
     @Override
     public void startTimer(Span delay, long token) {
-        orderLines.add("clock " + token + " " + delay.ns());
+        orderLines.add("timer " + token + " " + delay.ns());
     }
 
     @Override
--- a/src/test/java/martenslip/InterleavingExplorer.java
+++ b/src/test/java/martenslip/InterleavingExplorer.java
@@ -6,25 +6,26 @@
 import java.util.function.Supplier;
 
 /**
- * Every order of a world's events: depth first, each sequence played from the start, as a world can't be copied. After
- * so many choices the rest is played in one order until nothing is left to come. It stops at the first fault.
+ * Explores every order of a simulation's events, depth first. Each sequence is played from the start because a
+ * simulation can't be copied. After {@code depth} choices the remaining events are played in one fixed order until none
+ * is left. The search stops at the first violation.
  */
 public final class InterleavingExplorer {
-    /** One thing that may come next. */
+    /** An event that may happen next. */
     public record Event(String name, Runnable action) {}
 
-    /** What is explored; it judges itself by the rules as it goes. */
+    /** A system under exploration; it checks the rules at each event. */
     public interface Simulation {
-        /** What may come next, always in the same order. */
+        /** Events that may happen next, always in the same order. */
         List<Event> enabledEvents();
 
         RuleChecker rules();
 
-        /** Looks at what is left once nothing more can come. */
+        /** Checks the remaining state once no event is left. */
         void checkQuiescent();
     }
 
-    /** How many sequences a world has, and the first fault met with the way there, or null. */
+    /** Number of sequences, and the first violation with the events that led to it, or null. */
     public record SearchResult(long sequences, String fault) {}
 
     private static final int MAX_TAIL_EVENTS = 400;
@@ -39,7 +40,7 @@
         this.depth = depth;
     }
 
-    /** {@code worlds} makes the same world each time. */
+    /** {@code simulations} must create the same simulation each time. */
     public static SearchResult search(Supplier<Simulation> simulations, int depth) {
         InterleavingExplorer explorer = new InterleavingExplorer(simulations, depth);
         explorer.explore(new int[0]);
--- a/src/test/java/martenslip/RoutingPolicyInterleavingTest.java
+++ b/src/test/java/martenslip/RoutingPolicyInterleavingTest.java
@@ -20,9 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/**
- * The very module, through every order of a few events. Every event is judged by the rules.
- */
+/** Runs the real module through every order of a few events and checks the rules at each event. */
 public class RoutingPolicyInterleavingTest {
     private static SearchResult search(Parameters parameters, int depth) {
         return InterleavingExplorer.search(
@@ -34,26 +32,26 @@
         return new Parameters(direct, tandem, offers, failures, lateTimers, 600, List.of(faults));
     }
 
-    /** Name, world, choices, and how many sequences that makes: another figure says that the search has changed. */
+    /** Name, parameters, depth, and number of sequences; a different number means that the search has changed. */
     @DataProvider
     public Object[][] simulations() {
         return new Object[][] {
             {"one group", parameters(2, 0, 2, 2, false), 7, 16165L},
-            {"one circuit, clocks late", parameters(1, 0, 2, 1, true), 9, 9562L},
+            {"one circuit, timers late", parameters(1, 0, 2, 1, true), 9, 9562L},
             {"over the tandem", parameters(1, 1, 2, 1, false), 7, 17872L},
-            {"over the tandem only, clocks late", parameters(0, 1, 2, 1, true), 9, 14230L},
+            {"over the tandem only, timers late", parameters(0, 1, 2, 1, true), 9, 14230L},
             {"a drain and back", parameters(2, 1, 2, 1, false, "drains", "ready"), 6, 16711L},
             {"the tandem drains", parameters(1, 1, 2, 0, false, "tandem drains"), 8, 20992L},
-            {"gone, clocks late", parameters(1, 1, 2, 1, true, "gone"), 7, 34739L},
+            {"gone, timers late", parameters(1, 1, 2, 1, true, "gone"), 7, 34739L},
             {"replaced", parameters(2, 1, 2, 1, false, "replaced"), 7, 22430L},
             {"replaced while one waits", parameters(1, 0, 2, 1, true, "replaced"), 8, 19859L},
-            {"hardly any patience, clocks late", new Parameters(1, 1, 2, 1, true, 120, List.of()), 8, 19272L},
-            {"a restart with the kept list", parameters(1, 1, 3, 0, false, "restart"), 8, 36624L},
-            {"a restart amid a drain", parameters(1, 1, 2, 0, true, "restart", "drains"), 7, 9959L},
+            {"little patience, timers late", new Parameters(1, 1, 2, 1, true, 120, List.of()), 8, 19272L},
+            {"a restart with the cached list", parameters(1, 1, 3, 0, false, "restart"), 8, 36624L},
+            {"a restart during a drain", parameters(1, 1, 2, 0, true, "restart", "drains"), 7, 9959L},
             {"cold", parameters(8, 1, 5, 0, false, "cold"), 7, 18053L},
             {"cold after a restart", parameters(8, 1, 4, 0, false, "cold", "restart"), 7, 28510L},
-            {"jammed at the first word", parameters(1, 1, 2, 1, false, "jammed"), 7, 38144L},
-            {"reports of no number", parameters(2, 1, 2, 1, false, "unknown"), 7, 30287L},
+            {"jammed at the first report", parameters(1, 1, 2, 1, false, "jammed"), 7, 38144L},
+            {"reports of NaN and infinity", parameters(2, 1, 2, 1, false, "unknown"), 7, 30287L},
             {"circuits lost", parameters(2, 1, 2, 1, false, "circuits lost"), 7, 30207L},
         };
     }
@@ -63,7 +61,7 @@
         assertEquals(search(parameters, depth), new SearchResult(sequences, null), name);
     }
 
-    /** Hands each call on as {@code change} says: it may alter the arguments, or give null to drop the call. */
+    /** Forwards calls; the interceptor may change the arguments of these methods, or return null to drop the call. */
     @SuppressWarnings("unchecked")
     private static <T> T intercept(Class<T> type, T target, Set<String> methodNames, CallInterceptor interceptor) {
         return (T) Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, (proxy, method, values) -> {
@@ -78,7 +76,7 @@
         });
     }
 
-    /** A call that the interface doesn't have would never be changed. */
+    /** A method name that the interface doesn't have would never be intercepted. */
     private static void checkCalls(Class<?> type, Set<String> methodNames) {
         Set<String> methods = Stream.of(type.getMethods()).map(Method::getName).collect(Collectors.toSet());
         assertTrue(methods.containsAll(methodNames), methodNames + ", but " + type + " has " + methods);
--- a/src/test/java/martenslip/RoutingPolicyTest.java
+++ b/src/test/java/martenslip/RoutingPolicyTest.java
@@ -21,6 +21,7 @@
 import martenslip.control.SwitchEntry.State;
 import org.testng.annotations.Test;
 
+/** Decisions of the routing policy, event by event, on simulated time. */
 public class RoutingPolicyTest {
     private static RingEnd end(long contact, int ring, RingEndCause cause, RejectionReason reason) {
         return new RingEnd(contact, ring, 101, cause, reason, Span.ofMillis(10), false, new float[0]);
@@ -126,7 +127,7 @@
             exchange.policy.timerExpired(at(2 * id + 1.5), 2 * id);
             exchange.reportGroup(1, 2, 40);
         }
-        assertEquals(exchange.takeOrders(), List.of("ring 1 101", "off 1 0", "abandon 1", "defer 2"));
+        assertEquals(exchange.takeOrders(), List.of("ring 1 101", "cancel 1 0", "abandon 1", "defer 2"));
     }
 
     @Test
@@ -135,7 +136,7 @@
         exchange.policy.contactOffered(at(1), contact(1, CHEAP, 3));
         exchange.takeOrders();
         exchange.policy.timerExpired(at(3.99), 2);
-        assertEquals(exchange.takeOrders(), List.of("off 1 0", "abandon 1"));
+        assertEquals(exchange.takeOrders(), List.of("cancel 1 0", "abandon 1"));
         exchange.policy.ringEnded(at(4.02), end(1, 0, RingEndCause.CALLED_OFF, RejectionReason.NONE));
         exchange.policy.timerExpired(at(5), 2);
         assertEquals(exchange.takeOrders(), List.of());
@@ -453,7 +454,7 @@
         assertEquals(runs.get(0), runs.get(1));
     }
 
-    /** Only the oldest are looked at, so none that is young may stand before one that is old. */
+    /** Only the oldest entries are checked for expiry, so entries must stay in order of time. */
     @Test
     public void firstTryTimesExpireAfterTheMaximumPatience() {
         ExchangeFixture exchange = new ExchangeFixture().ready(9, 9);
--- a/src/test/java/martenslip/RuleChecker.java
+++ b/src/test/java/martenslip/RuleChecker.java
@@ -10,8 +10,16 @@
 import martenslip.control.Span;
 
 /**
- * The five rules as the operators wrote them, over what passes between a program and its module, or between an
- * exchange and the wire. It knows nothing of the code under test. Contacts are named by their controller and id.
+ * Checks the operators' five rules on what passes between a program and its module, or between an exchange and the
+ * network, without knowledge of the code under test. Contacts are named by their controller and id.
+ *
+ * <ol>
+ *   <li>Each contact gets one final answer within its patience, and no ring after it.
+ *   <li>A contact has at most one ring in flight.
+ *   <li>A draining switch gets no rings after the drain grace.
+ *   <li>A cold switch gets no more rings in a window than its budget.
+ *   <li>After a ring that may still hold circuits, no ring is sent for the contact during the release time.
+ * </ol>
  */
 public final class RuleChecker {
     private record ColdStart(Moment since, double setUpsPerSecond) {}
@@ -52,18 +60,18 @@
         unansweredUntil.put(contact, deadline);
     }
 
-    /** A final answer that the controller gives, or the first word of a ring that stands. */
+    /** The controller gave a final answer, or a ring of the contact was established. */
     public void contactAnswered(Moment now, String contact) {
         Moment deadline = unansweredUntil.remove(contact);
         if (deadline == null) {
-            addViolation(1, contact + " was answered and owed nothing");
+            addViolation(1, contact + " was answered though no answer was owed");
         } else if (deadline.before(now)) {
             addViolation(1, contact + " was answered after its patience");
         }
         ended.add(contact);
     }
 
-    /** The caller has gone, or the controller was killed: nothing is owed any more. */
+    /** The caller has gone or the controller was killed; no answer is owed any more. */
     public void callerGone(String contact) {
         unansweredUntil.remove(contact);
         ended.add(contact);
@@ -74,7 +82,7 @@
             addViolation(1, contact + " was rung after its end");
         }
         if (inFlight.merge(contact, 1, Integer::sum) > 1) {
-            addViolation(2, contact + " has two rings out");
+            addViolation(2, contact + " has two rings in flight");
         }
         Moment drainSince = drainingSince.get(controller + " " + target);
         if (drainSince != null && drainSince.plus(drainGrace).before(now)) {
@@ -82,7 +90,7 @@
         }
         Moment heldEnd = heldRingEndedAt.get(contact);
         if (heldEnd != null && now.before(heldEnd.plus(releaseTime))) {
-            addViolation(5, contact + " was sent within the release");
+            addViolation(5, contact + " was sent within the release time");
         }
         sentRings.add(new SentRing(target, now));
         ColdStart coldStart = coldStarts.get(target);
@@ -103,7 +111,7 @@
         }
     }
 
-    /** {@code held}: it timed out, was cut or was called off, and may still hold something. */
+    /** {@code mayHoldCircuits}: the ring timed out, was cut or was cancelled, and may still hold circuits. */
     public void ringEnded(Moment now, String contact, boolean mayHoldCircuits) {
         inFlight.merge(contact, -1, Integer::sum);
         if (mayHoldCircuits) {
@@ -119,13 +127,13 @@
         }
     }
 
-    /** A processor that takes so many set-ups a second when warm has just started. */
+    /** A processor has just started that accepts this many set-ups a second when warm. */
     public void switchStarted(Moment now, long target, double setUpsPerSecond) {
         coldStarts.put(target, new ColdStart(now, setUpsPerSecond));
         sentRings.clear();
     }
 
-    /** Called whenever time has moved: rule 1 needs no event to break. */
+    /** Called whenever time has advanced, as rule 1 can be violated without an event. */
     public void checkDeadlines(Moment now) {
         unansweredUntil.forEach((contact, deadline) -> {
             if (deadline.before(now)) {
--- a/src/test/java/martenslip/ThreeExchangeSimulation.java
+++ b/src/test/java/martenslip/ThreeExchangeSimulation.java
@@ -22,8 +22,9 @@
 import martenslip.control.SwitchEntry.State;
 
 /**
- * Exchanges 0, 1 and 2, each pair with a group, and the very module at 0 and at 2, which is 0's tandem to 1. It says
- * which events may come next; whoever explores it picks one at a time, and {@link RuleChecker} looks on.
+ * Simulates exchanges 0, 1 and 2 with a group between each pair. The real module controls 0 and 2; 2 is the tandem from
+ * 0 to 1. The simulation lists the events that may happen next, the explorer picks one, and {@link RuleChecker} checks
+ * the rules.
  */
 final class ThreeExchangeSimulation implements InterleavingExplorer.Simulation {
     static final Span RELEASE_TIME = Span.ofMillis(100);
@@ -32,7 +33,7 @@
     static final Span WARM_UP_TIME = Span.ofMillis(4000);
     private static final RejectionReason[] TURN_BACK_REASONS = {RejectionReason.NO_CIRCUIT, RejectionReason.PROCESSOR};
 
-    /** What a world is made of; {@code late} has every clock heard a round late. */
+    /** Circuits of the groups, events and faults; with {@code lateTimers} every timer expires a round late. */
     record Parameters(
             int directCircuits,
             int tandemCircuits,
@@ -44,7 +45,7 @@
 
     private record ScheduledEvent(Moment at, long order, Runnable action) {}
 
-    /** A contact at a controller; {@code from} is the ring that brought it here, or null. */
+    /** A contact at a controller; {@code incomingRing} is the ring of the exchange before it, or null. */
     private final class Offer {
         final ControllerNode node;
         final Contact contact;
@@ -142,7 +143,7 @@
         return (int) (id % 100);
     }
 
-    /** So that the module has something usual to measure a cold switch by: two contacts a second. */
+    /** Two contacts a second, from which the module learns the usual rate that limits a cold switch. */
     private void playOrdinaryTraffic() {
         for (int i = 0; i < 8; i++) {
             now = now.plus(Span.ofMillis(500));
@@ -208,7 +209,7 @@
             return;
         }
         if (!ring.established && (ring.reachesDestination() || ring.answeredBeyond)) {
-            events.add(new Event(name + " stands", () -> establish(ring)));
+            events.add(new Event(name + " established", () -> establish(ring)));
         }
         if (!ring.reachesDestination() && ring.transitOffer == null && !ring.cancelled) {
             events.add(new Event(name + " arrives", () -> arriveAtTandem(ring)));
@@ -218,7 +219,8 @@
                     new Event(name + " concludes", () -> endRing(ring, RingEndCause.CONCLUDED, RejectionReason.NONE)));
         }
         if (ring.cancelled) {
-            events.add(new Event(name + " is off", () -> endRing(ring, RingEndCause.CALLED_OFF, RejectionReason.NONE)));
+            events.add(
+                    new Event(name + " cancelled", () -> endRing(ring, RingEndCause.CALLED_OFF, RejectionReason.NONE)));
         } else if (failures < parameters.failures) {
             addFailureEvent(ring, name, RingEndCause.CUT, RejectionReason.NONE, events);
             if (!ring.established) {
@@ -321,7 +323,7 @@
         reportGroups();
     }
 
-    /** The caller, or the exchange that this contact came from, wants it no more. */
+    /** The caller, or the exchange that this contact came from, gives it up. */
     private void callerLeaves(Offer offer) {
         if (!offer.answered) {
             offer.answered = true;
@@ -380,7 +382,7 @@
         });
     }
 
-    /** The controller at 0 dies, and what it held with it; the next one has nothing but the list. */
+    /** The controller of exchange 0 stops and loses its state; its successor has only the cached switch list. */
     private void restart() {
         ControllerNode stopped = nodes.get(0);
         nodes.put(0, new ControllerNode(0, stopped.generation + 1));
@@ -396,7 +398,7 @@
         nodes.get(0).begin(ListKind.CACHED);
     }
 
-    /** Each end of a group is told of it. */
+    /** Reports the free circuits of each group to both ends. */
     private void reportGroups() {
         for (ControllerNode node : nodes.values()) {
             for (int farNumber = 0; farNumber < 3; farNumber++) {
@@ -432,7 +434,7 @@
                     rules.addViolation(
                             "quiet",
                             node.number + " holds " + held + " circuits toward " + id
-                                    + ", rings " + trunkSwitch.inFlight.keySet() + ", standing "
+                                    + ", rings " + trunkSwitch.inFlight.keySet() + ", established "
                                     + trunkSwitch.established.keySet()
                                     + ", waiting "
                                     + trunkSwitch.waitingRequests.size());
@@ -556,22 +558,22 @@
 
         @Override
         public void probe(long target) {
-            // Not allowed here.
+            // The settings do not allow this order.
         }
 
         @Override
         public void sendNote(int peer, byte[] note) {
-            // Not allowed here.
+            // The settings do not allow this order.
         }
 
         @Override
         public void watchSwitchList(boolean enabled) {
-            // The list is told unasked.
+            // The simulation sends the list without a subscription.
         }
 
         @Override
         public void log(String line) {
-            // Nobody reads it.
+            // The log is not checked.
         }
     }
 }
--- a/src/test/java/martenslip/liveness/LivenessMonitorTest.java
+++ b/src/test/java/martenslip/liveness/LivenessMonitorTest.java
@@ -10,6 +10,7 @@
 import martenslip.control.Span;
 import org.testng.annotations.Test;
 
+/** When a silent switch is probed and when it is declared dead. */
 public class LivenessMonitorTest {
     private final LivenessMonitor monitor = new LivenessMonitor(at(0));
 
@@ -17,7 +18,7 @@
         return new Moment(Span.ofMillis(seconds * 1000).ns());
     }
 
-    /** Whether it is called over within the time that the platform gives, looked at each half second. */
+    /** Checks every half second; returns the second at which the switch is declared dead, or -1. */
     private static double declaredDeadAt(LivenessMonitor checked, boolean answersProbes, double end) {
         for (double now = 0.5; now <= end; now += 0.5) {
             LivenessMonitor.Action action = checked.check(at(now));
@@ -35,7 +36,7 @@
     @Test
     public void vanishedSwitchIsDeclaredDeadInTime() {
         double deadAt = declaredDeadAt(new LivenessMonitor(at(0)), false, 20);
-        assertTrue(deadAt > 6 && deadAt < 7.3, "over at " + deadAt);
+        assertTrue(deadAt > 6 && deadAt < 7.3, "declared dead at " + deadAt);
     }
 
     @Test
--- a/src/test/java/martenslip/tracking/ContactRegistryTest.java
+++ b/src/test/java/martenslip/tracking/ContactRegistryTest.java
@@ -23,6 +23,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Notifications of the module by the registry, also after a lane or the module was replaced. */
 public class ContactRegistryTest {
     private final List<String> notifications = new ArrayList<>();
     private ContactRegistry registry;
@@ -38,7 +39,7 @@
                 values -> "ended " + ((RingEnd) values[1]).contact() + " " + ((RingEnd) values[1]).ring() + " "
                         + ((RingEnd) values[1]).cause(),
                 "established",
-                values -> "stands " + values[1] + " " + values[2]);
+                values -> "established " + values[1] + " " + values[2]);
         Set<String> methods =
                 Stream.of(Controller.class.getMethods()).map(Method::getName).collect(Collectors.toSet());
         assertTrue(methods.containsAll(descriptions.keySet()), descriptions.keySet() + ", but there are " + methods);
@@ -50,7 +51,7 @@
                     return null;
                 });
         registry = new ContactRegistry(
-                module, Span.ofMillis(500), (contact, ring) -> notifications.add("call off " + contact + " " + ring));
+                module, Span.ofMillis(500), (contact, ring) -> notifications.add("cancel " + contact + " " + ring));
     }
 
     private static Moment at(double milliseconds) {
@@ -92,7 +93,7 @@
         registry.ringEnded(at(4), end(4, 1, RingEndCause.CONCLUDED));
         assertEquals(
                 takeNotifications(),
-                List.of("offered 4 left 4000", "ended 4 0 TURNED_BACK", "stands 4 1", "ended 4 1 CONCLUDED"));
+                List.of("offered 4 left 4000", "ended 4 0 TURNED_BACK", "established 4 1", "ended 4 1 CONCLUDED"));
         assertEquals(registry.size(), 0);
         assertEquals(registry.ringOrdered(4, 9), -1);
     }
@@ -107,7 +108,9 @@
             registry.ringOrdered(id, 9);
         }
         takeNotifications();
-        // 1 waits, 2 rings still, 3 stands and 4 timed out unheard, 5's order is in the inbox, 6 is gone altogether.
+        // 1 waits; 2 is in flight; the notifications that 3 was established and 4 timed out were lost; the order of 5
+        // is
+        // in the inbox; the lane no longer has 6.
         registry.reconcileLane(
                 at(100),
                 2,
@@ -119,9 +122,10 @@
                         laneContact(5, 0, -1, false, false, null),
                         laneContact(7, 0, -1, false, false, null)));
         assertEquals(
-                takeNotifications(), List.of("stands 3 0", "ended 4 0 TIMED_OUT", "callerGone 6", "ended 6 0 CUT"));
+                takeNotifications(),
+                List.of("established 3 0", "ended 4 0 TIMED_OUT", "callerGone 6", "ended 6 0 CUT"));
         registry.offerDue(at(100));
-        assertEquals(takeNotifications(), List.of("offered 7 left 3900"), "its offer had been lost");
+        assertEquals(takeNotifications(), List.of("offered 7 left 3900"), "the offer was lost");
         assertTrue(registry.ringEnded(at(200), end(5, 0, RingEndCause.TIMED_OUT)));
     }
 
@@ -139,15 +143,17 @@
         assertEquals(registry.nextOfferAt(), at(1000));
         registry.offerDue(at(1000));
         assertEquals(takeNotifications(), List.of("offered 5 left 3000"));
-        // 1's ring was given up at 900 and may hold something until 1400.
+        // The ring of 1 ended at 900 ms and may hold circuits until 1400 ms.
         registry.offerDue(at(1399));
         assertEquals(takeNotifications(), List.of());
         registry.offerDue(at(1400));
         assertEquals(takeNotifications(), List.of("offered 1 left 2600"));
-        assertEquals(registry.ringOrdered(1, 9), 1, "the lane's own count goes on");
+        assertEquals(registry.ringOrdered(1, 9), 1, "the lane continues its own numbering");
         registry.ringEnded(at(1500), end(1, 1, RingEndCause.TURNED_BACK));
-        assertEquals(takeNotifications(), List.of("ended 1 0 TURNED_BACK"), "the module's begins at 0");
-        // 2's ring is another's: its end is not told, and the contact is offered once it may be sent again.
+        assertEquals(takeNotifications(), List.of("ended 1 0 TURNED_BACK"), "the module numbers its rings from 0");
+        // The ring of 2 belongs to the previous module: its end is not notified, and the contact is offered once it may
+        // be
+        // sent again.
         registry.ringEnded(at(1600), end(2, 1, RingEndCause.TIMED_OUT));
         registry.offerDue(at(2099));
         assertEquals(takeNotifications(), List.of());
@@ -161,7 +167,7 @@
     public void callerGoneCancelsAForeignRing() {
         registry.reconcileLane(at(0), 0, List.of(laneContact(2, 2, 1, false, false, null)));
         registry.callerGone(at(10), 2);
-        assertEquals(takeNotifications(), List.of("call off 2 1"));
+        assertEquals(takeNotifications(), List.of("cancel 2 1"));
         registry.ringEnded(at(20), end(2, 1, RingEndCause.CALLED_OFF));
         assertEquals(registry.size(), 0);
         assertEquals(takeNotifications(), List.of());
--- a/src/test/java/martenslip/watchdog/WatchdogTest.java
+++ b/src/test/java/martenslip/watchdog/WatchdogTest.java
@@ -6,12 +6,13 @@
 import martenslip.control.Span;
 import org.testng.annotations.Test;
 
+/** When the watchdog has a thread replaced, and when it does not. */
 public class WatchdogTest {
     private static Moment at(double milliseconds) {
         return new Moment(Span.ofMillis(milliseconds).ns());
     }
 
-    /** Looks each 20 ms from one moment to another with all but {@code hung} turning; the first place replaced. */
+    /** Checks every 20 ms while all threads but {@code hungThread} iterate; returns the first thread replaced, or -1. */
     private static int checkThrough(Watchdog watchdog, int threads, double start, double end, int hungThread) {
         int firstStalled = -1;
         for (double time = start; time <= end; time += 20) {
@@ -29,7 +30,7 @@
     @Test
     public void hungThreadIsReplacedOnce() {
         Watchdog watchdog = new Watchdog(3, at(0));
-        assertEquals(checkThrough(watchdog, 3, 20, 140, 1), -1, "still within what a busy turn may take");
+        assertEquals(checkThrough(watchdog, 3, 20, 140, 1), -1, "still within the time of a busy iteration");
         assertEquals(checkThrough(watchdog, 3, 160, 180, 1), 1);
         assertEquals(checkThrough(watchdog, 3, 200, 640, 1), -1, "its replacement has time to take over");
         assertEquals(checkThrough(watchdog, 3, 660, 1000, 1), 1, "a replacement that hangs is replaced too");
@@ -41,7 +42,7 @@
         checkThrough(watchdog, 4, 20, 100, -1);
         assertEquals(watchdog.findStalled(at(600)), -1);
         assertEquals(watchdog.lateChecks(), 1);
-        // Whoever still hangs after the pause is found from then on.
+        // A thread that still hangs after the pause is found from then on.
         assertEquals(checkThrough(watchdog, 4, 620, 740, 2), -1);
         assertEquals(checkThrough(watchdog, 4, 760, 780, 2), 2);
     }
@@ -69,7 +70,7 @@
         }
         assertEquals(replaced, 8);
         assertEquals(watchdog.suppressedReplacements() > 0, true);
-        // Half a minute on it may try again.
+        // Half a minute later replacements are allowed again.
         for (double time = 20_000; time < 40_000; time += 20) {
             replaced += watchdog.findStalled(at(time)) == 0 ? 1 : 0;
         }
