--- a/src/main/java/martenslip/RoutingPolicy.java
+++ b/src/main/java/martenslip/RoutingPolicy.java
@@ -212,8 +212,8 @@
         }
     }
 
-    /** A skill from the settings. Rank 0 is the urgent one; {@code shareRow} is its column in the stage shares. */
-    record Skill(int id, int rank, int shareRow, int width, Span target, Span meanHold, List<String> pools) {
+    /** A skill from the settings. Rank 0 is the urgent one; {@code shareColumn} is its column in the stage shares. */
+    record Skill(int id, int rank, int shareColumn, int width, Span target, Span meanHold, List<String> pools) {
         /** Where exchanges form pools instead of a full mesh, a skill may use only some of them as tandems. */
         boolean mayUseTandem(int tandemNumber) {
             return pools.contains("") || pools.contains("" + tandemNumber);
@@ -223,14 +223,14 @@
     /** A histogram of spans whose counts are halved every three periods. Bin widths double; one bin makes it a count. */
     static final class DecayingHistogram {
         final double[] binCounts;
-        final Span maxSpan;
+        final Span lastBinStart;
         final Span period;
         final Moment startedAt;
         long halvings;
 
-        DecayingHistogram(int bins, Span scale, Span period, Moment now) {
+        DecayingHistogram(int bins, Span lastBinStart, Span period, Moment now) {
             this.binCounts = new double[bins];
-            this.maxSpan = scale;
+            this.lastBinStart = lastBinStart;
             this.period = period;
             startedAt = now;
         }
@@ -248,7 +248,9 @@
         void add(double amount, Span span, Moment now) {
             decay(now);
             int bin = binCounts.length - 1;
-            for (Span lowerEdge = maxSpan; bin > 0 && lowerEdge.longerThan(span); lowerEdge = lowerEdge.times(0.5)) {
+            for (Span lowerEdge = lastBinStart;
+                    bin > 0 && lowerEdge.longerThan(span);
+                    lowerEdge = lowerEdge.times(0.5)) {
                 bin--;
             }
             binCounts[bin] += amount;
@@ -268,7 +270,7 @@
             for (int i = 0; total >= 1 && i < binCounts.length; i++) {
                 remaining -= binCounts[i];
                 if (remaining <= 0) {
-                    return maxSpan.times(Math.pow(2, i - binCounts.length + 2));
+                    return lastBinStart.times(Math.pow(2, i - binCounts.length + 2));
                 }
             }
             return Span.ZERO;
@@ -325,25 +327,37 @@
         // Separate maps: far more contacts are established than in flight, and each request reads the oldest in flight.
         final Map<Long, HeldCircuits> inFlight = new LinkedHashMap<>();
         final Map<Long, HeldCircuits> established = new HashMap<>();
-        final int[] heldBySkill = new int[readSkills.length];
+        final int[] heldBySkill = new int[skills.length];
+        /** Circuits that urgent contacts request per mean holding time. */
         final DecayingHistogram urgentDemand = newCount(urgentSkill.meanHold);
+
         Map<Integer, TandemWeight> tandemWeights = new TreeMap<>();
         final List<CircuitRequest> waitingRequests = new ArrayList<>();
         boolean retryTimerRunning;
+        /** A ring timed out with no response since it was sent. */
         boolean unresponsive;
+
         final DecayingHistogram setUpTimes =
                 new DecayingHistogram(8, maxPatience, urgentSkill.target.times(1 / 3.0), now);
         final DecayingHistogram sentRings = newCount(urgentSkill.target);
         final DecayingHistogram establishedCount = newCount(urgentSkill.target);
         final DecayingHistogram requestCount = newCount(urgentSkill.target);
+        /** Rings sent per period to the warm switch, averaged over the last ones. */
         double warmSendRate;
+        /** Rings that may be sent to the cold switch now. */
         double coldBudget;
+        /** Share of its capacity that the processor rejects, as reported or derived. */
         double capacityCut;
+        /** Usual number of set-ups a second that the processor allows, as learned from its reports. */
         double usualCapacity;
+        /** Messages in the processor's queue. */
         double queueDepth;
+
         Moment coldBudgetAt = now;
         Moment lastResponseAt = now;
+        /** Until when a silent switch gets no further trial. */
         Moment nextTrialAt = NEVER;
+
         Moment reportedAt = NEVER;
         Span queueWait = Span.ZERO;
 
@@ -513,8 +527,8 @@
             // Requests count by half because a refused caller tries again. The rate is limited to what the group can
             // carry: a rush says nothing about the processor, and a module that just started has seen only the rush.
             double groupPeriodCapacity = groupSize
-                    * sentRings.period.ratioTo(readSkills[cheapestSkillId].meanHold)
-                    / readSkills[cheapestSkillId].width;
+                    * sentRings.period.ratioTo(skills[cheapestSkillId].meanHold)
+                    / skills[cheapestSkillId].width;
             double usualPerPeriod = Math.min(groupPeriodCapacity, Math.max(warmSendRate, requestCount.mean(now) / 2));
             share *= Math.min(MAX_COLD_USUAL_RATIO, 0.6 * numberSetting("guarantees.fall-multiple", 1));
             double periods = now.since(coldBudgetAt).ratioTo(sentRings.period);
@@ -633,9 +647,9 @@
          * cheap contact gets one tandem for each of its circuits; without such a group a tandem is the planned route.
          */
         List<Switch> drawTandems(CircuitRequest request) {
-            boolean singleTandem =
+            boolean drawsOnce =
                     groupSize >= request.width() && request.width() <= urgentSkill.width && !request.isUrgent();
-            if (singleTandem && (!request.initial || request.isLate(now))) {
+            if (drawsOnce && (!request.initial || request.isLate(now))) {
                 return List.of();
             }
             Map<Double, Switch> byDrawKey = new TreeMap<>();
@@ -648,7 +662,7 @@
                 }
             }
             List<Switch> tandems = new ArrayList<>(byDrawKey.values());
-            return singleTandem && !tandems.isEmpty()
+            return drawsOnce && !tandems.isEmpty()
                     ? tandems.subList(0, Math.min(request.width(), tandems.size()))
                     : tandems;
         }
@@ -685,23 +699,31 @@
         }
     }
 
+    /** What an open contact waits for. */
     enum ContactState {
         AWAITING_CIRCUIT,
         RINGING,
         AWAITING_RETRY
     }
 
+    /** A contact that is owed a final answer. */
     static final class OpenContact {
         final Contact contact;
         final Skill skill;
+        /** Latest moment for the final answer. */
         final Moment answerBy;
+        /** Until when the contact may wait for a circuit. */
         final Moment waitUntil;
+        /** Until when a further ring may be sent: the end of the answer target. */
         final Moment retryUntil;
+
         final Moment firstTryAt;
         final Set<Long> triedSwitches = new HashSet<>();
         ContactState state = ContactState.AWAITING_CIRCUIT;
         int ringCount;
+        /** Whether a circuit was requested before; the home switch is asked only the first time. */
         boolean requested;
+
         Switch ringTarget;
         Switch destination;
         Moment retryAt;
@@ -721,6 +743,7 @@
         final Map<Long, OpenContact> openContacts = new LinkedHashMap<>();
         final Map<Long, Moment> firstTryByNumber = new LinkedHashMap<>();
         Moment probedAt = NEVER;
+        /** When the module started, or null once its groups were sent to the peers. */
         Moment groupsUnsentSince = now;
 
         void established(long contact) {
@@ -780,8 +803,8 @@
         void contactOffered(Contact contact) {
             // Two timer rounds early: a timer may expire a round late, and a late answer counts as none.
             Moment answerBy = now.plus(contact.patience()).plus(timerRound.times(-2));
-            boolean isKnownSkill = contact.skill() >= 0 && contact.skill() < readSkills.length;
-            Skill skill = readSkills[isKnownSkill ? contact.skill() : cheapestSkillId];
+            boolean isKnownSkill = contact.skill() >= 0 && contact.skill() < skills.length;
+            Skill skill = skills[isKnownSkill ? contact.skill() : cheapestSkillId];
             // In order of time; checking every entry for each contact would be too slow in a flood of redials.
             for (Iterator<Moment> firstTryAt = firstTryByNumber.values().iterator();
                     firstTryAt.hasNext() && now.since(firstTryAt.next()).longerThan(maxPatience); ) {
@@ -948,7 +971,7 @@
     private final Map<Long, Switch> switchesWithGroup = new TreeMap<>();
     private final Map<Integer, Switch> switchesByNumber = new HashMap<>();
     private final Map<Integer, Map<Integer, TandemWeight>> weightsByDestination = new HashMap<>();
-    final Skill[] readSkills;
+    final Skill[] skills;
     private Skill urgentSkill;
     private int cheapestSkillId;
     private Span maxPatience = Span.ZERO;
@@ -970,11 +993,12 @@
         warmUpTime = new Span((long) numberSetting("guarantees.warm-within-ns", 1));
         homeNumber = (int) numberSetting("family-info.home-no", -1);
         reportFields = Arrays.asList(settings.getOrDefault("report.fields", "").split(","));
-        readSkills = readSkills();
+        skills = readSkills();
         contactManager = new ContactManager();
         switchListReceived(now, ListKind.FAILED, List.of());
     }
 
+    /** A setting that is a number, or the first of a list of them. */
     private double numberSetting(String name, double defaultValue) {
         return listItem(settings.get(name), 0, defaultValue);
     }
@@ -1000,13 +1024,13 @@
             int skillId = byValue[rank];
             String prefix = "classes." + skillId + ".";
             // The cheapest skill takes the bronze shares; those between take silver, then gold, from below.
-            int shareRow = rank == 0 ? 0 : Math.max(1, 3 - (count - 1 - rank));
+            int shareColumn = rank == 0 ? 0 : Math.max(1, 3 - (count - 1 - rank));
             int width = (int) listItem(settings.get("family-info.widths"), skillId, 1);
             Span meanHold = new Span((long) listItem(settings.get("family-info.mean-hold-ns"), skillId, 1e10));
             skills[skillId] = new Skill(
                     skillId,
                     rank,
-                    shareRow,
+                    shareColumn,
                     width,
                     new Span((long) numberSetting(prefix + "aim-ns", 1e9)),
                     meanHold,
@@ -1022,10 +1046,10 @@
     /** Share of a group that a skill may hold. Shares of classes without a skill go to the cheapest skill. */
     double skillShare(int skill, int stage) {
         double unassigned = 1;
-        for (Skill other : readSkills) {
-            unassigned -= STAGE_SHARES[stage][other.shareRow];
+        for (Skill other : skills) {
+            unassigned -= STAGE_SHARES[stage][other.shareColumn];
         }
-        return STAGE_SHARES[stage][readSkills[skill].shareRow]
+        return STAGE_SHARES[stage][skills[skill].shareColumn]
                 + (skill == cheapestSkillId ? Math.max(0, unassigned) : 0);
     }
 
@@ -1094,6 +1118,7 @@
         switchesWithGroup.keySet().retainAll(switches.keySet());
     }
 
+    /** Delivers a message and all that follow from it. */
     private <A extends Actor<A>> void process(Moment eventTime, A actor, Message<A> message) {
         now = eventTime;
         if (actor != null) {
--- a/src/main/java/martenslip/liveness/LivenessMonitor.java
+++ b/src/main/java/martenslip/liveness/LivenessMonitor.java
@@ -22,6 +22,7 @@
     /** Two missed one-second reports of an ordinary switch, with time left for a second probe. */
     static final Span PROBE_AFTER = Span.ofMillis(3000);
 
+    /** Time between probes of a switch that stays silent. */
     static final Span PROBE_INTERVAL = Span.ofMillis(1000);
     /** Below the 8 s by the time that a check, the connect timeout and the transport of the release may take. */
     static final Span DEAD_AFTER = Span.ofMillis(6300);
--- a/src/main/java/martenslip/watchdog/Watchdog.java
+++ b/src/main/java/martenslip/watchdog/Watchdog.java
@@ -26,10 +26,13 @@
     /** Replacements within {@link #REPLACEMENT_WINDOW}; beyond them the machine itself fails and more threads don't help. */
     private static final int MAX_REPLACEMENTS = 8;
 
+    /** Period over which replacements are counted. */
     private static final Span REPLACEMENT_WINDOW = Span.ofMillis(30_000);
 
     private final Moment[] lastIterationAt;
-    private final Moment[] judgedFrom;
+    /** From when a thread is checked; later than its last iteration after a replacement or a late check. */
+    private final Moment[] countedFrom;
+
     private final List<Moment> replacedAt = new ArrayList<>();
     private Moment lastCheckAt;
     private long lateChecks;
@@ -38,10 +41,10 @@
     /** Starts with all {@code threads} having begun an iteration at {@code now}. */
     public Watchdog(int threads, Moment now) {
         lastIterationAt = new Moment[threads];
-        judgedFrom = new Moment[threads];
+        countedFrom = new Moment[threads];
         for (int i = 0; i < threads; i++) {
             lastIterationAt[i] = now;
-            judgedFrom[i] = now;
+            countedFrom[i] = now;
         }
         lastCheckAt = now;
     }
@@ -55,8 +58,8 @@
     public int findStalled(Moment now) {
         if (now.since(lastCheckAt).longerThan(MAX_CHECK_GAP)) {
             lateChecks++;
-            for (int i = 0; i < judgedFrom.length; i++) {
-                judgedFrom[i] = judgedFrom[i].before(now) ? now : judgedFrom[i];
+            for (int i = 0; i < countedFrom.length; i++) {
+                countedFrom[i] = countedFrom[i].before(now) ? now : countedFrom[i];
             }
         }
         lastCheckAt = now;
@@ -77,13 +80,14 @@
         }
         replacedAt.add(now);
         lastIterationAt[stalledThread] = now;
-        judgedFrom[stalledThread] = now.plus(REPLACEMENT_GRACE);
+        countedFrom[stalledThread] = now.plus(REPLACEMENT_GRACE);
         return stalledThread;
     }
 
     /** How long the thread has not iterated, without the time that is not counted against it. */
     public Span stalledFor(int thread, Moment now) {
-        Moment from = lastIterationAt[thread].before(judgedFrom[thread]) ? judgedFrom[thread] : lastIterationAt[thread];
+        Moment from =
+                lastIterationAt[thread].before(countedFrom[thread]) ? countedFrom[thread] : lastIterationAt[thread];
         return now.since(from);
     }
 
--- a/src/test/java/martenslip/ExchangeFixture.java
+++ b/src/test/java/martenslip/ExchangeFixture.java
@@ -72,7 +72,7 @@
 
     RoutingPolicy.CircuitRequest circuitRequest(Contact contact) {
         return new RoutingPolicy.CircuitRequest(
-                contact, policy.readSkills[contact.skill()], policy.switchById(101), true, at(9), 0, at(0), Set.of());
+                contact, policy.skills[contact.skill()], policy.switchById(101), true, at(9), 0, at(0), Set.of());
     }
 
     /** Returns the orders except timers, and clears all. */
--- a/src/test/java/martenslip/RoutingPolicyInterleavingTest.java
+++ b/src/test/java/martenslip/RoutingPolicyInterleavingTest.java
@@ -28,8 +28,8 @@
     }
 
     private static Parameters parameters(
-            int direct, int tandem, int offers, int failures, boolean lateTimers, String... faults) {
-        return new Parameters(direct, tandem, offers, failures, lateTimers, 600, List.of(faults));
+            int directCircuits, int tandemCircuits, int offers, int failures, boolean lateTimers, String... faults) {
+        return new Parameters(directCircuits, tandemCircuits, offers, failures, lateTimers, 600, List.of(faults));
     }
 
     /** Name, parameters, depth, and number of sequences; a different number means that the search has changed. */
@@ -56,7 +56,7 @@
         };
     }
 
-    @Test(dataProvider = "worlds")
+    @Test(dataProvider = "simulations")
     public void rulesHoldInEveryEventOrder(String name, Parameters parameters, int depth, long sequences) {
         assertEquals(search(parameters, depth), new SearchResult(sequences, null), name);
     }
--- a/src/test/java/martenslip/ThreeExchangeSimulation.java
+++ b/src/test/java/martenslip/ThreeExchangeSimulation.java
@@ -227,8 +227,8 @@
                 addFailureEvent(ring, name, RingEndCause.TIMED_OUT, RejectionReason.NONE, events);
                 addFailureEvent(ring, name, RingEndCause.UNREACHABLE, RejectionReason.NONE, events);
                 addFailureEvent(ring, name, RingEndCause.BUSY, RejectionReason.LINES_BUSY, events);
-                for (RejectionReason blame : TURN_BACK_REASONS) {
-                    addFailureEvent(ring, name, RingEndCause.TURNED_BACK, blame, events);
+                for (RejectionReason reason : TURN_BACK_REASONS) {
+                    addFailureEvent(ring, name, RingEndCause.TURNED_BACK, reason, events);
                 }
             }
         }
