--- a/src/main/java/martenslip/RoutingPolicy.java
+++ b/src/main/java/martenslip/RoutingPolicy.java
@@ -75,6 +75,7 @@
         }
     }
 
+    /** A ring of the contact was answered. */
     record ContactAnswered(long contact) implements Message<ContactManager> {
         public void deliverTo(ContactManager receiver) {
             receiver.established(contact);
@@ -99,12 +100,14 @@
         }
     }
 
+    /** A switch denied the request; {@code byHomeSwitch} if it was the home switch, before the destination was asked. */
     record CircuitDenied(long contact, boolean byHomeSwitch) implements Message<ContactManager> {
         public void deliverTo(ContactManager receiver) {
             receiver.circuitDenied(receiver.openContacts.get(contact), byHomeSwitch);
         }
     }
 
+    /** The target, the destination or a tandem, reserved circuits for a ring. */
     record CircuitGranted(long contact, Switch target) implements Message<ContactManager> {
         public void deliverTo(ContactManager receiver) {
             receiver.circuitGranted(contact, target);
@@ -145,12 +148,14 @@
         }
     }
 
+    /** Asks a tandem for a circuit; if it has none, the next tandem is asked, and at the end the destination again. */
     record TandemRequest(CircuitRequest request, List<Switch> nextTandems) implements Message<Switch> {
         public void deliverTo(Switch receiver) {
             receiver.tryAsTandem(request, nextTandems);
         }
     }
 
+    /** Tells the target and the home switch that a contact was established. */
     record ContactEstablished(long contact, Span setUpTime) implements Message<Switch> {
         public void deliverTo(Switch receiver) {
             receiver.contactEstablished(contact, setUpTime);
@@ -163,12 +168,14 @@
         }
     }
 
+    /** Withdraws the request of a contact, or releases its circuits. */
     record ReleaseCircuits(long contact) implements Message<Switch> {
         public void deliverTo(Switch receiver) {
             receiver.releaseCircuits(contact);
         }
     }
 
+    /** The retry timer has expired: the waiting requests are handled again. */
     record ServeWaitingRequests() implements Message<Switch> {
         public void deliverTo(Switch receiver) {
             receiver.retryTimerRunning = false;
@@ -176,6 +183,7 @@
         }
     }
 
+    /** A silent switch may be tried at once. */
     record AllowTrial() implements Message<Switch> {
         public void deliverTo(Switch receiver) {
             receiver.nextTrialAt = NEVER;
@@ -194,6 +202,7 @@
         }
     }
 
+    /** A tandem reported whether it has a group toward this switch. */
     record TandemGroupReported(int tandem, boolean hasGroup) implements Message<Switch> {
         public void deliverTo(Switch receiver) {
             receiver.tandemGroupReported(tandem, hasGroup);
@@ -206,6 +215,7 @@
         }
     }
 
+    /** A ring over this tandem succeeded or failed. */
     record TandemOutcome(Switch tandem, boolean success) implements Message<Switch> {
         public void deliverTo(Switch receiver) {
             receiver.updateTandemWeight(tandem, success);
@@ -1154,6 +1164,7 @@
 
     @Override
     public void timerExpired(Moment eventTime, long token) {
+        // Odd tokens belong to switches, even ones to contacts; the rest of the token is the id.
         if ((token & 1) == 1) {
             process(eventTime, switchById(token >> 1), new ServeWaitingRequests());
         } else {
--- a/src/main/java/martenslip/control/Controller.java
+++ b/src/main/java/martenslip/control/Controller.java
@@ -7,7 +7,7 @@
  * answers through the {@link Orders} it was created with.
  */
 public interface Controller {
-    /** What a received switch list contains; the simulator protocol sends the ordinals. */
+    /** What a received switch list contains. */
     enum ListKind {
         /** Only the entries that changed. */
         CHANGES,
--- a/src/main/java/martenslip/control/SwitchEntry.java
+++ b/src/main/java/martenslip/control/SwitchEntry.java
@@ -10,7 +10,7 @@
  * @param zone the zone of the machine; machines of a zone may lose their network together
  */
 public record SwitchEntry(long id, int number, State state, Moment startedAt, int zone) {
-    /** State of a switch; logs write the value names out and the simulator protocol sends the ordinals. */
+    /** State of a switch. Logs write the value names out. */
     public enum State {
         READY,
         DRAINING,
--- a/src/test/java/martenslip/ArchitectureTest.java
+++ b/src/test/java/martenslip/ArchitectureTest.java
@@ -27,8 +27,9 @@
             .importPackages("martenslip");
 
     private final Set<String> packages = all.stream()
-            .flatMap(one -> Stream.concat(
-                    Stream.of(one), one.getDirectDependenciesFromSelf().stream().map(Dependency::getTargetClass)))
+            .flatMap(javaClass -> Stream.concat(
+                    Stream.of(javaClass),
+                    javaClass.getDirectDependenciesFromSelf().stream().map(Dependency::getTargetClass)))
             .map(JavaClass::getPackageName)
             .collect(Collectors.toSet());
 
@@ -191,7 +192,10 @@
                 .check(all);
     }
 
-    /** The contact table receives what the socket packages deliver; none of these packages depends on another or on it. */
+    /**
+     * The contact table receives what the socket packages deliver; none of these packages depends on
+     * another, and the contact table depends on none.
+     */
     @Test
     public void platformPackagesMeetOnlyInTheContactTable() {
         String[] parts = {"caller", "switchconnection", "journal", "peer"};
