--- a/src/test/java/martenslip/ColdStartFleetTest.java
+++ b/src/test/java/martenslip/ColdStartFleetTest.java
@@ -7,11 +7,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a whole fleet sends to a cold switch stays within what the settings allow it, whoever sends it. */
+/** The rings that a whole fleet sends to a cold switch stay within what the settings allow. */
 public class ColdStartFleetTest {
     private static final int SEEDS = 8;
 
-    /** Processes, calls a second to the switch, times as many after, part just started, the same machine again. */
+    /** Processes, calls a second, factor after the replacement, share started lately, whether the same machine restarts. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
@@ -33,17 +33,17 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void theSumStaysWithinTheAllowance(Parameters plan) {
+    public void fleetStaysWithinTheAllowance(Parameters parameters) {
         Result worst = null;
-        double served = 0;
+        double sentShare = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            Result found = ColdStartFleetSimulation.play(plan, seed);
-            worst = worst == null || found.worst() > worst.worst() ? found : worst;
-            served += found.sentCold() / SEEDS;
+            Result result = ColdStartFleetSimulation.play(parameters, seed);
+            worst = worst == null || result.worst() > worst.worst() ? result : worst;
+            sentShare += result.sentCold() / SEEDS;
         }
         System.out.printf(
                 "cold fleet %s: worst window %d sent, %.1f allowed, %.2f of the slack; sent of asked %.2f%n",
-                plan, worst.sent(), worst.allowed(), worst.worst(), served);
-        assertTrue(worst.worst() <= 1, plan + ": " + worst);
+                parameters, worst.sent(), worst.allowed(), worst.worst(), sentShare);
+        assertTrue(worst.worst() <= 1, parameters + ": " + worst);
     }
 }
