--- a/src/main/java/martenslip/scenario/ControllerProcesses.java
+++ b/src/main/java/martenslip/scenario/ControllerProcesses.java
@@ -22,16 +22,16 @@
 /** The controllers of a day, each a process of its own: their files, their start, their end. */
 final class ControllerProcesses implements AutoCloseable {
     /** Figures of the day's rules that only whoever judges them needs. */
-    private static final Set<String> JUDGED = Set.of("drain-grace-ms", "fall-ms");
+    private static final Set<String> VERIFIER_ONLY_RULES = Set.of("drain-grace-ms", "fall-ms");
 
-    private static final long READY_SECONDS = 20;
+    private static final long READY_TIMEOUT_SECONDS = 20;
 
     private final Day day;
     private final TrafficPlan plan;
     private final Path folder;
     private final List<String> options;
     private final int lanes;
-    private final List<InetSocketAddress> places = new ArrayList<>();
+    private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
 
     /** {@code options} go to each controller's virtual machine; {@code lanes} of 0 are as the day says. */
@@ -43,12 +43,12 @@
         this.folder = folder;
         for (int i = 0; i < day.exchanges(); i++) {
             // What an earlier play left would be read as this one's, and a kept list would be a stale one.
-            for (String old : List.of("exchange-" + i + ".log", "exchange-" + i + ".out", "kept-" + i + ".xml")) {
-                Files.deleteIfExists(folder.resolve(old));
+            for (String oldFile : List.of("exchange-" + i + ".log", "exchange-" + i + ".out", "kept-" + i + ".xml")) {
+                Files.deleteIfExists(folder.resolve(oldFile));
             }
         }
         for (int i = 0; i < day.exchanges(); i++) {
-            places.add(free(host(i)));
+            addresses.add(freeAddress(host(i)));
             processes.add(null);
         }
     }
@@ -59,11 +59,12 @@
     }
 
     /** A port that is free for both transports. It is let go before it is used: on an address that is nobody else's. */
-    private static InetSocketAddress free(InetAddress host) throws IOException {
-        for (int tries = 0; tries < 50; tries++) {
-            try (ServerSocket tcp = new ServerSocket(0, 1, host);
-                    DatagramSocket udp = new DatagramSocket(new InetSocketAddress(host, tcp.getLocalPort()))) {
-                return new InetSocketAddress(host, udp.getLocalPort());
+    private static InetSocketAddress freeAddress(InetAddress host) throws IOException {
+        for (int attempt = 0; attempt < 50; attempt++) {
+            try (ServerSocket tcpSocket = new ServerSocket(0, 1, host);
+                    DatagramSocket udpSocket =
+                            new DatagramSocket(new InetSocketAddress(host, tcpSocket.getLocalPort()))) {
+                return new InetSocketAddress(host, udpSocket.getLocalPort());
             } catch (java.net.BindException e) {
                 continue;
             }
@@ -72,81 +73,86 @@
     }
 
     Hop hop(int exchange) {
-        InetSocketAddress at = places.get(exchange);
-        return day.overTcp().contains(exchange) ? Hop.tcp(at) : Hop.udp(at);
+        InetSocketAddress address = addresses.get(exchange);
+        return day.tcpExchanges().contains(exchange) ? Hop.tcp(address) : Hop.udp(address);
     }
 
     private String uri(int exchange) {
-        InetSocketAddress at = places.get(exchange);
-        return "sip:" + at.getAddress().getHostAddress() + ":" + at.getPort()
-                + (day.overTcp().contains(exchange) ? ";transport=tcp" : "");
+        InetSocketAddress address = addresses.get(exchange);
+        return "sip:" + address.getAddress().getHostAddress() + ":" + address.getPort()
+                + (day.tcpExchanges().contains(exchange) ? ";transport=tcp" : "");
     }
 
     /** Writes the exchange's file. {@code office} is the address of the list and circuits service. */
-    void write(int exchange, InetSocketAddress office) throws IOException {
-        InetSocketAddress at = places.get(exchange);
-        String service = office.getAddress().getHostAddress() + ":" + office.getPort();
+    void writeConfiguration(int exchange, InetSocketAddress directory) throws IOException {
+        InetSocketAddress address = addresses.get(exchange);
+        String directoryHostPort = directory.getAddress().getHostAddress() + ":" + directory.getPort();
         StringBuilder text = new StringBuilder();
         text.append(
                         "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<exchange xmlns=\"urn:martenslip:exchange:1\" number=\"")
                 .append(exchange)
                 .append("\" region=\"")
-                .append(region(exchange))
+                .append(regionName(exchange))
                 .append("\" seed=\"")
                 .append(day.seed() * 1000 + exchange)
                 .append("\">\n");
         text.append("  <listen host=\"")
-                .append(at.getAddress().getHostAddress())
+                .append(address.getAddress().getHostAddress())
                 .append("\" udp=\"")
-                .append(at.getPort())
+                .append(address.getPort())
                 .append("\" tcp=\"")
-                .append(at.getPort())
+                .append(address.getPort())
                 .append("\"/>\n");
         text.append("  <circuits uri=\"sip:circuits-")
                 .append(exchange)
                 .append('@')
-                .append(service)
+                .append(directoryHostPort)
                 .append("\"/>\n");
         text.append("  <switch-list uri=\"sip:switches@")
-                .append(service)
+                .append(directoryHostPort)
                 .append("\" kept=\"kept-")
                 .append(exchange)
                 .append(".xml\"/>\n  <regions>\n");
         day.regions()
                 .forEach(name -> text.append("    <region name=\"").append(name).append("\"/>\n"));
-        text.append("  </regions>\n  <skills usual=\"").append(day.usual()).append("\">\n");
-        day.skills().forEach(skill -> text.append("    ").append(line(skill)).append("\n"));
+        text.append("  </regions>\n  <skills usual=\"")
+                .append(day.defaultSkill())
+                .append("\">\n");
+        day.skills()
+                .forEach(
+                        skill -> text.append("    ").append(skillElement(skill)).append("\n"));
         text.append("  </skills>\n  <numbering>\n");
         for (int i = 0; i < day.exchanges(); i++) {
             text.append("    <prefix digits=\"")
-                    .append(prefix(i))
+                    .append(numberPrefix(i))
                     .append("\" exchange=\"")
                     .append(i)
                     .append("\"/>\n");
         }
         text.append("  </numbering>\n  <groups trunk-context=\"")
-                .append(day.groups().context())
+                .append(day.groups().trunkContext())
                 .append("\">\n");
-        for (TrafficPlan.Group group : plan.of(exchange)) {
-            int far = group.a() == exchange ? group.b() : group.a();
+        for (TrafficPlan.Group group : plan.groupsOf(exchange)) {
+            int farExchange = group.lowerExchange() == exchange ? group.higherExchange() : group.lowerExchange();
             text.append("    <group name=\"")
                     .append(group.name())
                     .append("\" far=\"")
-                    .append(far)
+                    .append(farExchange)
                     .append("\" circuits=\"")
                     .append(group.circuits())
                     .append("\"/>\n");
         }
         text.append("  </groups>\n");
         for (XmlElement node : List.of(day.limits(), day.rules(), day.reports())) {
-            boolean limits = node == day.limits() && lanes > 0;
+            boolean overridesLanes = node == day.limits() && lanes > 0;
             text.append("  <")
                     .append(node.name())
-                    .append(limits ? " lanes=\"" + lanes + "\"" : "")
+                    .append(overridesLanes ? " lanes=\"" + lanes + "\"" : "")
                     .append(node.attributes().entrySet().stream()
-                            .filter(one -> !limits || !one.getKey().equals("lanes"))
-                            .filter(one -> !JUDGED.contains(one.getKey()))
-                            .map(one -> " " + one.getKey() + "=\"" + one.getValue() + "\"")
+                            .filter(attribute ->
+                                    !overridesLanes || !attribute.getKey().equals("lanes"))
+                            .filter(attribute -> !VERIFIER_ONLY_RULES.contains(attribute.getKey()))
+                            .map(attribute -> " " + attribute.getKey() + "=\"" + attribute.getValue() + "\"")
                             .collect(Collectors.joining()))
                     .append("/>\n");
         }
@@ -161,10 +167,10 @@
             }
         }
         text.append("  </peers>\n</exchange>\n");
-        Files.writeString(file(exchange), text);
+        Files.writeString(configurationFile(exchange), text);
     }
 
-    private static String line(Skill skill) {
+    private static String skillElement(Skill skill) {
         return "<skill name=\"" + skill.name() + "\" value=\"" + skill.value() + "\" width=\"" + skill.width()
                 + "\" answer-target-ms=\"" + skill.answerTarget().ns() / 1e6 + "\" patience-ms=\""
                 + skill.patience().ns() / 1e6 + "\" mean-hold-ms=\""
@@ -172,15 +178,15 @@
                 + (skill.priority().isEmpty() ? "" : "\" resource-priority=\"" + skill.priority()) + "\"/>";
     }
 
-    String prefix(int exchange) {
-        return day.traffic().prefix() + String.format("%02d", exchange);
+    String numberPrefix(int exchange) {
+        return day.traffic().numberPrefix() + String.format("%02d", exchange);
     }
 
-    String region(int exchange) {
+    String regionName(int exchange) {
         return day.regions().get(exchange % day.regions().size());
     }
 
-    private Path file(int exchange) {
+    private Path configurationFile(int exchange) {
         return folder.resolve("exchange-" + exchange + ".xml");
     }
 
@@ -200,32 +206,32 @@
                 "--planted",
                 "--figures",
                 "10",
-                file(exchange).toString()));
+                configurationFile(exchange).toString()));
         Process process = new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.appendTo(log))
                 .start();
         processes.set(exchange, process);
-        BufferedReader said = process.inputReader();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
-        String line = said.readLine();
-        while (line != null && !line.startsWith("ready") && System.nanoTime() < end) {
-            line = said.readLine();
+        BufferedReader output = process.inputReader();
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
+        String line = output.readLine();
+        while (line != null && !line.startsWith("ready") && System.nanoTime() < deadline) {
+            line = output.readLine();
         }
         if (line == null || !line.startsWith("ready")) {
             throw new IOException("controller " + exchange + " did not start; see " + log);
         }
-        Path out = folder.resolve("exchange-" + exchange + ".out");
-        Thread copy = new Thread(null, () -> copy(said, out), "out-" + exchange, 128 * 1024);
-        copy.setDaemon(true);
-        copy.start();
+        Path outputFile = folder.resolve("exchange-" + exchange + ".out");
+        Thread copier = new Thread(null, () -> copyOutput(output, outputFile), "out-" + exchange, 128 * 1024);
+        copier.setDaemon(true);
+        copier.start();
     }
 
-    private static void copy(BufferedReader from, Path to) {
-        try (var out = Files.newBufferedWriter(
-                to, java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND)) {
-            for (String line = from.readLine(); line != null; line = from.readLine()) {
-                out.write(line + "\n");
-                out.flush();
+    private static void copyOutput(BufferedReader input, Path file) {
+        try (var writer = Files.newBufferedWriter(
+                file, java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND)) {
+            for (String line = input.readLine(); line != null; line = input.readLine()) {
+                writer.write(line + "\n");
+                writer.flush();
             }
         } catch (IOException e) {
             // The process has ended; what it said is on disk as far as it came.
@@ -234,10 +240,10 @@
     }
 
     /** Has a thread of the controller hang: lane -1 is its decider; amid a send of what begins so, or between work. */
-    void stall(int exchange, int lane, Span span, String amid) throws IOException {
-        java.io.Writer to = processes.get(exchange).outputWriter();
-        to.write("stall " + lane + " " + span.ns() / 1_000_000 + " " + amid + "\n");
-        to.flush();
+    void stall(int exchange, int lane, Span duration, String messagePrefix) throws IOException {
+        java.io.Writer input = processes.get(exchange).outputWriter();
+        input.write("stall " + lane + " " + duration.ns() / 1_000_000 + " " + messagePrefix + "\n");
+        input.flush();
     }
 
     /** SIGKILL. */
@@ -246,30 +252,30 @@
     }
 
     /** SIGTERM to all, and how many did not end in good order in time. */
-    int end() throws InterruptedException {
+    int terminateAll() throws InterruptedException {
         processes.forEach(Process::destroy);
-        int bad = 0;
+        int failedExits = 0;
         for (Process process : processes) {
             boolean ended = process.waitFor(30, TimeUnit.SECONDS);
             // 143 is how a JVM ends that SIGTERM stops, its hooks run.
-            bad += ended && (process.exitValue() == 143 || process.exitValue() == 0) ? 0 : 1;
+            failedExits += ended && (process.exitValue() == 143 || process.exitValue() == 0) ? 0 : 1;
         }
-        return bad;
+        return failedExits;
     }
 
     /** CPU spent by the controllers that run. */
     double cpuSeconds() {
         return processes.stream()
-                .filter(one -> one != null && one.isAlive())
-                .mapToDouble(one -> one.info()
+                .filter(process -> process != null && process.isAlive())
+                .mapToDouble(process -> process.info()
                         .totalCpuDuration()
-                        .map(span -> span.toNanos() / 1e9)
+                        .map(duration -> duration.toNanos() / 1e9)
                         .orElse(0.0))
                 .sum();
     }
 
     @Override
     public void close() {
-        processes.stream().filter(one -> one != null).forEach(Process::destroyForcibly);
+        processes.stream().filter(process -> process != null).forEach(Process::destroyForcibly);
     }
 }
--- a/src/main/java/martenslip/scenario/CoresBenchmark.java
+++ b/src/main/java/martenslip/scenario/CoresBenchmark.java
@@ -37,8 +37,8 @@
             long p99Micros,
             long p999Micros,
             double cpuMs) {
-        boolean carried(long mostMicros) {
-            return p99Micros < mostMicros && established >= dialled * 0.999;
+        boolean carried(long maxP99Micros) {
+            return p99Micros < maxP99Micros && established >= dialled * 0.999;
         }
     }
 
@@ -46,25 +46,25 @@
     public record FullGroupResult(
             int lanes,
             long dialled,
-            long stood,
+            long established,
             long refused,
             long urgent,
             long urgentRefused,
-            long tooMany,
-            double used) {}
+            long excessRings,
+            double utilization) {}
 
-    private static final int FAR = 8;
-    private static final Span HOLD = Span.ofMillis(1000);
+    private static final int FAR_EXCHANGE_COUNT = 8;
+    private static final Span HOLD_TIME = Span.ofMillis(1000);
     /** Far past the 10 ms that are asked for: a shared machine alone may add as much. */
-    private static final long MOST_MICROS = 250_000;
+    private static final long MAX_P99_MICROS = 250_000;
 
-    private static final int SMALL = 60;
+    private static final int SMALL_GROUP_CIRCUITS = 60;
 
     private final Path folder;
     private final List<String> options;
     private final int seconds;
     private final PrintStream out;
-    private int runs;
+    private int runCount;
 
     /** {@code options} go to the exchange's virtual machine; each rate is held for {@code seconds}. */
     public CoresBenchmark(Path folder, List<String> options, int seconds, PrintStream out) {
@@ -75,59 +75,59 @@
     }
 
     /** Each count of lanes at rising rates until one is not carried. */
-    public List<RateResult> measureRates(List<Integer> lanes, List<Integer> rates)
+    public List<RateResult> measureRates(List<Integer> laneCounts, List<Integer> rates)
             throws IOException, InterruptedException {
-        List<RateResult> rows = new ArrayList<>();
+        List<RateResult> results = new ArrayList<>();
         out.println("lanes  dialled/s   stood  of       p50-ms  p99-ms  p99.9-ms  CPU-ms-a-contact");
-        for (int count : lanes) {
-            try (BenchmarkRun bench = new BenchmarkRun(count, 60_000, 0)) {
-                bench.dial(1500, 6);
+        for (int laneCount : laneCounts) {
+            try (BenchmarkRun run = new BenchmarkRun(laneCount, 60_000, 0)) {
+                run.dial(1500, 6);
                 for (int rate : rates) {
-                    RateResult row = bench.row(rate);
-                    rows.add(row);
+                    RateResult result = run.measureRate(rate);
+                    results.add(result);
                     out.printf(
                             Locale.ROOT,
                             "%5d %10.0f %7d  %-7d %7.2f %7.2f %9.2f %17.3f%n",
-                            row.lanes,
-                            row.rate,
-                            row.established,
-                            row.dialled,
-                            row.p50Micros / 1000.0,
-                            row.p99Micros / 1000.0,
-                            row.p999Micros / 1000.0,
-                            row.cpuMs);
+                            result.lanes,
+                            result.rate,
+                            result.established,
+                            result.dialled,
+                            result.p50Micros / 1000.0,
+                            result.p99Micros / 1000.0,
+                            result.p999Micros / 1000.0,
+                            result.cpuMs);
                     out.flush();
-                    if (!row.carried(MOST_MICROS)) {
+                    if (!result.carried(MAX_P99_MICROS)) {
                         break;
                     }
                 }
             }
         }
-        return rows;
+        return results;
     }
 
     /** Each count of lanes with more contacts than its groups have circuits, one in eight four circuits wide. */
-    public List<FullGroupResult> measureFullGroups(List<Integer> lanes) throws IOException, InterruptedException {
-        List<FullGroupResult> rows = new ArrayList<>();
+    public List<FullGroupResult> measureFullGroups(List<Integer> laneCounts) throws IOException, InterruptedException {
+        List<FullGroupResult> results = new ArrayList<>();
         out.println("lanes  dialled   stood  refused  urgent  of-them-refused  rings-too-many  circuits-used");
-        for (int count : lanes) {
-            try (BenchmarkRun bench = new BenchmarkRun(count, SMALL, 8)) {
-                FullGroupResult row = bench.full(1.3 * FAR * SMALL / 1.375);
-                rows.add(row);
+        for (int laneCount : laneCounts) {
+            try (BenchmarkRun run = new BenchmarkRun(laneCount, SMALL_GROUP_CIRCUITS, 8)) {
+                FullGroupResult result = run.measureFullGroup(1.3 * FAR_EXCHANGE_COUNT * SMALL_GROUP_CIRCUITS / 1.375);
+                results.add(result);
                 out.printf(
                         Locale.ROOT,
                         "%5d %8d %7d %8d %7d %16d %15d %13.1f%%%n",
-                        row.lanes,
-                        row.dialled,
-                        row.stood,
-                        row.refused,
-                        row.urgent,
-                        row.urgentRefused,
-                        row.tooMany,
-                        100 * row.used);
+                        result.lanes,
+                        result.dialled,
+                        result.established,
+                        result.refused,
+                        result.urgent,
+                        result.urgentRefused,
+                        result.excessRings,
+                        100 * result.utilization);
             }
         }
-        return rows;
+        return results;
     }
 
     /** One exchange with its surroundings. */
@@ -137,43 +137,47 @@
         private final CaptureWriter capture;
         private final SimulatedNetwork network;
         private final TrunkGroups trunks = new TrunkGroups();
-        private final DirectoryService office;
-        private final List<LightweightSwitch> mirrors = new ArrayList<>();
-        private final InetSocketAddress at;
+        private final DirectoryService directory;
+        private final List<LightweightSwitch> farSwitches = new ArrayList<>();
+        private final InetSocketAddress controllerAddress;
         private final Process process;
 
         BenchmarkRun(int lanes, int circuits, int urgentEvery) throws IOException, InterruptedException {
             this.lanes = lanes;
             this.urgentEvery = urgentEvery;
-            runs++;
+            runCount++;
             Files.createDirectories(folder);
             capture = new CaptureWriter(folder.resolve("office-capture"));
             network = new SimulatedNetwork(capture, 1, Span.ZERO, Span.ZERO);
-            for (int i = 1; i <= FAR; i++) {
+            for (int i = 1; i <= FAR_EXCHANGE_COUNT; i++) {
                 trunks.addGroup("b-" + i, 0, i, circuits);
             }
-            office = new DirectoryService(network.createLink("office", -1), trunks, List.of("here"), 1, Span.ZERO);
-            office.open(address(30));
-            for (int i = 1; i <= FAR; i++) {
-                LightweightSwitch mirror =
+            directory = new DirectoryService(network.createLink("office", -1), trunks, List.of("here"), 1, Span.ZERO);
+            directory.open(address(30));
+            for (int i = 1; i <= FAR_EXCHANGE_COUNT; i++) {
+                LightweightSwitch farSwitch =
                         new LightweightSwitch(new InetSocketAddress(address(40 + i), 0), trunks, Map.of("q735.1", 4));
-                mirrors.add(mirror);
-                office.publishChange(
-                        i, 0, mirror.address(), Hop.Protocol.UDP, SwitchEntry.State.READY, null, Span.ZERO);
+                farSwitches.add(farSwitch);
+                directory.publishChange(
+                        i, 0, farSwitch.address(), Hop.Protocol.UDP, SwitchEntry.State.READY, null, Span.ZERO);
             }
-            Path file = folder.resolve("exchange.xml");
+            Path configurationFile = folder.resolve("exchange.xml");
             Files.deleteIfExists(folder.resolve("kept.xml"));
-            Files.writeString(file, site(circuits));
+            Files.writeString(configurationFile, configuration(circuits));
             List<String> command = new ArrayList<>();
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
             command.addAll(options);
             command.addAll(List.of(
-                    "-cp", System.getProperty("java.class.path"), "martenslip.cli.Main", "run", file.toString()));
+                    "-cp",
+                    System.getProperty("java.class.path"),
+                    "martenslip.cli.Main",
+                    "run",
+                    configurationFile.toString()));
             process = new ProcessBuilder(command)
                     .redirectError(ProcessBuilder.Redirect.appendTo(
                             folder.resolve("exchange.log").toFile()))
                     .start();
-            at = ready();
+            controllerAddress = awaitReady();
             // Until the list and the circuits are there all would be refused.
             TimeUnit.MILLISECONDS.sleep(1500);
         }
@@ -182,11 +186,11 @@
             return InetAddress.getByAddress(new byte[] {127, 0, 6, (byte) last});
         }
 
-        private InetSocketAddress ready() throws IOException {
-            java.io.BufferedReader said = process.inputReader();
-            String line = said.readLine();
+        private InetSocketAddress awaitReady() throws IOException {
+            java.io.BufferedReader output = process.inputReader();
+            String line = output.readLine();
             while (line != null && !line.startsWith("ready")) {
-                line = said.readLine();
+                line = output.readLine();
             }
             if (line == null) {
                 throw new IOException("the exchange did not start; see " + folder.resolve("exchange.log"));
@@ -195,11 +199,11 @@
             return new InetSocketAddress(address(1), port);
         }
 
-        private String site(int circuits) throws IOException {
-            String service = address(30).getHostAddress() + ":" + office.port(Hop.Protocol.UDP);
+        private String configuration(int circuits) throws IOException {
+            String directoryHostPort = address(30).getHostAddress() + ":" + directory.port(Hop.Protocol.UDP);
             StringBuilder prefixes = new StringBuilder();
             StringBuilder groups = new StringBuilder();
-            for (int i = 0; i <= FAR; i++) {
+            for (int i = 0; i <= FAR_EXCHANGE_COUNT; i++) {
                 prefixes.append(String.format("<prefix digits='+9155%02d' exchange='%d'/>", i, i));
                 if (i > 0) {
                     groups.append("<group name='b-")
@@ -212,8 +216,9 @@
                 }
             }
             return "<exchange xmlns='urn:martenslip:exchange:1' number='0' region='here' seed='7'><listen host='"
-                    + address(1).getHostAddress() + "' udp='0'/><circuits uri='sip:circuits-0@" + service
-                    + "'/><switch-list uri='sip:s@" + service + "' kept='kept.xml'/><regions><region name='here'/>"
+                    + address(1).getHostAddress() + "' udp='0'/><circuits uri='sip:circuits-0@" + directoryHostPort
+                    + "'/><switch-list uri='sip:s@" + directoryHostPort
+                    + "' kept='kept.xml'/><regions><region name='here'/>"
                     + "</regions><skills usual='status'><skill name='status' value='1' width='1' "
                     + "answer-target-ms='1200' patience-ms='4000' mean-hold-ms='1000'/><skill name='slot' value='8' "
                     + "width='4' answer-target-ms='1200' patience-ms='4000' mean-hold-ms='1000' "
@@ -224,78 +229,84 @@
                     + "fall-multiple='3'/><reports fields='allowed depth'/><peers/></exchange>";
         }
 
-        private CallGenerator dial(double rate, int forSeconds) throws IOException, InterruptedException {
-            CallGenerator.LoadProfile plan = new CallGenerator.LoadProfile(
-                    rate, Span.ofMillis(forSeconds * 1000.0), HOLD, "+9155", FAR, urgentEvery, "q735.1");
-            try (CallGenerator dialler = new CallGenerator(
+        private CallGenerator dial(double rate, int seconds) throws IOException, InterruptedException {
+            CallGenerator.LoadProfile profile = new CallGenerator.LoadProfile(
+                    rate,
+                    Span.ofMillis(seconds * 1000.0),
+                    HOLD_TIME,
+                    "+9155",
+                    FAR_EXCHANGE_COUNT,
+                    urgentEvery,
+                    "q735.1");
+            try (CallGenerator generator = new CallGenerator(
                     new InetSocketAddress(address(60), 0),
-                    at,
-                    plan,
-                    "r" + runs + "x" + (long) rate + "x" + forSeconds)) {
-                dialler.run();
-                return dialler;
+                    controllerAddress,
+                    profile,
+                    "r" + runCount + "x" + (long) rate + "x" + seconds)) {
+                generator.run();
+                return generator;
             }
         }
 
-        private double cpu() {
+        private double cpuMillis() {
             return process.info()
                     .totalCpuDuration()
-                    .map(span -> span.toNanos() / 1e6)
+                    .map(duration -> duration.toNanos() / 1e6)
                     .orElse(0.0);
         }
 
-        RateResult row(double rate) throws IOException, InterruptedException {
-            double before = cpu();
-            CallGenerator done = dial(rate, seconds);
-            Histogram took = done.setUpTimes();
+        RateResult measureRate(double rate) throws IOException, InterruptedException {
+            double cpuBefore = cpuMillis();
+            CallGenerator generator = dial(rate, seconds);
+            Histogram setUpTimes = generator.setUpTimes();
             return new RateResult(
                     lanes,
                     rate,
-                    done.dialled(),
-                    done.established(),
-                    took.getValueAtPercentile(50),
-                    took.getValueAtPercentile(99),
-                    took.getValueAtPercentile(99.9),
-                    (cpu() - before) / Math.max(1, done.dialled()));
+                    generator.dialled(),
+                    generator.established(),
+                    setUpTimes.getValueAtPercentile(50),
+                    setUpTimes.getValueAtPercentile(99),
+                    setUpTimes.getValueAtPercentile(99.9),
+                    (cpuMillis() - cpuBefore) / Math.max(1, generator.dialled()));
         }
 
-        FullGroupResult full(double rate) throws IOException, InterruptedException {
-            long[] used = new long[2];
-            Thread looks = new Thread(() -> {
+        FullGroupResult measureFullGroup(double rate) throws IOException, InterruptedException {
+            long[] occupancy = new long[2];
+            Thread sampler = new Thread(() -> {
                 try {
                     // The first circuits fill while the first contacts hold.
                     TimeUnit.MILLISECONDS.sleep(2000);
                     for (int i = 0; i < 10 * (seconds - 2); i++) {
-                        used[0] += trunks.circuitsInUse();
-                        used[1] += FAR * SMALL;
+                        occupancy[0] += trunks.circuitsInUse();
+                        occupancy[1] += FAR_EXCHANGE_COUNT * SMALL_GROUP_CIRCUITS;
                         TimeUnit.MILLISECONDS.sleep(100);
                     }
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
-            looks.start();
-            CallGenerator done = dial(rate, seconds);
-            looks.join();
-            long tooMany = mirrors.stream()
+            sampler.start();
+            CallGenerator generator = dial(rate, seconds);
+            sampler.join();
+            long excessRings = farSwitches.stream()
                     .mapToLong(LightweightSwitch::rejectedForNoCircuit)
                     .sum();
             return new FullGroupResult(
                     lanes,
-                    done.dialled(),
-                    done.established(),
-                    done.refused(),
-                    done.dialled() / urgentEvery,
-                    done.urgentRefused(),
-                    tooMany,
-                    (double) used[0] / Math.max(1, used[1]));
+                    generator.dialled(),
+                    generator.established(),
+                    generator.refused(),
+                    generator.dialled() / urgentEvery,
+                    generator.urgentRefused(),
+                    excessRings,
+                    (double) occupancy[0] / Math.max(1, occupancy[1]));
         }
 
         @Override
         public void close() throws IOException {
             process.destroyForcibly();
-            mirrors.forEach(LightweightSwitch::close);
-            office.close();
+            farSwitches.forEach(LightweightSwitch::close);
+            directory.close();
             network.close();
             capture.close();
         }
--- a/src/main/java/martenslip/scenario/Day.java
+++ b/src/main/java/martenslip/scenario/Day.java
@@ -23,54 +23,59 @@
         List<String> regions,
         List<Skill> skills,
         List<Double> shares,
-        String usual,
+        String defaultSkill,
         Traffic traffic,
         GroupSettings groups,
         SwitchSettings switches,
-        Span same,
-        Span cross,
-        Set<Integer> overTcp,
-        Span lag,
-        Span silentLag,
+        Span sameRegionDelay,
+        Span crossRegionDelay,
+        Set<Integer> tcpExchanges,
+        Span listLag,
+        Span silentListLag,
         XmlElement limits,
         XmlElement rules,
         XmlElement reports,
-        List<InjectedFault> troubles) {
+        List<InjectedFault> faults) {
     public record Traffic(
-            double rate,
-            int redials,
-            Span redialAfter,
-            double tryPart,
-            double comeAgain,
-            double drift,
-            Span driftEvery,
-            String prefix) {}
+            double contactsPerSecond,
+            int maxRedials,
+            Span redialDelay,
+            double tryPatienceShare,
+            double cutRedialProbability,
+            double driftDeviation,
+            Span driftInterval,
+            String numberPrefix) {}
 
-    public record GroupSettings(String context, double spare, double uneven, double unlinked) {}
+    public record GroupSettings(String trunkContext, double spareShare, double unevenness, double unlinkedShare) {}
 
     public record SwitchSettings(
-            double use, Span mostWait, double coldFrom, Span warm, Span reportEvery, double noise) {}
+            double utilization,
+            Span maxWait,
+            double coldStartCapacity,
+            Span warmUpTime,
+            Span reportInterval,
+            double reportNoise) {}
 
     /** {@code span} is zero where it has none; {@code said} has the rest. */
     public record InjectedFault(
-            String kind, Span at, Span span, List<Integer> exchanges, int region, XmlElement said) {}
+            String kind, Span startsAfter, Span duration, List<Integer> exchanges, int region, XmlElement attributes) {}
 
-    private static final XmlFileReader SHEET = XmlFileReader.forSchema("day.xsd");
+    private static final XmlFileReader SCHEMA_READER = XmlFileReader.forSchema("day.xsd");
 
     public static Day read(Path file) throws IOException, InvalidFileException {
-        XmlElement root = SHEET.read(file);
-        List<FileError> faults = new ArrayList<>();
-        Day day = of(root, faults);
-        if (!faults.isEmpty()) {
-            throw new InvalidFileException(file.toString(), faults);
+        XmlElement root = SCHEMA_READER.read(file);
+        List<FileError> errors = new ArrayList<>();
+        Day day = of(root, errors);
+        if (!errors.isEmpty()) {
+            throw new InvalidFileException(file.toString(), errors);
         }
         return day;
     }
 
-    private static Day of(XmlElement root, List<FileError> faults) {
+    private static Day of(XmlElement root, List<FileError> errors) {
         int exchanges = root.integer("exchanges");
         List<String> regions = root.child("regions").children().stream()
-                .map(one -> one.text("name"))
+                .map(regionNode -> regionNode.text("name"))
                 .toList();
         List<Skill> skills = new ArrayList<>();
         List<Double> shares = new ArrayList<>();
@@ -89,19 +94,19 @@
         XmlElement groups = root.child("groups");
         XmlElement processor = root.child("processor");
         XmlElement network = root.child("network");
-        List<InjectedFault> troubles = new ArrayList<>();
+        List<InjectedFault> faults = new ArrayList<>();
         for (XmlElement node : root.child("troubles").children()) {
-            List<Integer> which = numbers(node, "exchanges", exchanges, faults);
+            List<Integer> faultExchanges = exchangeNumbers(node, "exchanges", exchanges, errors);
             int region = node.has("region") ? regions.indexOf(node.text("region")) : -1;
             if (node.has("region") && region < 0) {
-                faults.add(node.error("region", "no region is called " + node.text("region")));
+                errors.add(node.error("region", "no region is called " + node.text("region")));
             }
-            need(node, faults);
-            troubles.add(new InjectedFault(
+            checkRequiredAttributes(node, errors);
+            faults.add(new InjectedFault(
                     node.name(),
                     node.milliseconds("at").times(1000),
                     node.has("for") ? node.milliseconds("for").times(1000) : Span.ZERO,
-                    which,
+                    faultExchanges,
                     region,
                     node));
         }
@@ -137,31 +142,32 @@
                         processor.decimal("report-noise")),
                 network.milliseconds("same-ms"),
                 network.milliseconds("cross-ms"),
-                new TreeSet<>(numbers(network, "tcp-exchanges", exchanges, faults)),
+                new TreeSet<>(exchangeNumbers(network, "tcp-exchanges", exchanges, errors)),
                 root.child("list").milliseconds("lag-ms"),
                 root.child("list").milliseconds("silent-lag-ms"),
                 root.child("limits"),
                 root.child("rules"),
                 root.child("reports"),
-                troubles);
+                faults);
     }
 
-    private static List<Integer> numbers(XmlElement node, String attribute, int exchanges, List<FileError> faults) {
+    private static List<Integer> exchangeNumbers(
+            XmlElement node, String attribute, int exchanges, List<FileError> errors) {
         if (!node.has(attribute) || node.text(attribute).isEmpty()) {
             return List.of();
         }
-        List<Integer> all = Arrays.stream(node.text(attribute).split("\\s+"))
+        List<Integer> numbers = Arrays.stream(node.text(attribute).split("\\s+"))
                 .map(Integer::valueOf)
                 .toList();
-        all.stream()
-                .filter(one -> one >= exchanges)
-                .forEach(one -> faults.add(node.error(attribute, "there is no exchange " + one)));
-        return all;
+        numbers.stream()
+                .filter(number -> number >= exchanges)
+                .forEach(number -> errors.add(node.error(attribute, "there is no exchange " + number)));
+        return numbers;
     }
 
     /** What a kind of trouble can't do without. */
-    private static void need(XmlElement node, List<FileError> faults) {
-        List<String> needed = switch (node.name()) {
+    private static void checkRequiredAttributes(XmlElement node, List<FileError> errors) {
+        List<String> required = switch (node.name()) {
             case "burst" -> List.of("for", "times");
             case "hot-caller" -> List.of("for", "exchanges", "part");
             case "slow" -> List.of("for", "exchanges", "times");
@@ -173,8 +179,8 @@
             case "wear", "cut" -> List.of("part");
             default -> List.of("exchanges");
         };
-        needed.stream()
-                .filter(one -> !node.has(one))
-                .forEach(one -> faults.add(node.error("a " + node.name() + " needs " + one)));
+        required.stream()
+                .filter(attribute -> !node.has(attribute))
+                .forEach(attribute -> errors.add(node.error("a " + node.name() + " needs " + attribute)));
     }
 }
--- a/src/main/java/martenslip/scenario/FaultSchedule.java
+++ b/src/main/java/martenslip/scenario/FaultSchedule.java
@@ -17,102 +17,107 @@
     }
 
     /** One deed; {@code at} counts from the first contact. */
-    record ScheduledAction(Span at, String what, Action does) {}
+    record ScheduledAction(Span at, String description, Action action) {}
 
-    private final StandInEnvironment world;
+    private final StandInEnvironment environment;
     private final ControllerProcesses controllers;
-    private final List<CompletableFuture<Void>> starting = new ArrayList<>();
-    private final List<ScheduledAction> deeds = new ArrayList<>();
+    private final List<CompletableFuture<Void>> pendingStarts = new ArrayList<>();
+    private final List<ScheduledAction> actions = new ArrayList<>();
 
-    FaultSchedule(Day day, StandInEnvironment world, ControllerProcesses controllers) {
-        this.world = world;
+    FaultSchedule(Day day, StandInEnvironment environment, ControllerProcesses controllers) {
+        this.environment = environment;
         this.controllers = controllers;
-        day.troubles().forEach(this::add);
-        deeds.sort(Comparator.comparing(ScheduledAction::at));
+        day.faults().forEach(this::add);
+        actions.sort(Comparator.comparing(ScheduledAction::at));
     }
 
-    List<ScheduledAction> deeds() {
-        return deeds;
+    List<ScheduledAction> actions() {
+        return actions;
     }
 
-    private void add(Day.InjectedFault trouble) {
-        XmlElement said = trouble.said();
-        switch (trouble.kind()) {
+    private void add(Day.InjectedFault fault) {
+        XmlElement attributes = fault.attributes();
+        switch (fault.kind()) {
             case "burst" ->
-                both(
-                        trouble,
-                        () -> world.callers().setRateFactor(said.decimal("times")),
-                        () -> world.callers().setRateFactor(1));
+                addStartAndEnd(
+                        fault,
+                        () -> environment.callers().setRateFactor(attributes.decimal("times")),
+                        () -> environment.callers().setRateFactor(1));
             case "hot-caller" ->
-                both(
-                        trouble,
-                        () -> world.callers().setHotCaller(trouble.exchanges().get(0), said.decimal("part")),
-                        () -> world.callers().setHotCaller(0, -1));
+                addStartAndEnd(
+                        fault,
+                        () -> environment
+                                .callers()
+                                .setHotCaller(fault.exchanges().get(0), attributes.decimal("part")),
+                        () -> environment.callers().setHotCaller(0, -1));
             case "slow" ->
-                each(
-                        trouble,
-                        one -> world.machine(one).setSlowdown(said.decimal("times")),
-                        one -> world.machine(one).setSlowdown(1));
+                addForEachExchange(
+                        fault,
+                        exchange -> environment.simulatedSwitch(exchange).setSlowdown(attributes.decimal("times")),
+                        exchange -> environment.simulatedSwitch(exchange).setSlowdown(1));
             case "hang" ->
-                each(
-                        trouble,
-                        one -> world.machine(one).setSilent(true),
-                        one -> world.machine(one).setSilent(false));
+                addForEachExchange(
+                        fault,
+                        exchange -> environment.simulatedSwitch(exchange).setSilent(true),
+                        exchange -> environment.simulatedSwitch(exchange).setSilent(false));
             case "circuits-lost" ->
-                both(
-                        trouble,
-                        () -> world.circuits(trouble.region(), said.decimal("part")),
-                        () -> world.circuits(trouble.region(), 1));
+                addStartAndEnd(
+                        fault,
+                        () -> environment.reduceCircuits(fault.region(), attributes.decimal("part")),
+                        () -> environment.reduceCircuits(fault.region(), 1));
             case "region-cut" ->
-                both(
-                        trouble,
-                        () -> world.network().isolateRegion(trouble.region()),
-                        () -> world.network().isolateRegion(-1));
-            case "drain" -> each(trouble, world::drain, world::drained);
+                addStartAndEnd(
+                        fault,
+                        () -> environment.network().isolateRegion(fault.region()),
+                        () -> environment.network().isolateRegion(-1));
+            case "drain" -> addForEachExchange(fault, environment::drain, environment::endDrain);
             case "list-late" ->
-                both(
-                        trouble,
-                        () -> world.office().setExtraDelay(said.milliseconds("late-ms")),
-                        () -> world.office().setExtraDelay(Span.ZERO));
-            case "restart" -> each(trouble, world::down, world::upCold);
-            case "kill" -> each(trouble, this::kill, this::back);
+                addStartAndEnd(
+                        fault,
+                        () -> environment.directory().setExtraDelay(attributes.milliseconds("late-ms")),
+                        () -> environment.directory().setExtraDelay(Span.ZERO));
+            case "restart" -> addForEachExchange(fault, environment::stopSwitch, environment::startSwitchCold);
+            case "kill" -> addForEachExchange(fault, this::kill, this::startController);
             case "wear" ->
-                both(
-                        trouble,
-                        () -> world.network().setImpairments(wear(said)),
-                        () -> world.network().setImpairments(SimulatedNetwork.Impairments.NONE));
-            case "reset" -> each(trouble, this::reset, one -> {});
+                addStartAndEnd(
+                        fault,
+                        () -> environment.network().setImpairments(impairments(attributes)),
+                        () -> environment.network().setImpairments(SimulatedNetwork.Impairments.NONE));
+            case "reset" -> addForEachExchange(fault, this::resetConnections, exchange -> {});
             case "stall" ->
-                trouble.exchanges()
-                        .forEach(one -> deeds.add(new ScheduledAction(
-                                trouble.at(),
-                                "stall " + one,
+                fault.exchanges()
+                        .forEach(exchange -> actions.add(new ScheduledAction(
+                                fault.startsAfter(),
+                                "stall " + exchange,
                                 () -> controllers.stall(
-                                        one,
-                                        said.integer("lane"),
-                                        trouble.span(),
-                                        said.has("amid") ? said.text("amid") : ""))));
-            case "cut" -> both(trouble, () -> world.callers().cutRandomly(said.decimal("part")), () -> {});
-            default -> throw new IllegalStateException("a trouble that the schema knows alone: " + trouble.kind());
+                                        exchange,
+                                        attributes.integer("lane"),
+                                        fault.duration(),
+                                        attributes.has("amid") ? attributes.text("amid") : ""))));
+            case "cut" ->
+                addStartAndEnd(fault, () -> environment.callers().cutRandomly(attributes.decimal("part")), () -> {});
+            default -> throw new IllegalStateException("a trouble that the schema knows alone: " + fault.kind());
         }
     }
 
-    private static SimulatedNetwork.Impairments wear(XmlElement said) {
+    private static SimulatedNetwork.Impairments impairments(XmlElement attributes) {
         return new SimulatedNetwork.Impairments(
-                said.decimal("part"), said.decimal("copies", 0), Span.ofMillis(said.decimal("reorder-ms", 0)));
+                attributes.decimal("part"),
+                attributes.decimal("copies", 0),
+                Span.ofMillis(attributes.decimal("reorder-ms", 0)));
     }
 
     private void kill(int exchange) throws IOException, InterruptedException {
         controllers.kill(exchange);
-        world.controllerKilled(exchange);
+        environment.controllerKilled(exchange);
     }
 
     /** Not waited for: the day goes on while the process starts. */
-    private void back(int exchange) {
-        starting.add(CompletableFuture.runAsync(() -> {
+    private void startController(int exchange) {
+        pendingStarts.add(CompletableFuture.runAsync(() -> {
             try {
                 controllers.start(exchange);
-                world.controllerUp(exchange);
+                environment.controllerUp(exchange);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             } catch (InterruptedException e) {
@@ -122,20 +127,21 @@
     }
 
     /** Waits for the processes that were started last; a start that failed is thrown here. */
-    void started() {
-        starting.forEach(CompletableFuture::join);
+    void awaitStarts() {
+        pendingStarts.forEach(CompletableFuture::join);
     }
 
-    private void reset(int exchange) {
-        world.fact("resetting", "number=" + exchange);
-        int broken = world.machine(exchange).resetConnections();
-        world.fact("reset", "number=" + exchange + " connections=" + broken);
+    private void resetConnections(int exchange) {
+        environment.annotate("resetting", "number=" + exchange);
+        int connectionCount = environment.simulatedSwitch(exchange).resetConnections();
+        environment.annotate("reset", "number=" + exchange + " connections=" + connectionCount);
     }
 
-    private void both(Day.InjectedFault trouble, Action begin, Action end) {
-        deeds.add(new ScheduledAction(trouble.at(), trouble.kind() + words(trouble), begin));
-        if (trouble.span().longerThan(Span.ZERO)) {
-            deeds.add(new ScheduledAction(trouble.at().plus(trouble.span()), trouble.kind() + " ends", end));
+    private void addStartAndEnd(Day.InjectedFault fault, Action startAction, Action endAction) {
+        actions.add(new ScheduledAction(fault.startsAfter(), fault.kind() + regionSuffix(fault), startAction));
+        if (fault.duration().longerThan(Span.ZERO)) {
+            actions.add(
+                    new ScheduledAction(fault.startsAfter().plus(fault.duration()), fault.kind() + " ends", endAction));
         }
     }
 
@@ -143,19 +149,20 @@
         void run(int exchange) throws IOException, InterruptedException;
     }
 
-    private void each(Day.InjectedFault trouble, ExchangeAction begin, ExchangeAction end) {
-        for (int exchange : trouble.exchanges()) {
-            deeds.add(new ScheduledAction(trouble.at(), trouble.kind() + " " + exchange, () -> begin.run(exchange)));
-            if (trouble.span().longerThan(Span.ZERO)) {
-                deeds.add(new ScheduledAction(
-                        trouble.at().plus(trouble.span()),
-                        trouble.kind() + " " + exchange + " ends",
-                        () -> end.run(exchange)));
+    private void addForEachExchange(Day.InjectedFault fault, ExchangeAction startAction, ExchangeAction endAction) {
+        for (int exchange : fault.exchanges()) {
+            actions.add(new ScheduledAction(
+                    fault.startsAfter(), fault.kind() + " " + exchange, () -> startAction.run(exchange)));
+            if (fault.duration().longerThan(Span.ZERO)) {
+                actions.add(new ScheduledAction(
+                        fault.startsAfter().plus(fault.duration()),
+                        fault.kind() + " " + exchange + " ends",
+                        () -> endAction.run(exchange)));
             }
         }
     }
 
-    private static String words(Day.InjectedFault trouble) {
-        return trouble.region() < 0 ? "" : " of region " + trouble.region();
+    private static String regionSuffix(Day.InjectedFault fault) {
+        return fault.region() < 0 ? "" : " of region " + fault.region();
     }
 }
--- a/src/main/java/martenslip/scenario/ScenarioRunner.java
+++ b/src/main/java/martenslip/scenario/ScenarioRunner.java
@@ -20,8 +20,8 @@
 
 /** Plays a day over real sockets: controllers as processes, all else as stand-ins, troubles on schedule. */
 public final class ScenarioRunner {
-    private static final long SUBSCRIBE_MS = 2_500;
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SUBSCRIPTION_WAIT_MS = 2_500;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final Day day;
     private final Path folder;
@@ -43,103 +43,105 @@
         Files.createDirectories(folder);
         Path capture = folder.resolve("capture");
         TrafficPlan plan = new TrafficPlan(day);
-        int disorderly;
-        boolean fell;
+        int failedExits;
+        boolean overloaded;
         try (ControllerProcesses controllers = new ControllerProcesses(day, plan, folder, options, lanes);
-                StandInEnvironment world = new StandInEnvironment(day, plan, controllers, capture)) {
-            begin(controllers, world);
-            double before = controllers.cpuSeconds();
-            world.callers().startDialing();
-            FaultSchedule troubles = new FaultSchedule(day, world, controllers);
-            schedule(troubles, world);
-            troubles.started();
-            double cpu = controllers.cpuSeconds() - before;
-            settle(world);
-            table(world, cpu);
-            disorderly = controllers.end();
-            fell = !world.fallen().isEmpty();
-            if (fell) {
-                out.println("pushed over: " + world.fallen());
+                StandInEnvironment environment = new StandInEnvironment(day, plan, controllers, capture)) {
+            start(controllers, environment);
+            double cpuBefore = controllers.cpuSeconds();
+            environment.callers().startDialing();
+            FaultSchedule faults = new FaultSchedule(day, environment, controllers);
+            runFaults(faults, environment);
+            faults.awaitStarts();
+            double cpuSeconds = controllers.cpuSeconds() - cpuBefore;
+            awaitOpenContacts(environment);
+            printTable(environment, cpuSeconds);
+            failedExits = controllers.terminateAll();
+            overloaded = !environment.overloadedSwitches().isEmpty();
+            if (overloaded) {
+                out.println("pushed over: " + environment.overloadedSwitches());
             }
         }
-        if (disorderly > 0) {
-            out.println(disorderly + " controllers did not end in good order");
+        if (failedExits > 0) {
+            out.println(failedExits + " controllers did not end in good order");
         }
-        boolean kept = verify(capture, out);
-        return kept && disorderly == 0 && !fell;
+        boolean allPassed = verify(capture, out);
+        return allPassed && failedExits == 0 && !overloaded;
     }
 
-    private void begin(ControllerProcesses controllers, StandInEnvironment world)
+    private void start(ControllerProcesses controllers, StandInEnvironment environment)
             throws IOException, InterruptedException {
         for (int i = 0; i < day.exchanges(); i++) {
-            world.build(i, false);
-            world.list(i, world.machine(i), SwitchEntry.State.READY, false, Span.ZERO);
-            controllers.write(i, world.officeAt());
+            environment.buildSwitch(i, false);
+            environment.publishState(i, environment.simulatedSwitch(i), SwitchEntry.State.READY, false, Span.ZERO);
+            controllers.writeConfiguration(i, environment.directoryAddress());
         }
         for (int i = 0; i < day.exchanges(); i++) {
             controllers.start(i);
-            world.controllerUp(i);
+            environment.controllerUp(i);
         }
-        world.office().setNotificationDelay(day.lag());
+        environment.directory().setNotificationDelay(day.listLag());
         out.println("day " + day.name() + ": " + day.exchanges() + " exchanges, "
-                + day.traffic().rate() + " contacts a second, " + day.length().ns() / SECOND + " s; kept in " + folder);
-        TimeUnit.MILLISECONDS.sleep(SUBSCRIBE_MS);
+                + day.traffic().contactsPerSecond() + " contacts a second, "
+                + day.length().ns() / NANOS_PER_SECOND + " s; kept in " + folder);
+        TimeUnit.MILLISECONDS.sleep(SUBSCRIPTION_WAIT_MS);
     }
 
-    private void schedule(FaultSchedule troubles, StandInEnvironment world) throws IOException, InterruptedException {
-        Deque<FaultSchedule.ScheduledAction> left = new ArrayDeque<>(troubles.deeds());
+    private void runFaults(FaultSchedule faults, StandInEnvironment environment)
+            throws IOException, InterruptedException {
+        Deque<FaultSchedule.ScheduledAction> remaining = new ArrayDeque<>(faults.actions());
         long start = System.nanoTime();
-        long nextLine = start;
+        long nextProgressAt = start;
         long end = start + day.length().ns();
         while (System.nanoTime() < end) {
             long now = System.nanoTime();
-            while (!left.isEmpty() && left.peek().at().ns() <= now - start) {
-                FaultSchedule.ScheduledAction deed = left.poll();
-                out.printf(Locale.ROOT, "%5.1f s  %s%n", (now - start) / 1e9, deed.what());
-                world.fact("trouble", "what=" + deed.what().replace(' ', '-'));
-                deed.does().run();
+            while (!remaining.isEmpty() && remaining.peek().at().ns() <= now - start) {
+                FaultSchedule.ScheduledAction action = remaining.poll();
+                out.printf(Locale.ROOT, "%5.1f s  %s%n", (now - start) / 1e9, action.description());
+                environment.annotate("trouble", "what=" + action.description().replace(' ', '-'));
+                action.action().run();
             }
-            if (now >= nextLine) {
-                nextLine += SECOND;
-                progress(world, (now - start) / SECOND);
+            if (now >= nextProgressAt) {
+                nextProgressAt += NANOS_PER_SECOND;
+                printProgress(environment, (now - start) / NANOS_PER_SECOND);
             }
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    private void progress(StandInEnvironment world, long second) {
-        world.callers().readStatistics(tally -> {
+    private void printProgress(StandInEnvironment environment, long second) {
+        environment.callers().readStatistics(statistics -> {
             long wanted = 0;
-            long served = 0;
-            for (CallerStatistics.SkillStatistics row : tally.rows().values()) {
-                wanted += row.wanted();
-                served += row.count(CallerStatistics.CallOutcome.IN_TARGET);
+            long inTarget = 0;
+            for (CallerStatistics.SkillStatistics row : statistics.bySkill().values()) {
+                wanted += row.intentCount();
+                inTarget += row.count(CallerStatistics.CallOutcome.IN_TARGET);
             }
             out.printf(
                     Locale.ROOT,
                     "%5d s  wanted %d, in target %d, standing %d, circuits used %d, waits ms%s%n",
                     second,
                     wanted,
-                    served,
-                    world.callers().establishedCount(),
-                    world.trunks().circuitsInUse(),
-                    world.waits());
+                    inTarget,
+                    environment.callers().establishedCount(),
+                    environment.trunks().circuitsInUse(),
+                    environment.queueWaits());
         });
     }
 
     /** No more is dialled; what is under way comes to its end. */
-    private void settle(StandInEnvironment world) throws InterruptedException {
-        world.callers().stopDialing();
-        Span longest = Span.ZERO;
+    private void awaitOpenContacts(StandInEnvironment environment) throws InterruptedException {
+        environment.callers().stopDialing();
+        Span longestPatience = Span.ZERO;
         for (martenslip.configuration.Skill skill : day.skills()) {
-            longest = longest.atLeast(skill.patience());
+            longestPatience = longestPatience.atLeast(skill.patience());
         }
-        TimeUnit.NANOSECONDS.sleep(longest.plus(Span.ofMillis(2000)).ns());
+        TimeUnit.NANOSECONDS.sleep(longestPatience.plus(Span.ofMillis(2000)).ns());
     }
 
-    private void table(StandInEnvironment world, double cpu) throws InterruptedException {
+    private void printTable(StandInEnvironment environment, double cpuSeconds) throws InterruptedException {
         CompletableFuture<Void> printed = new CompletableFuture<>();
-        world.callers().readStatistics(tally -> {
+        environment.callers().readStatistics(statistics -> {
             out.printf(
                     Locale.ROOT,
                     "%-14s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s %8s%n",
@@ -156,15 +158,15 @@
                     "p50-ms",
                     "p99-ms",
                     "p99.9-ms");
-            for (Map.Entry<String, CallerStatistics.SkillStatistics> one :
-                    tally.rows().entrySet()) {
-                CallerStatistics.SkillStatistics row = one.getValue();
+            for (Map.Entry<String, CallerStatistics.SkillStatistics> entry :
+                    statistics.bySkill().entrySet()) {
+                CallerStatistics.SkillStatistics row = entry.getValue();
                 out.printf(
                         Locale.ROOT,
                         "%-14s %8d %8d %8d %8d %8d %8d %8d %8d %8d %8.1f %8.1f %8.1f%n",
-                        one.getKey(),
-                        row.wanted(),
-                        row.tries(),
+                        entry.getKey(),
+                        row.intentCount(),
+                        row.tryCount(),
                         row.count(CallerStatistics.CallOutcome.IN_TARGET),
                         row.count(CallerStatistics.CallOutcome.LATE),
                         row.count(CallerStatistics.CallOutcome.DEFERRED),
@@ -176,14 +178,14 @@
                         row.setUpMs(99),
                         row.setUpMs(99.9));
             }
-            long tries = tally.rows().values().stream()
-                    .mapToLong(CallerStatistics.SkillStatistics::tries)
+            long tries = statistics.bySkill().values().stream()
+                    .mapToLong(CallerStatistics.SkillStatistics::tryCount)
                     .sum();
             out.printf(
                     Locale.ROOT,
                     "controllers: %.1f s of CPU since the first contact, %.3f ms a try%n",
-                    cpu,
-                    cpu * 1000 / Math.max(1, tries));
+                    cpuSeconds,
+                    cpuSeconds * 1000 / Math.max(1, tries));
             printed.complete(null);
         });
         try {
@@ -195,13 +197,13 @@
 
     /** Prints the rules; true where all were kept. */
     public static boolean verify(Path capture, PrintStream out) throws IOException {
-        RuleVerifier proof = new RuleVerifier();
-        CaptureReader.read(capture, proof);
-        boolean kept = true;
-        for (RuleResult verdict : proof.verdicts()) {
-            verdict.print(out);
-            kept &= verdict.passed();
+        RuleVerifier verifier = new RuleVerifier();
+        CaptureReader.read(capture, verifier);
+        boolean allPassed = true;
+        for (RuleResult result : verifier.results()) {
+            result.print(out);
+            allPassed &= result.passed();
         }
-        return kept;
+        return allPassed;
     }
 }
--- a/src/main/java/martenslip/scenario/StandInEnvironment.java
+++ b/src/main/java/martenslip/scenario/StandInEnvironment.java
@@ -32,12 +32,12 @@
     private final CaptureWriter capture;
     private final SimulatedNetwork network;
     private final TrunkGroups trunks = new TrunkGroups();
-    private final DirectoryService office;
+    private final DirectoryService directory;
     private final SimulatedCallers callers;
-    private final AtomicReferenceArray<SimulatedSwitch> machines;
-    private final AtomicReferenceArray<SimulatedNetwork.NetworkLink> wires;
-    private final List<SimulatedSwitch> replaced = new CopyOnWriteArrayList<>();
-    private final AtomicInteger built = new AtomicInteger();
+    private final AtomicReferenceArray<SimulatedSwitch> switches;
+    private final AtomicReferenceArray<SimulatedNetwork.NetworkLink> links;
+    private final List<SimulatedSwitch> replacedSwitches = new CopyOnWriteArrayList<>();
+    private final AtomicInteger builtCount = new AtomicInteger();
     private final martenslip.configuration.PrefixTable numbering = new martenslip.configuration.PrefixTable();
 
     StandInEnvironment(Day day, TrafficPlan plan, ControllerProcesses controllers, Path captureFile)
@@ -46,39 +46,42 @@
         this.plan = plan;
         this.controllers = controllers;
         capture = new CaptureWriter(captureFile);
-        network = new SimulatedNetwork(capture, day.seed() ^ 0x9e3779b9L, day.same(), day.cross());
-        machines = new AtomicReferenceArray<>(day.exchanges());
-        wires = new AtomicReferenceArray<>(day.exchanges());
-        plan.groups().forEach(group -> trunks.addGroup(group.name(), group.a(), group.b(), group.circuits()));
+        network =
+                new SimulatedNetwork(capture, day.seed() ^ 0x9e3779b9L, day.sameRegionDelay(), day.crossRegionDelay());
+        switches = new AtomicReferenceArray<>(day.exchanges());
+        links = new AtomicReferenceArray<>(day.exchanges());
+        plan.groups()
+                .forEach(group ->
+                        trunks.addGroup(group.name(), group.lowerExchange(), group.higherExchange(), group.circuits()));
         for (int i = 0; i < day.exchanges(); i++) {
-            numbering.add(controllers.prefix(i), i);
+            numbering.add(controllers.numberPrefix(i), i);
             network.assignRegion(ControllerProcesses.host(i), regionOf(i));
         }
-        office = new DirectoryService(
+        directory = new DirectoryService(
                 network.createLink("office", -1), trunks, day.regions(), day.exchanges(), Span.ZERO);
-        office.open(address(3, 1));
+        directory.open(loopbackAddress(3, 1));
         Day.Traffic traffic = day.traffic();
         callers = new SimulatedCallers(
                 new SimulatedCallers.CallerBehavior(
-                        traffic.rate(),
+                        traffic.contactsPerSecond(),
                         day.skills(),
                         day.shares(),
-                        traffic.redials(),
-                        traffic.redialAfter(),
-                        traffic.tryPart(),
-                        traffic.comeAgain(),
-                        traffic.driftEvery(),
-                        traffic.drift(),
-                        traffic.prefix()),
+                        traffic.maxRedials(),
+                        traffic.redialDelay(),
+                        traffic.tryPatienceShare(),
+                        traffic.cutRedialProbability(),
+                        traffic.driftInterval(),
+                        traffic.driftDeviation(),
+                        traffic.numberPrefix()),
                 plan.weights(),
-                this::machineHop,
+                this::switchHop,
                 martenslip.sip.transport.MessageInterceptor.PASS_THROUGH,
                 day.seed() + 5);
-        callers.open(address(4, 1));
-        rules();
+        callers.open(loopbackAddress(4, 1));
+        annotateRules();
     }
 
-    private void rules() {
+    private void annotateRules() {
         capture.annotation(
                 "rules",
                 "release-ms=" + day.rules().text("release-ms") + " drain-grace-ms="
@@ -87,7 +90,7 @@
                         + " fall-ms=" + day.rules().text("fall-ms"));
     }
 
-    private static InetAddress address(int third, int fourth) throws IOException {
+    private static InetAddress loopbackAddress(int third, int fourth) throws IOException {
         return InetAddress.getByAddress(new byte[] {127, 0, (byte) third, (byte) fourth});
     }
 
@@ -95,78 +98,79 @@
         return exchange % day.regions().size();
     }
 
-    InetSocketAddress officeAt() throws IOException {
-        return new InetSocketAddress(address(3, 1), office.port(Hop.Protocol.UDP));
+    InetSocketAddress directoryAddress() throws IOException {
+        return new InetSocketAddress(loopbackAddress(3, 1), directory.port(Hop.Protocol.UDP));
     }
 
-    private Hop.Protocol kind(int exchange) {
-        return day.overTcp().contains(exchange) ? Hop.Protocol.TCP : Hop.Protocol.UDP;
+    private Hop.Protocol protocol(int exchange) {
+        return day.tcpExchanges().contains(exchange) ? Hop.Protocol.TCP : Hop.Protocol.UDP;
     }
 
-    private Hop machineHop(int exchange) {
-        return Hop.udp(machines.get(exchange).address(Hop.Protocol.UDP));
+    private Hop switchHop(int exchange) {
+        return Hop.udp(switches.get(exchange).address(Hop.Protocol.UDP));
     }
 
     /** Builds a machine for the exchange and puts it in its place; one that was there is returned. */
-    SimulatedSwitch build(int exchange, boolean cold) throws IOException {
-        int number = built.incrementAndGet();
+    SimulatedSwitch buildSwitch(int exchange, boolean cold) throws IOException {
+        int number = builtCount.incrementAndGet();
         Map<String, Integer> widths = new HashMap<>();
         for (Skill skill : day.skills()) {
             widths.put(skill.priority(), skill.width());
         }
-        Day.SwitchSettings switches = day.switches();
+        Day.SwitchSettings switchSettings = day.switches();
         ProcessorModel.Settings processor = new ProcessorModel.Settings(
-                plan.unit(),
-                switches.mostWait(),
-                switches.coldFrom(),
-                switches.warm(),
+                plan.setUpTime(),
+                switchSettings.maxWait(),
+                switchSettings.coldStartCapacity(),
+                switchSettings.warmUpTime(),
                 day.rules().decimal("fall-multiple"),
                 day.rules().milliseconds("fall-ms"));
-        SimulatedSwitch.Settings make = new SimulatedSwitch.Settings(
+        SimulatedSwitch.Settings settings = new SimulatedSwitch.Settings(
                 exchange,
                 regionOf(exchange),
                 processor,
-                switches.reportEvery(),
-                switches.noise(),
+                switchSettings.reportInterval(),
+                switchSettings.reportNoise(),
                 numbering,
                 widths,
                 day.seed() * 31 + number,
                 day.reports().text("fields").contains("allowed"));
-        SimulatedNetwork.NetworkLink wire = network.createLink("switch-" + exchange + "-" + number, regionOf(exchange));
-        SimulatedSwitch machine = new SimulatedSwitch(make, trunks, wire, controllers.hop(exchange), cold);
-        machine.open(address(2, number));
-        InetSocketAddress at = machine.address(kind(exchange));
+        SimulatedNetwork.NetworkLink link = network.createLink("switch-" + exchange + "-" + number, regionOf(exchange));
+        SimulatedSwitch simulatedSwitch = new SimulatedSwitch(settings, trunks, link, controllers.hop(exchange), cold);
+        simulatedSwitch.open(loopbackAddress(2, number));
+        InetSocketAddress address = simulatedSwitch.address(protocol(exchange));
         capture.annotation(
                 "machine",
                 "local=switch-" + exchange + "-" + number + " number=" + exchange + " at="
-                        + at.getAddress().getHostAddress() + ":" + at.getPort());
-        SimulatedSwitch before = machines.getAndSet(exchange, machine);
-        wires.set(exchange, wire);
+                        + address.getAddress().getHostAddress() + ":" + address.getPort());
+        SimulatedSwitch previous = switches.getAndSet(exchange, simulatedSwitch);
+        links.set(exchange, link);
         if (cold) {
-            coldFact(exchange);
+            annotateColdStart(exchange);
         }
-        return before;
+        return previous;
     }
 
-    private void coldFact(int exchange) {
-        SimulatedSwitch machine = machines.get(exchange);
-        InetSocketAddress at = machine.address(kind(exchange));
+    private void annotateColdStart(int exchange) {
+        SimulatedSwitch simulatedSwitch = switches.get(exchange);
+        InetSocketAddress address = simulatedSwitch.address(protocol(exchange));
         capture.annotation(
                 "cold",
-                "at=" + at.getAddress().getHostAddress() + ":" + at.getPort() + " capacity="
-                        + machine.capacity() + " from=" + day.switches().coldFrom() + " warm-ms="
-                        + day.switches().warm().ns() / 1e6);
+                "at=" + address.getAddress().getHostAddress() + ":" + address.getPort() + " capacity="
+                        + simulatedSwitch.capacity() + " from=" + day.switches().coldStartCapacity() + " warm-ms="
+                        + day.switches().warmUpTime().ns() / 1e6);
     }
 
-    void list(int exchange, SimulatedSwitch machine, SwitchEntry.State state, boolean started, Span further) {
-        office.publishChange(
+    void publishState(
+            int exchange, SimulatedSwitch simulatedSwitch, SwitchEntry.State state, boolean started, Span extraDelay) {
+        directory.publishChange(
                 exchange,
                 regionOf(exchange),
-                machine.address(kind(exchange)),
-                kind(exchange),
+                simulatedSwitch.address(protocol(exchange)),
+                protocol(exchange),
                 state,
                 started ? new Moment(System.nanoTime()) : null,
-                further);
+                extraDelay);
     }
 
     void controllerUp(int exchange) throws IOException {
@@ -181,46 +185,47 @@
         InetAddress host = ControllerProcesses.host(exchange);
         capture.annotation("controller", "number=" + exchange + " host=" + host.getHostAddress() + " state=killed");
         for (int i = 0; i < day.exchanges(); i++) {
-            machines.get(i).controllerFailed(host, callers::sessionsLost);
+            switches.get(i).controllerFailed(host, callers::sessionsLost);
         }
     }
 
     void drain(int exchange) throws IOException {
-        SimulatedSwitch before = build(exchange, true);
-        replaced.add(before);
-        list(exchange, before, SwitchEntry.State.DRAINING, false, Span.ZERO);
-        list(exchange, machines.get(exchange), SwitchEntry.State.READY, true, Span.ZERO);
+        SimulatedSwitch previous = buildSwitch(exchange, true);
+        replacedSwitches.add(previous);
+        publishState(exchange, previous, SwitchEntry.State.DRAINING, false, Span.ZERO);
+        publishState(exchange, switches.get(exchange), SwitchEntry.State.READY, true, Span.ZERO);
     }
 
-    void drained(int exchange) {
-        for (SimulatedSwitch machine : replaced) {
-            if (machine.number() == exchange) {
-                list(exchange, machine, SwitchEntry.State.GONE, false, Span.ZERO);
+    void endDrain(int exchange) {
+        for (SimulatedSwitch simulatedSwitch : replacedSwitches) {
+            if (simulatedSwitch.number() == exchange) {
+                publishState(exchange, simulatedSwitch, SwitchEntry.State.GONE, false, Span.ZERO);
             }
         }
     }
 
-    void down(int exchange) {
-        wires.get(exchange).setSilent(true);
-        machines.get(exchange).restart(callers::sessionsLost);
-        list(exchange, machines.get(exchange), SwitchEntry.State.GONE, false, day.silentLag());
+    void stopSwitch(int exchange) {
+        links.get(exchange).setSilent(true);
+        switches.get(exchange).restart(callers::sessionsLost);
+        publishState(exchange, switches.get(exchange), SwitchEntry.State.GONE, false, day.silentListLag());
     }
 
-    void upCold(int exchange) {
-        machines.get(exchange).restart(callers::sessionsLost);
-        wires.get(exchange).setSilent(false);
-        coldFact(exchange);
-        list(exchange, machines.get(exchange), SwitchEntry.State.READY, true, Span.ZERO);
+    void startSwitchCold(int exchange) {
+        switches.get(exchange).restart(callers::sessionsLost);
+        links.get(exchange).setSilent(false);
+        annotateColdStart(exchange);
+        publishState(exchange, switches.get(exchange), SwitchEntry.State.READY, true, Span.ZERO);
     }
 
-    void circuits(int region, double part) {
-        for (String name : trunks.groupsMatching((a, b) -> (regionOf(a) == region) != (regionOf(b) == region))) {
-            callers.sessionsLost(trunks.reduceCircuits(name, part));
+    void reduceCircuits(int region, double keptShare) {
+        for (String name : trunks.groupsMatching((firstExchange, secondExchange) ->
+                (regionOf(firstExchange) == region) != (regionOf(secondExchange) == region))) {
+            callers.sessionsLost(trunks.reduceCircuits(name, keptShare));
         }
     }
 
-    void fact(String kind, String words) {
-        capture.annotation(kind, words);
+    void annotate(String kind, String attributes) {
+        capture.annotation(kind, attributes);
     }
 
     SimulatedCallers callers() {
@@ -231,48 +236,48 @@
         return network;
     }
 
-    DirectoryService office() {
-        return office;
+    DirectoryService directory() {
+        return directory;
     }
 
     TrunkGroups trunks() {
         return trunks;
     }
 
-    SimulatedSwitch machine(int exchange) {
-        return machines.get(exchange);
+    SimulatedSwitch simulatedSwitch(int exchange) {
+        return switches.get(exchange);
     }
 
     /** How long work waits at each switch, for the line of progress. */
-    String waits() {
+    String queueWaits() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < day.exchanges(); i++) {
-            text.append(' ').append(machines.get(i).queueWaitMs());
+            text.append(' ').append(switches.get(i).queueWaitMs());
         }
         return text.toString();
     }
 
     /** Switches that were pushed over. */
-    List<Integer> fallen() {
-        List<Integer> fallen = new ArrayList<>();
+    List<Integer> overloadedSwitches() {
+        List<Integer> overloaded = new ArrayList<>();
         for (int i = 0; i < day.exchanges(); i++) {
-            if (machines.get(i).overloaded()) {
-                fallen.add(i);
+            if (switches.get(i).overloaded()) {
+                overloaded.add(i);
             }
         }
-        return fallen;
+        return overloaded;
     }
 
     @Override
     public void close() throws IOException {
         callers.close();
-        office.close();
+        directory.close();
         for (int i = 0; i < day.exchanges(); i++) {
-            if (machines.get(i) != null) {
-                machines.get(i).close();
+            if (switches.get(i) != null) {
+                switches.get(i).close();
             }
         }
-        replaced.forEach(SimulatedSwitch::close);
+        replacedSwitches.forEach(SimulatedSwitch::close);
         network.close();
         capture.close();
     }
--- a/src/main/java/martenslip/scenario/TrafficPlan.java
+++ b/src/main/java/martenslip/scenario/TrafficPlan.java
@@ -13,84 +13,87 @@
 /** Where contacts go and how large the groups are, drawn for a day from its seed. */
 public final class TrafficPlan {
     /** A group between two exchanges, {@code a} the lower number. */
-    public record Group(String name, int a, int b, int circuits) {}
+    public record Group(String name, int lowerExchange, int higherExchange, int circuits) {}
 
     private final double[][] weights;
     private final List<Group> groups = new ArrayList<>();
-    private final Span unit;
+    private final Span setUpTime;
 
     public TrafficPlan(Day day) {
-        int n = day.exchanges();
-        SplittableRandom chance = new SplittableRandom(day.seed());
-        weights = new double[n][n];
-        for (int i = 0; i < n; i++) {
+        int exchangeCount = day.exchanges();
+        SplittableRandom random = new SplittableRandom(day.seed());
+        weights = new double[exchangeCount][exchangeCount];
+        for (int i = 0; i < exchangeCount; i++) {
             for (int j = 0; j < i; j++) {
                 // One draw a pair: both directions of a pair are of a size.
-                double weight = Math.exp(day.groups().uneven() * 2 * (chance.nextDouble() - 0.5) * 2);
+                double weight = Math.exp(day.groups().unevenness() * 2 * (random.nextDouble() - 0.5) * 2);
                 weights[i][j] = weight;
                 weights[j][i] = weight;
             }
         }
-        size(day, erlangs(day));
-        unit = unit(day);
+        sizeGroups(day, erlangs(day));
+        setUpTime = setUpTime(day);
     }
 
     private Map<int[], Double> erlangs(Day day) {
-        int n = day.exchanges();
-        double hold = 0;
-        double shares = 0;
-        for (int s = 0; s < day.skills().size(); s++) {
-            Skill skill = day.skills().get(s);
-            hold += day.shares().get(s) * skill.meanHold().ns() / 1e9 * skill.width();
-            shares += day.shares().get(s);
+        int exchangeCount = day.exchanges();
+        double weightedHoldSeconds = 0;
+        double shareSum = 0;
+        for (int skillIndex = 0; skillIndex < day.skills().size(); skillIndex++) {
+            Skill skill = day.skills().get(skillIndex);
+            weightedHoldSeconds +=
+                    day.shares().get(skillIndex) * skill.meanHold().ns() / 1e9 * skill.width();
+            shareSum += day.shares().get(skillIndex);
         }
-        double each = day.traffic().rate() / n * hold / shares;
+        double erlangsPerExchange = day.traffic().contactsPerSecond() / exchangeCount * weightedHoldSeconds / shareSum;
         Map<int[], Double> pairs = new LinkedHashMap<>();
-        for (int i = 0; i < n; i++) {
-            for (int j = i + 1; j < n; j++) {
-                pairs.put(new int[] {i, j}, each * (part(i, j) + part(j, i)));
+        for (int i = 0; i < exchangeCount; i++) {
+            for (int j = i + 1; j < exchangeCount; j++) {
+                pairs.put(new int[] {i, j}, erlangsPerExchange * (trafficShare(i, j) + trafficShare(j, i)));
             }
         }
         return pairs;
     }
 
-    private double part(int from, int to) {
+    private double trafficShare(int origin, int destination) {
         double total = 0;
-        for (double weight : weights[from]) {
+        for (double weight : weights[origin]) {
             total += weight;
         }
-        return weights[from][to] / total;
+        return weights[origin][destination] / total;
     }
 
-    private void size(Day day, Map<int[], Double> erlangs) {
-        List<Map.Entry<int[], Double>> thinFirst = new ArrayList<>(erlangs.entrySet());
-        thinFirst.sort(Comparator.comparingDouble(Map.Entry::getValue));
-        int unlinked = (int) (thinFirst.size() * day.groups().unlinked());
+    private void sizeGroups(Day day, Map<int[], Double> erlangs) {
+        List<Map.Entry<int[], Double>> pairsByLoad = new ArrayList<>(erlangs.entrySet());
+        pairsByLoad.sort(Comparator.comparingDouble(Map.Entry::getValue));
+        int unlinkedCount = (int) (pairsByLoad.size() * day.groups().unlinkedShare());
         // What pairs without a group carry goes over others, so these get room for it.
-        double without = thinFirst.stream()
-                .limit(unlinked)
+        double unlinkedErlangs = pairsByLoad.stream()
+                .limit(unlinkedCount)
                 .mapToDouble(Map.Entry::getValue)
                 .sum();
-        double with = thinFirst.stream()
-                .skip(unlinked)
+        double linkedErlangs = pairsByLoad.stream()
+                .skip(unlinkedCount)
                 .mapToDouble(Map.Entry::getValue)
                 .sum();
-        double further = 1 + 2 * without / with;
-        thinFirst.stream().skip(unlinked).forEach(one -> {
-            double load = one.getValue() * further * (1 + day.groups().spare());
-            int a = one.getKey()[0];
-            int b = one.getKey()[1];
-            groups.add(new Group("g-" + a + "-" + b, a, b, (int) Math.ceil(load + 0.5 * Math.sqrt(load))));
+        double overflowFactor = 1 + 2 * unlinkedErlangs / linkedErlangs;
+        pairsByLoad.stream().skip(unlinkedCount).forEach(pair -> {
+            double load = pair.getValue() * overflowFactor * (1 + day.groups().spareShare());
+            int lowerExchange = pair.getKey()[0];
+            int higherExchange = pair.getKey()[1];
+            groups.add(new Group("g-" + lowerExchange + "-" + higherExchange, lowerExchange, higherExchange, (int)
+                    Math.ceil(load + 0.5 * Math.sqrt(load))));
         });
-        groups.sort(Comparator.comparingInt(Group::a).thenComparingInt(Group::b));
+        groups.sort(Comparator.comparingInt(Group::lowerExchange).thenComparingInt(Group::higherExchange));
     }
 
     /** A set-up's work, such that the planned load uses the stated part of a processor. */
-    private static Span unit(Day day) {
-        double own = day.traffic().rate() / day.exchanges();
+    private static Span setUpTime(Day day) {
+        double contactsPerExchange = day.traffic().contactsPerSecond() / day.exchanges();
         // As many end here as begin here, and about a tenth passes through.
-        double units = own * (1.1 * ProcessorModel.FORWARDING_COST_SETUPS + ProcessorModel.TERMINATING_COST_SETUPS);
-        return Span.ofMillis(1000 * day.switches().use() / units);
+        double setUpsPerSecond = contactsPerExchange
+                * (1.1 * ProcessorModel.FORWARDING_COST_SETUPS + ProcessorModel.TERMINATING_COST_SETUPS);
+        return Span.ofMillis(1000 * day.switches().utilization() / setUpsPerSecond);
     }
 
     public double[][] weights() {
@@ -101,13 +104,13 @@
         return groups;
     }
 
-    public Span unit() {
-        return unit;
+    public Span setUpTime() {
+        return setUpTime;
     }
 
-    public List<Group> of(int exchange) {
+    public List<Group> groupsOf(int exchange) {
         return groups.stream()
-                .filter(group -> group.a() == exchange || group.b() == exchange)
+                .filter(group -> group.lowerExchange() == exchange || group.higherExchange() == exchange)
                 .toList();
     }
 }
--- a/src/main/java/martenslip/standin/CallGenerator.java
+++ b/src/main/java/martenslip/standin/CallGenerator.java
@@ -21,33 +21,40 @@
 public final class CallGenerator implements AutoCloseable {
     /** Every so many a contact is of the urgent skill; 0 for none. */
     public record LoadProfile(
-            double rate, Span length, Span hold, String prefix, int exchanges, int urgentEvery, String urgent) {}
+            double rate,
+            Span length,
+            Span holdTime,
+            String numberPrefix,
+            int exchangeCount,
+            int urgentEvery,
+            String urgentPriority) {}
 
     private final DatagramSocket socket;
     private final InetSocketAddress controller;
     private final String host;
-    private final String mark;
-    private final LoadProfile plan;
-    private final int most;
-    private final AtomicLongArray sentAt;
-    private final AtomicReferenceArray<String> to;
+    private final String idPrefix;
+    private final LoadProfile profile;
+    private final int callCount;
+    private final AtomicLongArray inviteSentAt;
+    private final AtomicReferenceArray<String> toHeaders;
     private final Histogram setUpTimes = new ConcurrentHistogram(60_000_000, 3);
     private final LongAdder established = new LongAdder();
     private final LongAdder refused = new LongAdder();
     private final LongAdder urgentRefused = new LongAdder();
 
-    public CallGenerator(InetSocketAddress from, InetSocketAddress controller, LoadProfile plan, String mark)
+    public CallGenerator(
+            InetSocketAddress localAddress, InetSocketAddress controller, LoadProfile profile, String idPrefix)
             throws IOException {
         this.controller = controller;
-        this.plan = plan;
-        this.mark = mark;
-        socket = new DatagramSocket(from);
+        this.profile = profile;
+        this.idPrefix = idPrefix;
+        socket = new DatagramSocket(localAddress);
         socket.setReceiveBufferSize(8 << 20);
-        InetSocketAddress at = (InetSocketAddress) socket.getLocalSocketAddress();
-        host = at.getAddress().getHostAddress() + ":" + at.getPort();
-        most = (int) Math.ceil(plan.rate() * plan.length().ns() / 1e9);
-        sentAt = new AtomicLongArray(most);
-        to = new AtomicReferenceArray<>(most);
+        InetSocketAddress boundAddress = (InetSocketAddress) socket.getLocalSocketAddress();
+        host = boundAddress.getAddress().getHostAddress() + ":" + boundAddress.getPort();
+        callCount = (int) Math.ceil(profile.rate() * profile.length().ns() / 1e9);
+        inviteSentAt = new AtomicLongArray(callCount);
+        toHeaders = new AtomicReferenceArray<>(callCount);
         Thread thread = new Thread(null, this::receive, "dialler-in", 256 * 1024);
         thread.setDaemon(true);
         thread.start();
@@ -59,7 +66,7 @@
     }
 
     public int dialled() {
-        return most;
+        return callCount;
     }
 
     public long established() {
@@ -76,24 +83,25 @@
 
     /** Dials all, hangs up all that stood, and waits a second for what is late. */
     public void run() throws IOException, InterruptedException {
-        ArrayDeque<Integer> holding = new ArrayDeque<>();
-        long begin = System.nanoTime();
-        double gap = 1e9 / plan.rate();
-        int next = 0;
-        while (next < most || !holding.isEmpty()) {
+        ArrayDeque<Integer> activeCalls = new ArrayDeque<>();
+        long start = System.nanoTime();
+        double gapNanos = 1e9 / profile.rate();
+        int nextNumber = 0;
+        while (nextNumber < callCount || !activeCalls.isEmpty()) {
             long now = System.nanoTime();
             boolean idle = true;
-            if (next < most && now >= begin + (long) (next * gap)) {
-                sentAt.set(next, now);
-                send(invite(next));
-                holding.add(next++);
+            if (nextNumber < callCount && now >= start + (long) (nextNumber * gapNanos)) {
+                inviteSentAt.set(nextNumber, now);
+                send(createInvite(nextNumber));
+                activeCalls.add(nextNumber++);
                 idle = false;
             }
-            if (!holding.isEmpty()
-                    && now - sentAt.get(holding.peek()) >= plan.hold().ns()) {
-                int done = holding.poll();
-                if (to.get(done) != null) {
-                    send(within("BYE", done, 2, "by" + done));
+            if (!activeCalls.isEmpty()
+                    && now - inviteSentAt.get(activeCalls.peek())
+                            >= profile.holdTime().ns()) {
+                int number = activeCalls.poll();
+                if (toHeaders.get(number) != null) {
+                    send(createInDialogRequest("BYE", number, 2, "by" + number));
                 }
                 idle = false;
             }
@@ -109,45 +117,47 @@
         socket.send(new DatagramPacket(bytes, bytes.length, controller));
     }
 
-    private boolean urgent(int number) {
-        return plan.urgentEvery() > 0 && number % plan.urgentEvery() == 0;
+    private boolean isUrgent(int number) {
+        return profile.urgentEvery() > 0 && number % profile.urgentEvery() == 0;
     }
 
-    private String uri(int number) {
+    private String requestUri(int number) {
         // Turned on by one each round, or each urgent one would go to the same exchange.
-        int exchange = 1 + (number + number / plan.exchanges()) % plan.exchanges();
-        return "sip:" + plan.prefix() + String.format("%02d%05d", exchange, number % 100_000) + "@"
+        int exchange = 1 + (number + number / profile.exchangeCount()) % profile.exchangeCount();
+        return "sip:" + profile.numberPrefix() + String.format("%02d%05d", exchange, number % 100_000) + "@"
                 + controller.getAddress().getHostAddress();
     }
 
-    private String invite(int number) {
-        String uri = uri(number);
-        return "INVITE " + uri + " SIP/2.0\r\n" + common(number, "iv" + number, 1, "INVITE", "<" + uri + ">")
+    private String createInvite(int number) {
+        String uri = requestUri(number);
+        return "INVITE " + uri + " SIP/2.0\r\n" + commonHeaders(number, "iv" + number, 1, "INVITE", "<" + uri + ">")
                 + "Contact: <sip:c@" + host + ">\r\nExpires: 4\r\n"
-                + (urgent(number) ? "Resource-Priority: " + plan.urgent() + "\r\n" : "") + "Content-Length: 0\r\n\r\n";
+                + (isUrgent(number) ? "Resource-Priority: " + profile.urgentPriority() + "\r\n" : "")
+                + "Content-Length: 0\r\n\r\n";
     }
 
-    private String within(String method, int number, int sequence, String branch) {
+    private String createInDialogRequest(String method, int number, int sequence, String branchSuffix) {
         return method + " sip:" + controller.getAddress().getHostAddress() + ":" + controller.getPort() + " SIP/2.0\r\n"
-                + common(number, branch, sequence, method, to.get(number)) + "Content-Length: 0\r\n\r\n";
+                + commonHeaders(number, branchSuffix, sequence, method, toHeaders.get(number))
+                + "Content-Length: 0\r\n\r\n";
     }
 
-    private String common(int number, String branch, int sequence, String method, String toValue) {
-        return "Via: SIP/2.0/UDP " + host + ";branch=z9hG4bK" + mark + branch
+    private String commonHeaders(int number, String branchSuffix, int sequence, String method, String toValue) {
+        return "Via: SIP/2.0/UDP " + host + ";branch=z9hG4bK" + idPrefix + branchSuffix
                 + ";rport\r\nMax-Forwards: 70\r\nFrom: <sip:c@"
-                + host + ">;tag=" + number + "\r\nTo: " + toValue + "\r\nCall-ID: " + mark + "-" + number
+                + host + ">;tag=" + number + "\r\nTo: " + toValue + "\r\nCall-ID: " + idPrefix + "-" + number
                 + "@d\r\nCSeq: "
                 + sequence + " " + method + "\r\n";
     }
 
     private void receive() {
-        byte[] room = new byte[4096];
-        DatagramPacket packet = new DatagramPacket(room, room.length);
+        byte[] buffer = new byte[4096];
+        DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
         while (!socket.isClosed()) {
             try {
-                packet.setLength(room.length);
+                packet.setLength(buffer.length);
                 socket.receive(packet);
-                response(new RawMessage(room, packet.getLength()));
+                handleMessage(new RawMessage(buffer, packet.getLength()));
             } catch (IOException e) {
                 if (socket.isClosed()) {
                     return;
@@ -156,34 +166,34 @@
         }
     }
 
-    private void response(RawMessage message) throws IOException {
-        if (!message.response()) {
+    private void handleMessage(RawMessage message) throws IOException {
+        if (!message.isResponse()) {
             if (!message.method().equals("ACK")) {
-                send(message.answer("200 OK", "d", ""));
+                send(message.createResponse("200 OK", "d", ""));
             }
             return;
         }
         int status = message.status();
-        if (status < 200 || !message.value("CSeq").endsWith("INVITE")) {
+        if (status < 200 || !message.headerValue("CSeq").endsWith("INVITE")) {
             return;
         }
-        int number = Integer.parseInt(RawMessage.between(message.value("Call-ID"), "-", "@"));
-        boolean first = to.compareAndSet(number, null, message.value("To"));
+        int number = Integer.parseInt(RawMessage.between(message.headerValue("Call-ID"), "-", "@"));
+        boolean firstFinalResponse = toHeaders.compareAndSet(number, null, message.headerValue("To"));
         if (status >= 300) {
-            to.set(number, message.value("To"));
-            send(within("ACK", number, 1, "iv" + number));
-            to.set(number, null);
+            toHeaders.set(number, message.headerValue("To"));
+            send(createInDialogRequest("ACK", number, 1, "iv" + number));
+            toHeaders.set(number, null);
             refused.increment();
-            if (urgent(number)) {
+            if (isUrgent(number)) {
                 urgentRefused.increment();
             }
             return;
         }
-        if (first) {
-            setUpTimes.recordValue(Math.min(60_000_000, (System.nanoTime() - sentAt.get(number)) / 1000));
+        if (firstFinalResponse) {
+            setUpTimes.recordValue(Math.min(60_000_000, (System.nanoTime() - inviteSentAt.get(number)) / 1000));
             established.increment();
         }
-        send(within("ACK", number, 1, "ak" + number));
+        send(createInDialogRequest("ACK", number, 1, "ak" + number));
     }
 
     @Override
--- a/src/main/java/martenslip/standin/CallerStatistics.java
+++ b/src/main/java/martenslip/standin/CallerStatistics.java
@@ -19,58 +19,58 @@
 
     /** Counts of one skill. */
     public static final class SkillStatistics {
-        private final long[] ends = new long[CallOutcome.values().length];
-        private final Histogram setUp = new Histogram(60_000_000, 3);
-        private long wanted;
-        private long tries;
+        private final long[] outcomeCounts = new long[CallOutcome.values().length];
+        private final Histogram setUpTimes = new Histogram(60_000_000, 3);
+        private long intentCount;
+        private long tryCount;
 
-        public long wanted() {
-            return wanted;
+        public long intentCount() {
+            return intentCount;
         }
 
-        public long tries() {
-            return tries;
+        public long tryCount() {
+            return tryCount;
         }
 
-        public long count(CallOutcome end) {
-            return ends[end.ordinal()];
+        public long count(CallOutcome outcome) {
+            return outcomeCounts[outcome.ordinal()];
         }
 
         /** Set-up time in milliseconds at a percentile, of contacts that stood. */
         public double setUpMs(double percentile) {
-            return setUp.getValueAtPercentile(percentile) / 1000.0;
+            return setUpTimes.getValueAtPercentile(percentile) / 1000.0;
         }
     }
 
-    private final Map<String, SkillStatistics> rows = new LinkedHashMap<>();
+    private final Map<String, SkillStatistics> bySkill = new LinkedHashMap<>();
 
-    public Map<String, SkillStatistics> rows() {
-        return rows;
+    public Map<String, SkillStatistics> bySkill() {
+        return bySkill;
     }
 
-    SkillStatistics row(String skill) {
-        return rows.computeIfAbsent(skill, any -> new SkillStatistics());
+    SkillStatistics forSkill(String skill) {
+        return bySkill.computeIfAbsent(skill, ignored -> new SkillStatistics());
     }
 
-    void wanted(String skill) {
-        row(skill).wanted++;
+    void intentStarted(String skill) {
+        forSkill(skill).intentCount++;
     }
 
-    void tried(String skill) {
-        row(skill).tries++;
+    void tryStarted(String skill) {
+        forSkill(skill).tryCount++;
     }
 
-    void ended(String skill, CallOutcome end) {
-        row(skill).ends[end.ordinal()]++;
+    void intentEnded(String skill, CallOutcome outcome) {
+        forSkill(skill).outcomeCounts[outcome.ordinal()]++;
     }
 
     /** A contact that stood and was cut is served no more. */
-    void cut(String skill, CallOutcome before) {
-        row(skill).ends[before.ordinal()]--;
-        row(skill).ends[CallOutcome.CUT.ordinal()]++;
+    void contactCut(String skill, CallOutcome previous) {
+        forSkill(skill).outcomeCounts[previous.ordinal()]--;
+        forSkill(skill).outcomeCounts[CallOutcome.CUT.ordinal()]++;
     }
 
-    void stood(String skill, long micros) {
-        row(skill).setUp.recordValue(Math.max(0, Math.min(60_000_000, micros)));
+    void contactEstablished(String skill, long micros) {
+        forSkill(skill).setUpTimes.recordValue(Math.max(0, Math.min(60_000_000, micros)));
     }
 }
--- a/src/main/java/martenslip/standin/CaptureWriter.java
+++ b/src/main/java/martenslip/standin/CaptureWriter.java
@@ -16,38 +16,38 @@
  * with holes would prove nothing. Any thread may call.
  */
 public final class CaptureWriter implements AutoCloseable {
-    private static final int QUEUE = 65_536;
-    private static final byte[] END = {};
+    private static final int QUEUE_CAPACITY = 65_536;
+    private static final byte[] END_MARKER = {};
 
-    private final ArrayBlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE);
+    private final ArrayBlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final OutputStream out;
     private final Thread thread;
-    private volatile IOException trouble;
+    private volatile IOException failure;
 
     public CaptureWriter(Path file) throws IOException {
         out = new BufferedOutputStream(Files.newOutputStream(file), 1 << 20);
-        thread = new Thread(null, this::work, "capture", 256 * 1024);
+        thread = new Thread(null, this::writeRecords, "capture", 256 * 1024);
         thread.start();
     }
 
     /** {@code in} is toward the stand-in. A message that the stand-ins lose on purpose is noted as lost. */
-    public void message(boolean in, String local, Hop remote, boolean lost, byte[] bytes) {
-        String head = "@ " + System.nanoTime() + (in ? " in " : " out ") + local + ' ' + remote
+    public void message(boolean inbound, String local, Hop remote, boolean lost, byte[] bytes) {
+        String headLine = "@ " + System.nanoTime() + (inbound ? " in " : " out ") + local + ' ' + remote
                 + (lost ? " lost " : " whole ") + bytes.length + "\n";
-        byte[] start = head.getBytes(StandardCharsets.US_ASCII);
-        byte[] record = new byte[start.length + bytes.length + 1];
-        System.arraycopy(start, 0, record, 0, start.length);
-        System.arraycopy(bytes, 0, record, start.length, bytes.length);
+        byte[] headBytes = headLine.getBytes(StandardCharsets.US_ASCII);
+        byte[] record = new byte[headBytes.length + bytes.length + 1];
+        System.arraycopy(headBytes, 0, record, 0, headBytes.length);
+        System.arraycopy(bytes, 0, record, headBytes.length, bytes.length);
         record[record.length - 1] = '\n';
-        put(record);
+        enqueue(record);
     }
 
     /** A fact: a kind and words of name=value. */
-    public void annotation(String kind, String words) {
-        put(("! " + System.nanoTime() + ' ' + kind + ' ' + words + "\n").getBytes(StandardCharsets.UTF_8));
+    public void annotation(String kind, String attributes) {
+        enqueue(("! " + System.nanoTime() + ' ' + kind + ' ' + attributes + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    private void put(byte[] record) {
+    private void enqueue(byte[] record) {
         try {
             queue.put(record);
         } catch (InterruptedException e) {
@@ -55,13 +55,13 @@
         }
     }
 
-    private void work() {
+    private void writeRecords() {
         try (out) {
-            for (byte[] next = queue.take(); next != END; next = queue.take()) {
-                out.write(next);
+            for (byte[] record = queue.take(); record != END_MARKER; record = queue.take()) {
+                out.write(record);
             }
         } catch (IOException e) {
-            trouble = e;
+            failure = e;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -69,14 +69,14 @@
 
     @Override
     public void close() throws IOException {
-        put(END);
+        enqueue(END_MARKER);
         try {
             thread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (trouble != null) {
-            throw new UncheckedIOException(trouble);
+        if (failure != null) {
+            throw new UncheckedIOException(failure);
         }
     }
 }
--- a/src/main/java/martenslip/standin/DirectoryService.java
+++ b/src/main/java/martenslip/standin/DirectoryService.java
@@ -29,91 +29,97 @@
  * on its endpoint's thread.
  */
 public final class DirectoryService implements AutoCloseable {
-    private static final Span CIRCUITS_EVERY = Span.ofMillis(100);
+    private static final Span CIRCUIT_NOTIFICATION_INTERVAL = Span.ofMillis(100);
 
     private final Endpoint endpoint;
     private final TrunkGroups trunks;
-    private final EventPackageCodec text;
-    private final Map<Long, ListedSwitch> lines = new LinkedHashMap<>();
-    private final Map<Integer, Notifier> circuits = new LinkedHashMap<>();
-    private final Map<Integer, Map<String, Long>> seen = new HashMap<>();
-    private final Map<Integer, Long> versions = new HashMap<>();
-    private final int exchanges;
-    private Notifier list;
-    private final Map<Long, Long> applied = new HashMap<>();
-    private long asked;
-    private long version;
-    private Span setNotificationDelay;
-    private Span extra = Span.ZERO;
+    private final EventPackageCodec codec;
+    private final Map<Long, ListedSwitch> entries = new LinkedHashMap<>();
+    private final Map<Integer, Notifier> circuitNotifiers = new LinkedHashMap<>();
+    private final Map<Integer, Map<String, Long>> notifiedChangeCounts = new HashMap<>();
+    private final Map<Integer, Long> circuitVersions = new HashMap<>();
+    private final int exchangeCount;
+    private Notifier listNotifier;
+    private final Map<Long, Long> appliedChanges = new HashMap<>();
+    private long changeCount;
+    private long listVersion;
+    private Span notificationDelay;
+    private Span extraDelay = Span.ZERO;
 
     public DirectoryService(
-            SimulatedNetwork.NetworkLink wire, TrunkGroups trunks, List<String> regions, int exchanges, Span lag) {
+            SimulatedNetwork.NetworkLink link,
+            TrunkGroups trunks,
+            List<String> regions,
+            int exchangeCount,
+            Span notificationDelay) {
         this.trunks = trunks;
-        this.exchanges = exchanges;
-        this.setNotificationDelay = lag;
-        endpoint = new Endpoint("office", TransportLimits.DEFAULTS, wire, fault -> fault.printStackTrace());
-        text = new EventPackageCodec(regions, new Moment(System.nanoTime()), Instant.now());
+        this.exchangeCount = exchangeCount;
+        this.notificationDelay = notificationDelay;
+        endpoint = new Endpoint("office", TransportLimits.DEFAULTS, link, failure -> failure.printStackTrace());
+        codec = new EventPackageCodec(regions, new Moment(System.nanoTime()), Instant.now());
     }
 
     public void open(InetAddress host) throws IOException {
         endpoint.open(new InetSocketAddress(host, 0), new InetSocketAddress(host, 0));
-        endpoint.start(user(), (message, from) -> false, () -> {}, TransactionTimers.RFC_3261, 99, 1 << 16);
+        endpoint.start(userAgentCore(), (message, from) -> false, () -> {}, TransactionTimers.RFC_3261, 99, 1 << 16);
         endpoint.execute(() -> {
-            list = new Notifier(
+            listNotifier = new Notifier(
                     endpoint.dialogLayer(),
                     EventPackageCodec.SWITCHES_EVENT_PACKAGE,
                     EventPackageCodec.CONTENT_TYPE,
-                    to -> {
-                        to.lastNotifiedVersion = version;
-                        return text.write(new EventPackageCodec.SwitchList(version, true, List.copyOf(lines.values())));
+                    subscription -> {
+                        subscription.lastNotifiedVersion = listVersion;
+                        return codec.write(
+                                new EventPackageCodec.SwitchList(listVersion, true, List.copyOf(entries.values())));
                     },
                     256);
-            for (int i = 0; i < exchanges; i++) {
+            for (int i = 0; i < exchangeCount; i++) {
                 int exchange = i;
-                seen.put(i, new HashMap<>());
-                versions.put(i, 1L);
-                circuits.put(
+                notifiedChangeCounts.put(i, new HashMap<>());
+                circuitVersions.put(i, 1L);
+                circuitNotifiers.put(
                         i,
                         new Notifier(
                                 endpoint.dialogLayer(),
                                 EventPackageCodec.CIRCUITS_EVENT_PACKAGE,
                                 EventPackageCodec.CONTENT_TYPE,
-                                to -> allCircuits(exchange),
+                                subscription -> encodeAllCircuits(exchange),
                                 16));
             }
-            tellCircuits();
+            notifyCircuitChanges();
         });
     }
 
-    public int port(Hop.Protocol kind) {
-        return endpoint.transport().port(kind);
+    public int port(Hop.Protocol protocol) {
+        return endpoint.transport().port(protocol);
     }
 
-    private byte[] allCircuits(int exchange) {
-        List<EventPackageCodec.GroupState> groups = trunks.changed(exchange, new HashMap<>()).stream()
+    private byte[] encodeAllCircuits(int exchange) {
+        List<EventPackageCodec.GroupState> groups = trunks.changesSince(exchange, new HashMap<>()).stream()
                 .map(state -> new EventPackageCodec.GroupState(state.name(), state.total(), state.free()))
                 .toList();
-        return text.write(new EventPackageCodec.CircuitList(versions.get(exchange), true, groups));
+        return codec.write(new EventPackageCodec.CircuitList(circuitVersions.get(exchange), true, groups));
     }
 
-    private void tellCircuits() {
-        circuits.forEach((exchange, notifier) -> {
+    private void notifyCircuitChanges() {
+        circuitNotifiers.forEach((exchange, notifier) -> {
             if (notifier.subscriptions().isEmpty()) {
                 return;
             }
-            List<EventPackageCodec.GroupState> groups = trunks.changed(exchange, seen.get(exchange)).stream()
-                    .map(state -> new EventPackageCodec.GroupState(state.name(), state.total(), state.free()))
-                    .toList();
+            List<EventPackageCodec.GroupState> groups =
+                    trunks.changesSince(exchange, notifiedChangeCounts.get(exchange)).stream()
+                            .map(state -> new EventPackageCodec.GroupState(state.name(), state.total(), state.free()))
+                            .toList();
             if (!groups.isEmpty()) {
-                long next = versions.merge(exchange, 1L, Long::sum);
-                byte[] body = text.write(new EventPackageCodec.CircuitList(next, false, groups));
-                notifier.subscriptions().forEach(one -> notifier.sendNotify(one, body));
+                long nextVersion = circuitVersions.merge(exchange, 1L, Long::sum);
+                byte[] body = codec.write(new EventPackageCodec.CircuitList(nextVersion, false, groups));
+                notifier.subscriptions().forEach(subscription -> notifier.sendNotify(subscription, body));
             }
         });
-        endpoint.timerWheel().scheduleAfter(CIRCUITS_EVERY, this::tellCircuits);
+        endpoint.timerWheel().scheduleAfter(CIRCUIT_NOTIFICATION_INTERVAL, this::notifyCircuitChanges);
     }
 
-    private UserAgentCore user() {
+    private UserAgentCore userAgentCore() {
         return new UserAgentCore() {
             @Override
             public void inviteReceived(UasCall call) {
@@ -123,7 +129,7 @@
             @Override
             public void requestReceived(ServerTransaction transaction) {
                 try {
-                    subscribe(transaction);
+                    handleSubscribe(transaction);
                 } catch (InvalidValueException e) {
                     transaction.respond(transaction.request().createResponse(400, "Unreadable value", null));
                 }
@@ -141,22 +147,22 @@
         };
     }
 
-    private void subscribe(ServerTransaction transaction) throws InvalidValueException {
-        String user = transaction.request().parsedUri().unescapedUser();
-        boolean ofCircuits = user != null && user.matches("circuits-[0-9]{1,5}");
-        Notifier which = ofCircuits ? circuits.get(Integer.parseInt(user.substring(9))) : list;
+    private void handleSubscribe(ServerTransaction transaction) throws InvalidValueException {
+        String userPart = transaction.request().parsedUri().unescapedUser();
+        boolean forCircuits = userPart != null && userPart.matches("circuits-[0-9]{1,5}");
+        Notifier notifier = forCircuits ? circuitNotifiers.get(Integer.parseInt(userPart.substring(9))) : listNotifier;
         // A refresh goes to the Contact, which names nobody: the subscription is found by its event and Call-ID.
-        if (which != null
-                && !ofCircuits
+        if (notifier != null
+                && !forCircuits
                 && EventPackageCodec.CIRCUITS_EVENT_PACKAGE.equals(
                         transaction.request().headers().first("Event"))) {
-            for (Notifier one : circuits.values()) {
-                if (one.hasSubscription(transaction.request())) {
-                    which = one;
+            for (Notifier candidate : circuitNotifiers.values()) {
+                if (candidate.hasSubscription(transaction.request())) {
+                    notifier = candidate;
                 }
             }
         }
-        if (which == null || !which.handleSubscribe(transaction)) {
+        if (notifier == null || !notifier.handleSubscribe(transaction)) {
             transaction.respond(transaction
                     .request()
                     .createResponse(
@@ -170,29 +176,30 @@
     public void publishChange(
             int number,
             int region,
-            InetSocketAddress at,
-            Hop.Protocol kind,
+            InetSocketAddress address,
+            Hop.Protocol protocol,
             SwitchEntry.State state,
-            Moment started,
-            Span further) {
+            Moment startedAt,
+            Span additionalDelay) {
         endpoint.execute(() -> {
             try {
-                martenslip.sip.message.SipUri uri =
-                        martenslip.sip.message.SipUri.of(null, at.getAddress().getHostAddress(), at.getPort());
-                uri = kind == Hop.Protocol.TCP ? uri.with("transport", "tcp") : uri;
-                SwitchEntry line = new SwitchEntry(EventPackageCodec.switchId(at), number, state, started, region);
-                ListedSwitch neighbour = new ListedSwitch(line, uri, new Hop(kind, at, 0));
-                long order = ++asked;
-                Moment due = endpoint.timerWheel()
+                martenslip.sip.message.SipUri uri = martenslip.sip.message.SipUri.of(
+                        null, address.getAddress().getHostAddress(), address.getPort());
+                uri = protocol == Hop.Protocol.TCP ? uri.with("transport", "tcp") : uri;
+                SwitchEntry entry =
+                        new SwitchEntry(EventPackageCodec.switchId(address), number, state, startedAt, region);
+                ListedSwitch listedSwitch = new ListedSwitch(entry, uri, new Hop(protocol, address, 0));
+                long changeNumber = ++changeCount;
+                Moment dueAt = endpoint.timerWheel()
                         .now()
-                        .plus(setNotificationDelay)
-                        .plus(extra)
-                        .plus(further);
-                endpoint.timerWheel().scheduleAt(due, () -> {
+                        .plus(notificationDelay)
+                        .plus(extraDelay)
+                        .plus(additionalDelay);
+                endpoint.timerWheel().scheduleAt(dueAt, () -> {
                     // One that was slow to be told is stale once a later change of the machine has been.
-                    if (applied.getOrDefault(line.id(), 0L) < order) {
-                        applied.put(line.id(), order);
-                        apply(neighbour);
+                    if (appliedChanges.getOrDefault(entry.id(), 0L) < changeNumber) {
+                        appliedChanges.put(entry.id(), changeNumber);
+                        apply(listedSwitch);
                     }
                 });
             } catch (InvalidValueException e) {
@@ -201,28 +208,28 @@
         });
     }
 
-    private void apply(ListedSwitch neighbour) {
-        version++;
-        lines.put(neighbour.entry().id(), neighbour);
-        byte[] body = text.write(new EventPackageCodec.SwitchList(version, false, List.of(neighbour)));
-        for (Notifier.Subscription one : list.subscriptions()) {
-            if (list.sendNotify(one, body)) {
-                one.lastNotifiedVersion = version;
+    private void apply(ListedSwitch listedSwitch) {
+        listVersion++;
+        entries.put(listedSwitch.entry().id(), listedSwitch);
+        byte[] body = codec.write(new EventPackageCodec.SwitchList(listVersion, false, List.of(listedSwitch)));
+        for (Notifier.Subscription subscription : listNotifier.subscriptions()) {
+            if (listNotifier.sendNotify(subscription, body)) {
+                subscription.lastNotifiedVersion = listVersion;
             }
         }
-        if (neighbour.entry().state() == SwitchEntry.State.GONE) {
-            lines.remove(neighbour.entry().id());
+        if (listedSwitch.entry().state() == SwitchEntry.State.GONE) {
+            entries.remove(listedSwitch.entry().id());
         }
     }
 
     /** Each change is told this much later still. */
-    public void setExtraDelay(Span more) {
-        endpoint.execute(() -> extra = more);
+    public void setExtraDelay(Span delay) {
+        endpoint.execute(() -> extraDelay = delay);
     }
 
     /** How late changes are told as a rule. */
-    public void setNotificationDelay(Span next) {
-        endpoint.execute(() -> setNotificationDelay = next);
+    public void setNotificationDelay(Span delay) {
+        endpoint.execute(() -> notificationDelay = delay);
     }
 
     @Override
--- a/src/main/java/martenslip/standin/LightweightSwitch.java
+++ b/src/main/java/martenslip/standin/LightweightSwitch.java
@@ -16,21 +16,22 @@
 public final class LightweightSwitch implements AutoCloseable {
     private final TrunkGroups trunks;
     private final DatagramSocket socket;
-    private final Map<String, TrunkGroups.Seizure> seized = new ConcurrentHashMap<>();
+    private final Map<String, TrunkGroups.Seizure> seizures = new ConcurrentHashMap<>();
     private final Map<String, Integer> widths;
     private final LongAdder accepted = new LongAdder();
     private final LongAdder rejectedForNoCircuit = new LongAdder();
-    private final String contact;
+    private final String contactHeader;
 
     /** {@code widths} gives the circuits of a Resource-Priority value; others take one. */
-    public LightweightSwitch(InetSocketAddress at, TrunkGroups trunks, Map<String, Integer> widths) throws IOException {
+    public LightweightSwitch(InetSocketAddress listenAddress, TrunkGroups trunks, Map<String, Integer> widths)
+            throws IOException {
         this.trunks = trunks;
         this.widths = widths;
-        socket = new DatagramSocket(at);
+        socket = new DatagramSocket(listenAddress);
         socket.setReceiveBufferSize(4 << 20);
-        contact = "Contact: <sip:" + address().getAddress().getHostAddress() + ":"
+        contactHeader = "Contact: <sip:" + address().getAddress().getHostAddress() + ":"
                 + address().getPort() + ">\r\n";
-        Thread thread = new Thread(null, this::work, "mirror-" + address().getPort(), 256 * 1024);
+        Thread thread = new Thread(null, this::receive, "mirror-" + address().getPort(), 256 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
@@ -48,16 +49,16 @@
         return rejectedForNoCircuit.sum();
     }
 
-    private void work() {
-        byte[] room = new byte[4096];
-        DatagramPacket packet = new DatagramPacket(room, room.length);
+    private void receive() {
+        byte[] buffer = new byte[4096];
+        DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
         while (!socket.isClosed()) {
             try {
-                packet.setLength(room.length);
+                packet.setLength(buffer.length);
                 socket.receive(packet);
-                String answer = answer(new RawMessage(room, packet.getLength()));
-                if (answer != null) {
-                    byte[] bytes = answer.getBytes(StandardCharsets.ISO_8859_1);
+                String response = handle(new RawMessage(buffer, packet.getLength()));
+                if (response != null) {
+                    byte[] bytes = response.getBytes(StandardCharsets.ISO_8859_1);
                     socket.send(new DatagramPacket(bytes, bytes.length, packet.getSocketAddress()));
                 }
             } catch (IOException e) {
@@ -68,38 +69,38 @@
         }
     }
 
-    private String answer(RawMessage request) {
-        if (request.response()) {
+    private String handle(RawMessage request) {
+        if (request.isResponse()) {
             return null;
         }
-        String id = request.value("Call-ID");
+        String callId = request.headerValue("Call-ID");
         return switch (request.method()) {
-            case "INVITE" -> invite(request, id);
+            case "INVITE" -> acceptInvite(request, callId);
             case "BYE" -> {
-                TrunkGroups.Seizure one = seized.remove(id);
-                if (one != null) {
-                    trunks.release(one);
+                TrunkGroups.Seizure seizure = seizures.remove(callId);
+                if (seizure != null) {
+                    trunks.release(seizure);
                 }
-                yield request.answer("200 OK", "m", "");
+                yield request.createResponse("200 OK", "m", "");
             }
             case "ACK" -> null;
-            default -> request.answer("200 OK", "m", "");
+            default -> request.createResponse("200 OK", "m", "");
         };
     }
 
-    private String invite(RawMessage request, String id) {
-        if (!seized.containsKey(id)) {
+    private String acceptInvite(RawMessage request, String callId) {
+        if (!seizures.containsKey(callId)) {
             String group = RawMessage.between(request.startLine(), "tgrp=", ";");
-            int width = widths.getOrDefault(request.value("Resource-Priority"), 1);
-            TrunkGroups.Seizure one = trunks.seize(group, width, id);
-            if (one == null) {
+            int width = widths.getOrDefault(request.headerValue("Resource-Priority"), 1);
+            TrunkGroups.Seizure seizure = trunks.seize(group, width, callId);
+            if (seizure == null) {
                 rejectedForNoCircuit.increment();
-                return request.answer("503 No circuit", "m", "Reason: Q.850;cause=34\r\n");
+                return request.createResponse("503 No circuit", "m", "Reason: Q.850;cause=34\r\n");
             }
-            seized.put(id, one);
+            seizures.put(callId, seizure);
             accepted.increment();
         }
-        return request.answer("200 OK", "m", contact);
+        return request.createResponse("200 OK", "m", contactHeader);
     }
 
     @Override
--- a/src/main/java/martenslip/standin/ProcessorModel.java
+++ b/src/main/java/martenslip/standin/ProcessorModel.java
@@ -12,22 +12,22 @@
 public final class ProcessorModel {
     /** What a message costs, in parts of a set-up; the front end's own replies and ACKs are next to nothing. */
     public enum WorkType {
-        LOOK(0.25),
+        ROUTE(0.25),
         SET_UP(1),
         ANSWER(0.3),
         RELEASE(0.3),
         REJECT(0.1),
-        NOTE(0.02);
+        MINOR_MESSAGE(0.02);
 
-        private final double part;
+        private final double setUpShare;
 
-        WorkType(double part) {
-            this.part = part;
+        WorkType(double setUpShare) {
+            this.setUpShare = setUpShare;
         }
 
         /** New work, which a full processor turns away; the rest belongs to what was taken before. */
-        boolean fresh() {
-            return this == LOOK || this == SET_UP;
+        boolean isNewWork() {
+            return this == ROUTE || this == SET_UP;
         }
     }
 
@@ -41,45 +41,45 @@
             Span fallWindow) {}
 
     /** Set-ups a second of a warm processor that does nothing else, with their releases. */
-    static double capacity(Settings make) {
-        return 1e9 / make.setUpTime().ns() / TERMINATING_COST_SETUPS;
+    static double capacity(Settings settings) {
+        return 1e9 / settings.setUpTime().ns() / TERMINATING_COST_SETUPS;
     }
 
     /** Work of a contact that ends here, and of one that is handed on to the controller, in set-ups. */
-    public static final double TERMINATING_COST_SETUPS = WorkType.SET_UP.part + WorkType.RELEASE.part;
+    public static final double TERMINATING_COST_SETUPS = WorkType.SET_UP.setUpShare + WorkType.RELEASE.setUpShare;
 
     public static final double FORWARDING_COST_SETUPS =
-            WorkType.LOOK.part + WorkType.ANSWER.part + WorkType.RELEASE.part;
+            WorkType.ROUTE.setUpShare + WorkType.ANSWER.setUpShare + WorkType.RELEASE.setUpShare;
 
-    private final Settings make;
-    private final Moment started;
+    private final Settings settings;
+    private final Moment startedAt;
     private final boolean coldStart;
-    private final Deque<Moment> recent = new ArrayDeque<>();
-    private final Deque<Moment> pending = new ArrayDeque<>();
+    private final Deque<Moment> recentSetUps = new ArrayDeque<>();
+    private final Deque<Moment> pendingCompletions = new ArrayDeque<>();
     private Moment busyUntil;
-    private double slowness = 1;
+    private double slowdown = 1;
     private boolean overloaded;
 
-    public ProcessorModel(Settings make, Moment now, boolean coldStart) {
-        this.make = make;
-        started = now;
+    public ProcessorModel(Settings settings, Moment now, boolean coldStart) {
+        this.settings = settings;
+        startedAt = now;
         busyUntil = now;
         this.coldStart = coldStart;
     }
 
     /** Its present capacity as a part of a warm one's. */
-    public double part(Moment now) {
-        double warm = coldStart ? now.since(started).ratioTo(make.warmUpTime()) : 1;
-        return (make.coldStartCapacity() + (1 - make.coldStartCapacity()) * Math.min(1, warm)) / slowness;
+    public double capacityShare(Moment now) {
+        double warmShare = coldStart ? now.since(startedAt).ratioTo(settings.warmUpTime()) : 1;
+        return (settings.coldStartCapacity() + (1 - settings.coldStartCapacity()) * Math.min(1, warmShare)) / slowdown;
     }
 
-    public boolean cold(Moment now) {
-        return coldStart && make.warmUpTime().longerThan(now.since(started));
+    public boolean isCold(Moment now) {
+        return coldStart && settings.warmUpTime().longerThan(now.since(startedAt));
     }
 
     /** From now on work takes this many times as long. */
-    public void slow(double times) {
-        slowness = times;
+    public void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
     /** True once it was pushed over while cold; nothing is done any more. */
@@ -87,47 +87,47 @@
         return overloaded;
     }
 
-    public Span wait(Moment now) {
+    public Span waitTime(Moment now) {
         return busyUntil.since(now).atLeast(Span.ZERO);
     }
 
-    public int depth(Moment now) {
-        while (!pending.isEmpty() && !now.before(pending.peek())) {
-            pending.poll();
+    public int queueDepth(Moment now) {
+        while (!pendingCompletions.isEmpty() && !now.before(pendingCompletions.peek())) {
+            pendingCompletions.poll();
         }
-        return pending.size();
+        return pendingCompletions.size();
     }
 
     /** A set-up was sent here by a controller; too many while it is cold push it over. */
-    public void sent(Moment now) {
-        recent.add(now);
-        while (now.since(recent.peek()).longerThan(make.fallWindow())) {
-            recent.poll();
+    public void setUpReceived(Moment now) {
+        recentSetUps.add(now);
+        while (now.since(recentSetUps.peek()).longerThan(settings.fallWindow())) {
+            recentSetUps.poll();
         }
-        double most = make.fallMultiple()
-                * capacity(make)
-                * part(now)
-                * make.fallWindow().ns()
+        double maxSetUps = settings.fallMultiple()
+                * capacity(settings)
+                * capacityShare(now)
+                * settings.fallWindow().ns()
                 / 1e9;
         // A few more than the budget are chance, not a push.
-        overloaded |= cold(now) && recent.size() > most + 3;
+        overloaded |= isCold(now) && recentSetUps.size() > maxSetUps + 3;
     }
 
     /** When the work will be done; null where it is turned away, which costs work too. */
-    public Moment take(Moment now, WorkType work) {
-        if (work.fresh()) {
-            if (wait(now).longerThan(make.maxWait())) {
-                add(now, WorkType.REJECT);
+    public Moment enqueue(Moment now, WorkType type) {
+        if (type.isNewWork()) {
+            if (waitTime(now).longerThan(settings.maxWait())) {
+                append(now, WorkType.REJECT);
                 return null;
             }
         }
-        return overloaded ? now.plus(Span.ofMillis(3.6e6)) : add(now, work);
+        return overloaded ? now.plus(Span.ofMillis(3.6e6)) : append(now, type);
     }
 
-    private Moment add(Moment now, WorkType work) {
-        Moment begins = busyUntil.before(now) ? now : busyUntil;
-        busyUntil = begins.plus(make.setUpTime().times(work.part / part(now)));
-        pending.add(busyUntil);
+    private Moment append(Moment now, WorkType type) {
+        Moment startsAt = busyUntil.before(now) ? now : busyUntil;
+        busyUntil = startsAt.plus(settings.setUpTime().times(type.setUpShare / capacityShare(now)));
+        pendingCompletions.add(busyUntil);
         return busyUntil;
     }
 }
--- a/src/main/java/martenslip/standin/RawMessage.java
+++ b/src/main/java/martenslip/standin/RawMessage.java
@@ -10,7 +10,7 @@
         text = new String(bytes, 0, length, StandardCharsets.ISO_8859_1);
     }
 
-    boolean response() {
+    boolean isResponse() {
         return text.startsWith("SIP/2.0 ");
     }
 
@@ -28,31 +28,32 @@
     }
 
     /** The value of the first line of the name, or an empty text. */
-    String value(String name) {
-        int at = text.indexOf("\r\n" + name + ": ");
-        if (at < 0) {
+    String headerValue(String name) {
+        int lineStart = text.indexOf("\r\n" + name + ": ");
+        if (lineStart < 0) {
             return "";
         }
-        int from = at + name.length() + 4;
-        return text.substring(from, text.indexOf('\r', from));
+        int valueStart = lineStart + name.length() + 4;
+        return text.substring(valueStart, text.indexOf('\r', valueStart));
     }
 
     /** What stands between two marks, or an empty text. */
-    static String between(String in, String before, String after) {
-        int from = in.indexOf(before);
-        if (from < 0) {
+    static String between(String source, String prefix, String suffix) {
+        int start = source.indexOf(prefix);
+        if (start < 0) {
             return "";
         }
-        from += before.length();
-        int to = in.indexOf(after, from);
-        return in.substring(from, to < 0 ? in.length() : to);
+        start += prefix.length();
+        int end = source.indexOf(suffix, start);
+        return source.substring(start, end < 0 ? source.length() : end);
     }
 
     /** A response with the lines that each must repeat. */
-    String answer(String status, String tag, String more) {
-        String to = value("To");
-        return "SIP/2.0 " + status + "\r\nVia: " + value("Via") + "\r\nFrom: " + value("From") + "\r\nTo: " + to
-                + (to.contains("tag=") ? "" : ";tag=" + tag) + "\r\nCall-ID: " + value("Call-ID") + "\r\nCSeq: "
-                + value("CSeq") + "\r\n" + more + "Content-Length: 0\r\n\r\n";
+    String createResponse(String status, String tag, String extraHeaders) {
+        String to = headerValue("To");
+        return "SIP/2.0 " + status + "\r\nVia: " + headerValue("Via") + "\r\nFrom: " + headerValue("From") + "\r\nTo: "
+                + to
+                + (to.contains("tag=") ? "" : ";tag=" + tag) + "\r\nCall-ID: " + headerValue("Call-ID") + "\r\nCSeq: "
+                + headerValue("CSeq") + "\r\n" + extraHeaders + "Content-Length: 0\r\n\r\n";
     }
 }
--- a/src/main/java/martenslip/standin/SimulatedCallers.java
+++ b/src/main/java/martenslip/standin/SimulatedCallers.java
@@ -40,90 +40,99 @@
 public final class SimulatedCallers implements AutoCloseable {
     /** How callers behave. {@code shares} are chances of the skills, {@code rate} first tries a second in all. */
     public record CallerBehavior(
-            double rate,
+            double contactsPerSecond,
             List<Skill> skills,
             List<Double> shares,
-            int redials,
-            Span redialAfter,
+            int maxRedials,
+            Span redialDelay,
             double retryProbability,
             double cutRedialProbability,
-            Span driftEvery,
-            double drift,
-            String prefix) {}
+            Span driftInterval,
+            double driftDeviation,
+            String numberPrefix) {}
 
-    private static final int MOST_OPEN = 50_000;
-    private static final double RISE_SECONDS = 5;
+    private static final int MAX_OPEN_ATTEMPTS = 50_000;
+    private static final double RAMP_UP_SECONDS = 5;
     /** Nobody dials again who would give up as soon. */
-    private static final Span LEAST = Span.ofMillis(500);
+    private static final Span MIN_REMAINING_PATIENCE = Span.ofMillis(500);
     /** The far half of a Session-ID before the far side is known (RFC 7989 5). */
-    private static final String NOBODY_YET = ";remote=" + "0".repeat(32);
+    private static final String UNKNOWN_REMOTE = ";remote=" + "0".repeat(32);
 
     /** One wish to be connected, over all its tries. */
     private final class CallIntent {
-        final int from;
-        final int to;
-        final int skill;
+        final int origin;
+        final int destination;
+        final int skillIndex;
         final String number;
-        final Moment first;
-        final boolean again;
-        int tries;
-
-        CallIntent(int from, int to, int skill, String number, boolean again) {
-            this.from = from;
-            this.to = to;
-            this.skill = skill;
+        final Moment startedAt;
+        final boolean redialAfterCut;
+        int tryCount;
+
+        CallIntent(int origin, int destination, int skillIndex, String number, boolean redialAfterCut) {
+            this.origin = origin;
+            this.destination = destination;
+            this.skillIndex = skillIndex;
             this.number = number;
-            this.again = again;
-            first = now();
+            this.redialAfterCut = redialAfterCut;
+            startedAt = now();
         }
 
-        String name() {
-            return ways.skills().get(skill).name();
+        String skillName() {
+            return behavior.skills().get(skillIndex).name();
         }
     }
 
-    private final CallerBehavior ways;
-    private final double[][] planned;
+    private final CallerBehavior behavior;
+    private final double[][] plannedWeights;
     private final double[][] weights;
-    private final double[] parts;
-    private final IntFunction<Hop> machines;
+    private final double[] originShares;
+    private final IntFunction<Hop> switchHops;
     private final Endpoint endpoint;
-    private final SplittableRandom chance;
-    private final CallerStatistics tally = new CallerStatistics();
-    private final Map<String, CallAttempt> establishedCount = new LinkedHashMap<>();
-    private double setRateFactor = 1;
-    private boolean dialling;
-    private Moment nextAt;
-    private Moment beganAt;
-    private int open;
+    private final SplittableRandom random;
+    private final CallerStatistics statistics = new CallerStatistics();
+    private final Map<String, CallAttempt> establishedAttempts = new LinkedHashMap<>();
+    private double rateFactor = 1;
+    private boolean dialing;
+    private Moment nextDialAt;
+    private Moment dialingStartedAt;
+    private int openAttempts;
 
     /** {@code planned} weighs the destinations of each exchange; {@code machines} gives an exchange's switch. */
     public SimulatedCallers(
-            CallerBehavior ways, double[][] planned, IntFunction<Hop> machines, MessageInterceptor gate, long seed) {
-        this.ways = ways;
-        this.planned = planned;
-        this.machines = machines;
-        weights = new double[planned.length][];
-        parts = new double[planned.length];
-        chance = new SplittableRandom(seed);
-        for (int i = 0; i < planned.length; i++) {
-            weights[i] = planned[i].clone();
-            parts[i] = 1.0 / planned.length;
+            CallerBehavior behavior,
+            double[][] plannedWeights,
+            IntFunction<Hop> switchHops,
+            MessageInterceptor interceptor,
+            long seed) {
+        this.behavior = behavior;
+        this.plannedWeights = plannedWeights;
+        this.switchHops = switchHops;
+        weights = new double[plannedWeights.length][];
+        originShares = new double[plannedWeights.length];
+        random = new SplittableRandom(seed);
+        for (int i = 0; i < plannedWeights.length; i++) {
+            weights[i] = plannedWeights[i].clone();
+            originShares[i] = 1.0 / plannedWeights.length;
         }
-        endpoint = new Endpoint("callers", TransportLimits.DEFAULTS, gate, fault -> fault.printStackTrace());
+        endpoint = new Endpoint("callers", TransportLimits.DEFAULTS, interceptor, failure -> failure.printStackTrace());
     }
 
     public void open(InetAddress host) throws IOException {
         endpoint.open(new InetSocketAddress(host, 0), new InetSocketAddress(host, 0));
         endpoint.start(
-                user(), (message, from) -> false, () -> {}, TransactionTimers.RFC_3261, chance.nextLong(), 1 << 19);
+                userAgentCore(),
+                (message, from) -> false,
+                () -> {},
+                TransactionTimers.RFC_3261,
+                random.nextLong(),
+                1 << 19);
     }
 
     private Moment now() {
         return endpoint.timerWheel().now();
     }
 
-    private UserAgentCore user() {
+    private UserAgentCore userAgentCore() {
         return new UserAgentCore() {
             @Override
             public void inviteReceived(UasCall call) {
@@ -153,65 +162,66 @@
     /** Begins to dial. */
     public void startDialing() {
         endpoint.execute(() -> {
-            dialling = true;
-            nextAt = now();
-            beganAt = nextAt;
-            next();
-            drift();
+            dialing = true;
+            nextDialAt = now();
+            dialingStartedAt = nextDialAt;
+            scheduleNextDial();
+            driftWeights();
         });
     }
 
     /** Dials no more; who holds goes on holding until its time. */
     public void stopDialing() {
-        endpoint.execute(() -> dialling = false);
+        endpoint.execute(() -> dialing = false);
     }
 
     /** This many times the usual number of contacts. */
     public void setRateFactor(double factor) {
-        endpoint.execute(() -> setRateFactor = factor);
+        endpoint.execute(() -> rateFactor = factor);
     }
 
     /** The exchange gets this part of all contacts; the others share the rest. A negative part makes all alike. */
-    public void setHotCaller(int exchange, double part) {
+    public void setHotCaller(int exchange, double share) {
         endpoint.execute(() -> {
-            int n = parts.length;
-            for (int i = 0; i < n; i++) {
-                parts[i] = part < 0 ? 1.0 / n : i == exchange ? part : (1 - part) / (n - 1);
+            int exchangeCount = originShares.length;
+            for (int i = 0; i < exchangeCount; i++) {
+                originShares[i] =
+                        share < 0 ? 1.0 / exchangeCount : i == exchange ? share : (1 - share) / (exchangeCount - 1);
             }
         });
     }
 
-    private void next() {
-        if (!dialling) {
+    private void scheduleNextDial() {
+        if (!dialing) {
             return;
         }
         // From the due time and not from now: turns and pauses must not thin the traffic.
         // It rises over the first seconds, as no network is switched on at its full load.
-        double risen = Math.min(1, (0.5 + nextAt.since(beganAt).ns() / 1e9) / RISE_SECONDS);
-        double gap = -Math.log(1 - chance.nextDouble()) / (ways.rate() * setRateFactor * risen);
-        nextAt = nextAt.plus(Span.ofMillis(gap * 1000));
-        endpoint.timerWheel().scheduleAt(nextAt, () -> {
+        double rampUp = Math.min(1, (0.5 + nextDialAt.since(dialingStartedAt).ns() / 1e9) / RAMP_UP_SECONDS);
+        double gapSeconds = -Math.log(1 - random.nextDouble()) / (behavior.contactsPerSecond() * rateFactor * rampUp);
+        nextDialAt = nextDialAt.plus(Span.ofMillis(gapSeconds * 1000));
+        endpoint.timerWheel().scheduleAt(nextDialAt, () -> {
             dial();
-            next();
+            scheduleNextDial();
         });
     }
 
-    private void drift() {
+    private void driftWeights() {
         for (double[] row : weights) {
             for (int j = 0; j < row.length; j++) {
                 row[j] = 0;
             }
         }
-        for (int i = 0; i < planned.length; i++) {
-            for (int j = 0; j < planned.length; j++) {
-                weights[i][j] = planned[i][j] * Math.exp(ways.drift() * gauss());
+        for (int i = 0; i < plannedWeights.length; i++) {
+            for (int j = 0; j < plannedWeights.length; j++) {
+                weights[i][j] = plannedWeights[i][j] * Math.exp(behavior.driftDeviation() * nextGaussian());
             }
         }
-        endpoint.timerWheel().scheduleAfter(ways.driftEvery(), this::drift);
+        endpoint.timerWheel().scheduleAfter(behavior.driftInterval(), this::driftWeights);
     }
 
-    private double gauss() {
-        return Math.sqrt(-2 * Math.log(1 - chance.nextDouble())) * Math.cos(2 * Math.PI * chance.nextDouble());
+    private double nextGaussian() {
+        return Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
     private static int pick(double[] weights, double draw) {
@@ -219,10 +229,10 @@
         for (double weight : weights) {
             total += weight;
         }
-        double left = draw * total;
+        double remaining = draw * total;
         for (int i = 0; i < weights.length; i++) {
-            left -= weights[i];
-            if (left < 0) {
+            remaining -= weights[i];
+            if (remaining < 0) {
                 return i;
             }
         }
@@ -230,92 +240,92 @@
     }
 
     private void dial() {
-        int from = pick(parts, chance.nextDouble());
-        int to = pick(weights[from], chance.nextDouble());
-        double[] shares = ways.shares().stream().mapToDouble(share -> share).toArray();
-        int skill = pick(shares, chance.nextDouble());
-        if (to == from || open >= MOST_OPEN) {
+        int origin = pick(originShares, random.nextDouble());
+        int destination = pick(weights[origin], random.nextDouble());
+        double[] shares = behavior.shares().stream().mapToDouble(share -> share).toArray();
+        int skillIndex = pick(shares, random.nextDouble());
+        if (destination == origin || openAttempts >= MAX_OPEN_ATTEMPTS) {
             return;
         }
-        want(from, to, skill);
+        startIntent(origin, destination, skillIndex);
     }
 
-    private void want(int from, int to, int skill) {
-        String number = ways.prefix() + String.format("%02d%05d", to, chance.nextInt(100_000));
-        CallIntent want = new CallIntent(from, to, skill, number, false);
-        tally.wanted(want.name());
-        new CallAttempt(want).start();
+    private void startIntent(int origin, int destination, int skillIndex) {
+        String number = behavior.numberPrefix() + String.format("%02d%05d", destination, random.nextInt(100_000));
+        CallIntent intent = new CallIntent(origin, destination, skillIndex, number, false);
+        statistics.intentStarted(intent.skillName());
+        new CallAttempt(intent).start();
     }
 
     /** One caller of an exchange dials a number of another. */
-    public void dial(int from, int to, int skill) {
-        endpoint.execute(() -> want(from, to, skill));
+    public void dial(int origin, int destination, int skillIndex) {
+        endpoint.execute(() -> startIntent(origin, destination, skillIndex));
     }
 
     /** These sessions lost what carried them: their callers hang up and some dial again. */
     public void sessionsLost(List<String> sessions) {
         endpoint.execute(() -> {
             for (String session : sessions) {
-                CallAttempt one = establishedCount.get(session);
-                if (one != null) {
-                    one.call.bye(new ReleaseCause(ReleaseCause.TEMPORARY_FAILURE, "").toString());
-                    one.wasCut();
+                CallAttempt attempt = establishedAttempts.get(session);
+                if (attempt != null) {
+                    attempt.call.bye(new ReleaseCause(ReleaseCause.TEMPORARY_FAILURE, "").toString());
+                    attempt.contactCut();
                 }
             }
         });
     }
 
     /** Hands out the table on the owning thread. */
-    public void readStatistics(Consumer<CallerStatistics> at) {
-        endpoint.execute(() -> at.accept(tally));
+    public void readStatistics(Consumer<CallerStatistics> consumer) {
+        endpoint.execute(() -> consumer.accept(statistics));
     }
 
     public int establishedCount() {
-        return establishedCount.size();
+        return establishedAttempts.size();
     }
 
     /** A part of the contacts that stand, drawn at random. */
-    public void cutRandomly(double part) {
+    public void cutRandomly(double share) {
         endpoint.execute(() -> {
-            List<String> drawn = new ArrayList<>();
-            establishedCount.keySet().forEach(session -> {
-                if (chance.nextDouble() < part) {
-                    drawn.add(session);
+            List<String> selected = new ArrayList<>();
+            establishedAttempts.keySet().forEach(session -> {
+                if (random.nextDouble() < share) {
+                    selected.add(session);
                 }
             });
-            sessionsLost(drawn);
+            sessionsLost(selected);
         });
     }
 
     /** One try: an INVITE and what comes of it. */
     private final class CallAttempt implements UacCall.Listener {
-        private final CallIntent want;
+        private final CallIntent intent;
         private final String session;
         private UacCall call;
-        private CallOutcome ended;
-        private boolean over;
+        private CallOutcome outcome;
+        private boolean finished;
 
-        CallAttempt(CallIntent want) {
-            this.want = want;
-            session = String.format("%016x%016x", chance.nextLong(), chance.nextLong()) + NOBODY_YET;
+        CallAttempt(CallIntent intent) {
+            this.intent = intent;
+            session = String.format("%016x%016x", random.nextLong(), random.nextLong()) + UNKNOWN_REMOTE;
         }
 
         void start() {
-            want.tries++;
-            open++;
-            tally.tried(want.name());
-            Skill skill = ways.skills().get(want.skill);
-            Span left = want.first.plus(skill.patience()).since(now());
-            Span patience = left.atMost(skill.patience().times(ways.retryProbability()));
-            Hop to = machines.apply(want.from);
-            InetSocketAddress at = to.address();
+            intent.tryCount++;
+            openAttempts++;
+            statistics.tryStarted(intent.skillName());
+            Skill skill = behavior.skills().get(intent.skillIndex);
+            Span remainingPatience = intent.startedAt.plus(skill.patience()).since(now());
+            Span patience = remainingPatience.atMost(skill.patience().times(behavior.retryProbability()));
+            Hop hop = switchHops.apply(intent.origin);
+            InetSocketAddress address = hop.address();
             Headers headers = new Headers();
             headers.add("Max-Forwards", "70");
             headers.add(
                     "From",
                     "<sip:caller@" + endpoint.transport().host() + ">;tag="
                             + endpoint.dialogLayer().idGenerator().nextTag());
-            SipUri uri = SipUri.of(want.number, at.getAddress().getHostAddress(), at.getPort());
+            SipUri uri = SipUri.of(intent.number, address.getAddress().getHostAddress(), address.getPort());
             headers.add("To", "<" + uri + ">")
                     .add("Call-ID", endpoint.dialogLayer().idGenerator().nextCallId("c"));
             headers.add("CSeq", "1 INVITE").add("Session-ID", session);
@@ -324,15 +334,15 @@
             if (!skill.priority().isEmpty()) {
                 headers.add("Resource-Priority", skill.priority());
             }
-            if (want.again || want.tries > 1) {
-                headers.add(ExtensionHeaders.RETRY_KIND, want.again ? "cut" : "redial");
+            if (intent.redialAfterCut || intent.tryCount > 1) {
+                headers.add(ExtensionHeaders.RETRY_KIND, intent.redialAfterCut ? "cut" : "redial");
             }
-            call = endpoint.dialogLayer().startCall(new Request("INVITE", uri.toString(), headers), to, this);
-            endpoint.timerWheel().scheduleAfter(patience, this::impatient);
+            call = endpoint.dialogLayer().startCall(new Request("INVITE", uri.toString(), headers), hop, this);
+            endpoint.timerWheel().scheduleAfter(patience, this::patienceExpired);
         }
 
-        private void impatient() {
-            if (!over && !call.isEstablished()) {
+        private void patienceExpired() {
+            if (!finished && !call.isEstablished()) {
                 call.cancel(null);
                 finish(call.hasResponse() ? CallOutcome.GAVE_UP : CallOutcome.NO_ANSWER, Span.ZERO);
             }
@@ -345,17 +355,18 @@
 
         @Override
         public void established(Response response) {
-            over = true;
-            open--;
-            Skill skill = ways.skills().get(want.skill);
-            Span took = now().since(want.first);
-            ended = took.longerThan(skill.answerTarget()) ? CallOutcome.LATE : CallOutcome.IN_TARGET;
-            tally.ended(want.name(), ended);
-            tally.stood(want.name(), took.ns() / 1000);
-            establishedCount.put(session, this);
-            double hold = -Math.log(1 - chance.nextDouble()) * skill.meanHold().ns();
-            endpoint.timerWheel().scheduleAfter(new Span((long) hold), () -> {
-                if (establishedCount.remove(session, this)) {
+            finished = true;
+            openAttempts--;
+            Skill skill = behavior.skills().get(intent.skillIndex);
+            Span setUpTime = now().since(intent.startedAt);
+            outcome = setUpTime.longerThan(skill.answerTarget()) ? CallOutcome.LATE : CallOutcome.IN_TARGET;
+            statistics.intentEnded(intent.skillName(), outcome);
+            statistics.contactEstablished(intent.skillName(), setUpTime.ns() / 1000);
+            establishedAttempts.put(session, this);
+            double holdNanos =
+                    -Math.log(1 - random.nextDouble()) * skill.meanHold().ns();
+            endpoint.timerWheel().scheduleAfter(new Span((long) holdNanos), () -> {
+                if (establishedAttempts.remove(session, this)) {
                     call.bye(null);
                 }
             });
@@ -363,52 +374,55 @@
 
         @Override
         public void refused(Response response) {
-            String after = response.headers().first("Retry-After");
-            double seconds = after != null && after.matches("[0-9]{1,4}") ? Integer.parseInt(after) : 0;
+            String retryAfter = response.headers().first("Retry-After");
+            double seconds = retryAfter != null && retryAfter.matches("[0-9]{1,4}") ? Integer.parseInt(retryAfter) : 0;
             finish(
                     response.status() == 503 ? CallOutcome.DEFERRED : CallOutcome.ABANDONED,
                     Span.ofMillis(seconds * 1000));
         }
 
         @Override
-        public void failed(RequestFailure why) {
+        public void failed(RequestFailure failure) {
             finish(CallOutcome.NO_ANSWER, Span.ZERO);
         }
 
-        private void finish(CallOutcome end, Span stated) {
-            if (over) {
+        private void finish(CallOutcome finalOutcome, Span retryAfter) {
+            if (finished) {
                 return;
             }
-            over = true;
-            open--;
-            Skill skill = ways.skills().get(want.skill);
-            Span wait = ways.redialAfter().times(0.5 + chance.nextDouble()).atLeast(stated);
-            Moment next = now().plus(wait);
-            boolean may = want.tries <= ways.redials() && next.plus(LEAST).before(want.first.plus(skill.patience()));
-            if (may) {
-                endpoint.timerWheel().scheduleAt(next, () -> new CallAttempt(want).start());
+            finished = true;
+            openAttempts--;
+            Skill skill = behavior.skills().get(intent.skillIndex);
+            Span redialDelay =
+                    behavior.redialDelay().times(0.5 + random.nextDouble()).atLeast(retryAfter);
+            Moment nextTryAt = now().plus(redialDelay);
+            boolean canRedial = intent.tryCount <= behavior.maxRedials()
+                    && nextTryAt.plus(MIN_REMAINING_PATIENCE).before(intent.startedAt.plus(skill.patience()));
+            if (canRedial) {
+                endpoint.timerWheel().scheduleAt(nextTryAt, () -> new CallAttempt(intent).start());
             } else {
-                tally.ended(want.name(), end);
+                statistics.intentEnded(intent.skillName(), finalOutcome);
             }
         }
 
         @Override
-        public void ended(CallEndReason why, Request bye) {
-            ReleaseCause release = bye == null ? null : ReleaseCause.of(bye);
-            if (bye == null || release != null && release.cause() != ReleaseCause.NORMAL_CLEARING) {
-                wasCut();
+        public void ended(CallEndReason reason, Request bye) {
+            ReleaseCause releaseCause = bye == null ? null : ReleaseCause.of(bye);
+            if (bye == null || releaseCause != null && releaseCause.cause() != ReleaseCause.NORMAL_CLEARING) {
+                contactCut();
             } else {
-                establishedCount.remove(session, this);
+                establishedAttempts.remove(session, this);
             }
         }
 
-        private void wasCut() {
-            if (establishedCount.remove(session, this)) {
-                tally.cut(want.name(), ended);
-                if (dialling && chance.nextDouble() < ways.cutRedialProbability()) {
-                    CallIntent next = new CallIntent(want.from, want.to, want.skill, want.number, true);
-                    tally.wanted(next.name());
-                    new CallAttempt(next).start();
+        private void contactCut() {
+            if (establishedAttempts.remove(session, this)) {
+                statistics.contactCut(intent.skillName(), outcome);
+                if (dialing && random.nextDouble() < behavior.cutRedialProbability()) {
+                    CallIntent nextIntent =
+                            new CallIntent(intent.origin, intent.destination, intent.skillIndex, intent.number, true);
+                    statistics.intentStarted(nextIntent.skillName());
+                    new CallAttempt(nextIntent).start();
                 }
             }
         }
--- a/src/main/java/martenslip/standin/SimulatedNetwork.java
+++ b/src/main/java/martenslip/standin/SimulatedNetwork.java
@@ -20,75 +20,77 @@
  */
 public final class SimulatedNetwork implements AutoCloseable {
     /** Chances for each datagram, and a further delay that lets one overtake another. */
-    public record Impairments(double loss, double copies, Span reorder) {
+    public record Impairments(double loss, double duplication, Span reorderDelay) {
         public static final Impairments NONE = new Impairments(0, 0, Span.ZERO);
     }
 
     private static final class DelayedMessage implements Delayed {
-        private final long due;
-        private final long order;
-        private final Runnable what;
-
-        DelayedMessage(long due, long order, Runnable what) {
-            this.due = due;
-            this.order = order;
-            this.what = what;
+        private final long dueNanos;
+        private final long sequence;
+        private final Runnable delivery;
+
+        DelayedMessage(long dueNanos, long sequence, Runnable delivery) {
+            this.dueNanos = dueNanos;
+            this.sequence = sequence;
+            this.delivery = delivery;
         }
 
         @Override
         public long getDelay(TimeUnit unit) {
-            return unit.convert(due - System.nanoTime(), TimeUnit.NANOSECONDS);
+            return unit.convert(dueNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
         }
 
         @Override
         public int compareTo(Delayed other) {
-            DelayedMessage one = (DelayedMessage) other;
-            return due == one.due ? Long.compare(order, one.order) : Long.compare(due, one.due);
+            DelayedMessage otherMessage = (DelayedMessage) other;
+            return dueNanos == otherMessage.dueNanos
+                    ? Long.compare(sequence, otherMessage.sequence)
+                    : Long.compare(dueNanos, otherMessage.dueNanos);
         }
     }
 
     private final CaptureWriter capture;
-    private final SplittableRandom chance;
-    private final Span same;
-    private final Span cross;
-    private final Map<InetAddress, Integer> regions = new ConcurrentHashMap<>();
-    private final DelayQueue<DelayedMessage> late = new DelayQueue<>();
-    private final AtomicLong order = new AtomicLong();
+    private final SplittableRandom random;
+    private final Span sameRegionDelay;
+    private final Span crossRegionDelay;
+    private final Map<InetAddress, Integer> regionByHost = new ConcurrentHashMap<>();
+    private final DelayQueue<DelayedMessage> delayedMessages = new DelayQueue<>();
+    private final AtomicLong sequence = new AtomicLong();
     private final Thread thread;
-    private volatile Impairments setImpairments = Impairments.NONE;
-    private volatile int cutRegion = -1;
+    private volatile Impairments impairments = Impairments.NONE;
+    private volatile int isolatedRegion = -1;
 
-    public SimulatedNetwork(CaptureWriter capture, long seed, Span same, Span cross) {
+    public SimulatedNetwork(CaptureWriter capture, long seed, Span sameRegionDelay, Span crossRegionDelay) {
         this.capture = capture;
-        chance = new SplittableRandom(seed);
-        this.same = same;
-        this.cross = cross;
-        thread = new Thread(null, this::work, "network", 1 << 20);
+        random = new SplittableRandom(seed);
+        this.sameRegionDelay = sameRegionDelay;
+        this.crossRegionDelay = crossRegionDelay;
+        thread = new Thread(null, this::deliverDelayedMessages, "network", 1 << 20);
         thread.start();
     }
 
     /** Says in which region a controller stands; each has a loopback address of its own, whatever port it sends from. */
     public void assignRegion(InetAddress address, int region) {
-        regions.put(address, region);
+        regionByHost.put(address, region);
     }
 
-    public void setImpairments(Impairments next) {
-        setImpairments = next;
+    public void setImpairments(Impairments newImpairments) {
+        impairments = newImpairments;
     }
 
     /** Cuts the region off from all others; -1 joins all again. */
     public void isolateRegion(int region) {
-        cutRegion = region;
+        isolatedRegion = region;
     }
 
-    private synchronized double draw() {
-        return chance.nextDouble();
+    private synchronized double nextRandom() {
+        return random.nextDouble();
     }
 
-    private void work() {
+    private void deliverDelayedMessages() {
         try {
             while (true) {
-                late.take().what.run();
+                delayedMessages.take().delivery.run();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -96,70 +98,73 @@
     }
 
     /** The wire of one stand-in. */
-    public NetworkLink createLink(String local, int region) {
-        return new NetworkLink(local, region);
+    public NetworkLink createLink(String localName, int region) {
+        return new NetworkLink(localName, region);
     }
 
     public final class NetworkLink implements MessageInterceptor {
-        private final String local;
+        private final String localName;
         private final int region;
-        private volatile boolean setSilent;
+        private volatile boolean silent;
 
-        private NetworkLink(String local, int region) {
-            this.local = local;
+        private NetworkLink(String localName, int region) {
+            this.localName = localName;
             this.region = region;
         }
 
         /** Neither hears nor says anything while silent. */
-        public void setSilent(boolean on) {
-            setSilent = on;
+        public void setSilent(boolean newSilent) {
+            silent = newSilent;
         }
 
         @Override
-        public void outbound(int localPort, Hop to, byte[] bytes, Consumer<byte[]> send) {
-            pass(false, to, bytes, send);
+        public void outbound(int localPort, Hop remote, byte[] bytes, Consumer<byte[]> send) {
+            passMessage(false, remote, bytes, send);
         }
 
         @Override
-        public void inbound(int localPort, Hop from, byte[] bytes, Consumer<byte[]> deliver) {
-            pass(true, from, bytes, deliver);
+        public void inbound(int localPort, Hop remote, byte[] bytes, Consumer<byte[]> deliver) {
+            passMessage(true, remote, bytes, deliver);
         }
 
-        private void pass(boolean in, Hop far, byte[] bytes, Consumer<byte[]> onward) {
-            Integer farRegion = regions.get(far.address().getAddress());
-            boolean apart = region >= 0 && farRegion != null && farRegion != region;
-            int cut = cutRegion;
-            boolean severed = apart && cut >= 0 && (cut == region || cut == farRegion);
-            Impairments now = setImpairments;
-            boolean datagram = !far.isReliable();
-            boolean lost = setSilent || severed || datagram && now.loss() > 0 && draw() < now.loss();
-            if (in || lost) {
-                capture.message(in, local, far, lost, bytes);
+        private void passMessage(boolean inbound, Hop remote, byte[] bytes, Consumer<byte[]> forward) {
+            Integer remoteRegion = regionByHost.get(remote.address().getAddress());
+            boolean differentRegions = region >= 0 && remoteRegion != null && remoteRegion != region;
+            int isolated = isolatedRegion;
+            boolean unreachable = differentRegions && isolated >= 0 && (isolated == region || isolated == remoteRegion);
+            Impairments currentImpairments = impairments;
+            boolean datagram = !remote.isReliable();
+            boolean lost = silent
+                    || unreachable
+                    || datagram && currentImpairments.loss() > 0 && nextRandom() < currentImpairments.loss();
+            if (inbound || lost) {
+                capture.message(inbound, localName, remote, lost, bytes);
             }
             if (lost) {
                 return;
             }
-            Span delay = apart ? cross : farRegion == null ? Span.ZERO : same;
-            if (datagram && now.reorder().ns() > 0 && draw() < 0.1) {
-                delay = delay.plus(now.reorder().times(draw()));
+            Span delay = differentRegions ? crossRegionDelay : remoteRegion == null ? Span.ZERO : sameRegionDelay;
+            if (datagram && currentImpairments.reorderDelay().ns() > 0 && nextRandom() < 0.1) {
+                delay = delay.plus(currentImpairments.reorderDelay().times(nextRandom()));
             }
-            later(delay, in, far, bytes, onward);
-            if (datagram && now.copies() > 0 && draw() < now.copies()) {
-                later(delay.plus(now.reorder()), in, far, bytes.clone(), onward);
+            deliverAfter(delay, inbound, remote, bytes, forward);
+            if (datagram && currentImpairments.duplication() > 0 && nextRandom() < currentImpairments.duplication()) {
+                deliverAfter(delay.plus(currentImpairments.reorderDelay()), inbound, remote, bytes.clone(), forward);
             }
         }
 
-        private void later(Span delay, boolean in, Hop far, byte[] bytes, Consumer<byte[]> onward) {
-            Runnable go = () -> {
-                if (!in) {
-                    capture.message(false, local, far, false, bytes);
+        private void deliverAfter(Span delay, boolean inbound, Hop remote, byte[] bytes, Consumer<byte[]> forward) {
+            Runnable delivery = () -> {
+                if (!inbound) {
+                    capture.message(false, localName, remote, false, bytes);
                 }
-                onward.accept(bytes);
+                forward.accept(bytes);
             };
             if (delay.ns() == 0) {
-                go.run();
+                delivery.run();
             } else {
-                late.add(new DelayedMessage(System.nanoTime() + delay.ns(), order.incrementAndGet(), go));
+                delayedMessages.add(
+                        new DelayedMessage(System.nanoTime() + delay.ns(), sequence.incrementAndGet(), delivery));
             }
         }
     }
--- a/src/main/java/martenslip/standin/SimulatedSwitch.java
+++ b/src/main/java/martenslip/standin/SimulatedSwitch.java
@@ -41,54 +41,61 @@
             int number,
             int region,
             ProcessorModel.Settings processor,
-            Span reportEvery,
+            Span reportInterval,
             double reportNoise,
             PrefixTable numbering,
             Map<String, Integer> widths,
             long seed,
             boolean rateControl) {}
 
-    private final Settings make;
+    private final Settings settings;
     private final TrunkGroups trunks;
-    private final SimulatedNetwork.NetworkLink wire;
+    private final SimulatedNetwork.NetworkLink link;
     private final Endpoint endpoint;
     private final Hop controller;
-    private final SplittableRandom chance;
-    private final Map<UasCall, TrunkGroups.Seizure> ending = new LinkedHashMap<>();
-    private final TransitProxy passing;
+    private final SplittableRandom random;
+    private final Map<UasCall, TrunkGroups.Seizure> terminatingCalls = new LinkedHashMap<>();
+    private final TransitProxy transitProxy;
     private ProcessorModel processor;
-    private SipLoadReport said = SipLoadReport.NONE;
-    private Moment saidAt;
-    private long reports;
-    private volatile InetSocketAddress udpAt;
-    private volatile InetSocketAddress tcpAt;
+    private SipLoadReport lastReport = SipLoadReport.NONE;
+    private Moment lastReportAt;
+    private long reportCount;
+    private volatile InetSocketAddress udpAddress;
+    private volatile InetSocketAddress tcpAddress;
 
     public SimulatedSwitch(
-            Settings make, TrunkGroups trunks, SimulatedNetwork.NetworkLink wire, Hop controller, boolean cold) {
-        this.make = make;
+            Settings settings, TrunkGroups trunks, SimulatedNetwork.NetworkLink link, Hop controller, boolean cold) {
+        this.settings = settings;
         this.trunks = trunks;
-        this.wire = wire;
+        this.link = link;
         this.controller = controller;
-        chance = new SplittableRandom(make.seed());
+        random = new SplittableRandom(settings.seed());
         endpoint = new Endpoint(
-                "switch-" + make.number(), TransportLimits.DEFAULTS, wire, fault -> fault.printStackTrace());
-        processor = new ProcessorModel(make.processor(), endpoint.timerWheel().now(), cold);
-        passing = new TransitProxy(this, trunks, controller);
+                "switch-" + settings.number(), TransportLimits.DEFAULTS, link, failure -> failure.printStackTrace());
+        processor =
+                new ProcessorModel(settings.processor(), endpoint.timerWheel().now(), cold);
+        transitProxy = new TransitProxy(this, trunks, controller);
     }
 
     public void open(InetAddress host) throws IOException {
         endpoint.open(new InetSocketAddress(host, 0), new InetSocketAddress(host, 0));
-        udpAt = new InetSocketAddress(host, endpoint.transport().port(Hop.Protocol.UDP));
-        tcpAt = new InetSocketAddress(host, endpoint.transport().port(Hop.Protocol.TCP));
-        endpoint.start(user(), this::takes, () -> {}, TransactionTimers.RFC_3261, make.seed() ^ 0x5bd1e995L, 1 << 18);
+        udpAddress = new InetSocketAddress(host, endpoint.transport().port(Hop.Protocol.UDP));
+        tcpAddress = new InetSocketAddress(host, endpoint.transport().port(Hop.Protocol.TCP));
+        endpoint.start(
+                userAgentCore(),
+                this::handleInTransit,
+                () -> {},
+                TransactionTimers.RFC_3261,
+                settings.seed() ^ 0x5bd1e995L,
+                1 << 18);
     }
 
-    public InetSocketAddress address(Hop.Protocol kind) {
-        return kind == Hop.Protocol.UDP ? udpAt : tcpAt;
+    public InetSocketAddress address(Hop.Protocol protocol) {
+        return protocol == Hop.Protocol.UDP ? udpAddress : tcpAddress;
     }
 
     public int number() {
-        return make.number();
+        return settings.number();
     }
 
     Endpoint endpoint() {
@@ -100,23 +107,23 @@
     }
 
     /** A controller sent a set-up here. */
-    void sent() {
-        processor.sent(now());
+    void setUpReceived() {
+        processor.setUpReceived(now());
     }
 
     /** Runs when the processor has done the work; false where it turned it away. */
-    boolean work(WorkType work, Runnable done) {
-        Moment when = processor.take(now(), work);
-        if (when == null) {
+    boolean enqueueWork(WorkType type, Runnable completion) {
+        Moment doneAt = processor.enqueue(now(), type);
+        if (doneAt == null) {
             return false;
         }
-        endpoint.timerWheel().scheduleAt(when, done);
+        endpoint.timerWheel().scheduleAt(doneAt, completion);
         return true;
     }
 
-    private boolean takes(Message message, Hop from) {
+    private boolean handleInTransit(Message message, Hop origin) {
         try {
-            return passing.takes(message, from);
+            return transitProxy.handle(message, origin);
         } catch (InvalidValueException e) {
             endpoint.dropCounter().increment("unreadable in passing");
             return true;
@@ -124,21 +131,21 @@
     }
 
     /** True where the number ends at this machine's exchange. */
-    boolean endsHere(SipUri uri) {
+    boolean terminatesHere(SipUri uri) {
         String number = uri.unescapedUser();
-        return number != null && make.numbering().exchangeForNumber(number) == make.number();
+        return number != null && settings.numbering().exchangeForNumber(number) == settings.number();
     }
 
-    int width(Request invite) {
+    int circuitWidth(Request invite) {
         String priority = invite.headers().first("Resource-Priority");
-        return make.widths().getOrDefault(priority == null ? "" : priority, 1);
+        return settings.widths().getOrDefault(priority == null ? "" : priority, 1);
     }
 
-    private UserAgentCore user() {
+    private UserAgentCore userAgentCore() {
         return new UserAgentCore() {
             @Override
             public void inviteReceived(UasCall call) {
-                arrived(call);
+                callReceived(call);
             }
 
             @Override
@@ -147,7 +154,7 @@
                         .request()
                         .createResponse(
                                 200, "OK", endpoint.dialogLayer().idGenerator().nextTag());
-                if (!work(WorkType.NOTE, () -> transaction.respond(loaded(ok, null)))) {
+                if (!enqueueWork(WorkType.MINOR_MESSAGE, () -> transaction.respond(withLoadReport(ok, null)))) {
                     transaction.respond(transaction.request().createResponse(503, "Busy", null));
                 }
             }
@@ -165,55 +172,55 @@
     }
 
     /** A contact that ends here. */
-    private void arrived(UasCall call) {
+    private void callReceived(UasCall call) {
         Request invite = call.invite();
         String session = String.valueOf(invite.headers().first("Session-ID"));
-        String group = group(invite);
-        TrunkGroups.Seizure seizure = group == null ? null : trunks.seize(group, width(invite), session);
+        String group = trunkGroup(invite);
+        TrunkGroups.Seizure seizure = group == null ? null : trunks.seize(group, circuitWidth(invite), session);
         call.setListener(new UasCall.Listener() {
             @Override
             public void cancelled() {
-                release(call, WorkType.REJECT);
+                releaseCall(call, WorkType.REJECT);
             }
 
             @Override
             public void ended(CallEndReason why, Request bye) {
-                release(call, WorkType.RELEASE);
+                releaseCall(call, WorkType.RELEASE);
             }
         });
         if (seizure == null) {
-            call.refuse(refusal(call, 503, "No circuit", ReleaseCause.NO_CIRCUIT, group));
+            call.refuse(createRefusal(call, 503, "No circuit", ReleaseCause.NO_CIRCUIT, group));
             return;
         }
-        ending.put(call, seizure);
-        processor.sent(now());
-        boolean taken = work(WorkType.SET_UP, () -> {
+        terminatingCalls.put(call, seizure);
+        processor.setUpReceived(now());
+        boolean accepted = enqueueWork(WorkType.SET_UP, () -> {
             if (call.isPending()) {
-                call.accept(loaded(call.response(200, "OK"), group));
+                call.accept(withLoadReport(call.response(200, "OK"), group));
             }
         });
-        if (!taken) {
-            ending.remove(call);
+        if (!accepted) {
+            terminatingCalls.remove(call);
             trunks.release(seizure);
-            call.refuse(refusal(call, 503, "Processor full", ReleaseCause.CONGESTION, group));
+            call.refuse(createRefusal(call, 503, "Processor full", ReleaseCause.CONGESTION, group));
         }
     }
 
-    private Response refusal(UasCall call, int status, String reason, int cause, String group) {
+    private Response createRefusal(UasCall call, int status, String reason, int cause, String group) {
         Response response = call.response(status, reason);
         response.headers().add("Reason", new ReleaseCause(cause, ReleaseCause.LOCAL_NETWORK));
-        return loaded(response, group);
+        return withLoadReport(response, group);
     }
 
-    private void release(UasCall call, WorkType work) {
-        TrunkGroups.Seizure seizure = ending.remove(call);
+    private void releaseCall(UasCall call, WorkType type) {
+        TrunkGroups.Seizure seizure = terminatingCalls.remove(call);
         if (seizure != null) {
-            work(work, () -> trunks.release(seizure));
+            enqueueWork(type, () -> trunks.release(seizure));
         }
     }
 
     /** The group that a request came over, or null. */
-    static String group(Request invite) {
+    static String trunkGroup(Request invite) {
         try {
             return invite.parsedUri().userParameter("tgrp");
         } catch (InvalidValueException e) {
@@ -222,58 +229,60 @@
     }
 
     /** Adds what the machine says of itself; processor figures are late and noisy, those of the group are not. */
-    Response loaded(Response response, String group) {
-        if (saidAt == null || now().since(saidAt).longerThan(make.reportEvery())) {
-            saidAt = now();
-            reports++;
-            said = measured();
+    Response withLoadReport(Response response, String group) {
+        if (lastReportAt == null || now().since(lastReportAt).longerThan(settings.reportInterval())) {
+            lastReportAt = now();
+            reportCount++;
+            lastReport = measureLoad();
         }
-        TrunkGroups.CircuitState state = group == null ? null : trunks.circuitState(group);
-        SipLoadReport load = state == null
-                ? said
+        TrunkGroups.CircuitState circuits = group == null ? null : trunks.circuitState(group);
+        SipLoadReport report = circuits == null
+                ? lastReport
                 : new SipLoadReport(
-                        said.allowedRate(),
-                        said.lossFraction(),
-                        said.queueDepth(),
-                        said.meanWaitMs(),
-                        state.free(),
-                        state.total());
+                        lastReport.allowedRate(),
+                        lastReport.lossFraction(),
+                        lastReport.queueDepth(),
+                        lastReport.meanWaitMs(),
+                        circuits.free(),
+                        circuits.total());
         try {
-            load.writeTo(response, 4 * make.reportEvery().ns() / 1_000_000, reports + ".0");
+            report.writeTo(response, 4 * settings.reportInterval().ns() / 1_000_000, reportCount + ".0");
         } catch (InvalidValueException e) {
             endpoint.dropCounter().increment("no Via for a report");
         }
         return response;
     }
 
-    private SipLoadReport measured() {
-        double noise = 1 + make.reportNoise() * (2 * chance.nextDouble() - 1);
-        double wait = processor.wait(now()).ns() / 1e6;
-        double room = Math.max(0, 1 - wait / (make.processor().maxWait().ns() / 1e6));
-        double allowed = ProcessorModel.capacity(make.processor()) * processor.part(now()) * room * noise;
-        double cut = Math.max(0, Math.min(1, (wait / 1000 - 0.2) * noise));
+    private SipLoadReport measureLoad() {
+        double noiseFactor = 1 + settings.reportNoise() * (2 * random.nextDouble() - 1);
+        double waitMs = processor.waitTime(now()).ns() / 1e6;
+        double headroom =
+                Math.max(0, 1 - waitMs / (settings.processor().maxWait().ns() / 1e6));
+        double allowedRate =
+                ProcessorModel.capacity(settings.processor()) * processor.capacityShare(now()) * headroom * noiseFactor;
+        double lossFraction = Math.max(0, Math.min(1, (waitMs / 1000 - 0.2) * noiseFactor));
         return new SipLoadReport(
-                make.rateControl() ? allowed : -1,
-                make.rateControl() ? -1 : cut,
-                Math.rint(processor.depth(now()) * noise),
-                wait * noise,
+                settings.rateControl() ? allowedRate : -1,
+                settings.rateControl() ? -1 : lossFraction,
+                Math.rint(processor.queueDepth(now()) * noiseFactor),
+                waitMs * noiseFactor,
                 -1,
                 -1);
     }
 
     /** The processor runs this many times slower. */
-    public void setSlowdown(double times) {
-        endpoint.execute(() -> processor.slow(times));
+    public void setSlowdown(double factor) {
+        endpoint.execute(() -> processor.setSlowdown(factor));
     }
 
     /** Neither hears nor says anything. */
-    public void setSilent(boolean on) {
-        wire.setSilent(on);
+    public void setSilent(boolean silent) {
+        link.setSilent(silent);
     }
 
     /** Milliseconds that work waits for the processor now. Read by any thread for a look only. */
     public long queueWaitMs() {
-        return processor.wait(new Moment(System.nanoTime())).ns() / 1_000_000;
+        return processor.waitTime(new Moment(System.nanoTime())).ns() / 1_000_000;
     }
 
     /** True once it was pushed over while cold. */
@@ -282,35 +291,37 @@
     }
 
     /** Loses all that it does, circuits and contacts with it, and starts cold; sessions that were lost are given. */
-    public void restart(java.util.function.Consumer<List<String>> lost) {
+    public void restart(java.util.function.Consumer<List<String>> lostSessionsConsumer) {
         endpoint.execute(() -> {
-            List<String> sessions = new ArrayList<>(passing.dropAll(any -> true));
-            sessions.addAll(dropEnding(any -> true));
-            processor = new ProcessorModel(make.processor(), now(), true);
-            saidAt = null;
-            lost.accept(sessions);
+            List<String> sessions = new ArrayList<>(transitProxy.removeMatching(ignored -> true));
+            sessions.addAll(dropTerminatingCalls(ignored -> true));
+            processor = new ProcessorModel(settings.processor(), now(), true);
+            lastReportAt = null;
+            lostSessionsConsumer.accept(sessions);
         });
     }
 
     /** Frees what went through a controller that has died. */
-    public void controllerFailed(InetAddress which, java.util.function.Consumer<List<String>> lost) {
+    public void controllerFailed(
+            InetAddress controllerHost, java.util.function.Consumer<List<String>> lostSessionsConsumer) {
         endpoint.execute(() -> {
-            List<String> sessions = new ArrayList<>(
-                    passing.dropAll(hop -> hop.address().getAddress().equals(which)));
-            sessions.addAll(dropEnding(hop -> hop.address().getAddress().equals(which)));
-            lost.accept(sessions);
+            List<String> sessions = new ArrayList<>(transitProxy.removeMatching(
+                    hop -> hop.address().getAddress().equals(controllerHost)));
+            sessions.addAll(
+                    dropTerminatingCalls(hop -> hop.address().getAddress().equals(controllerHost)));
+            lostSessionsConsumer.accept(sessions);
         });
     }
 
-    private List<String> dropEnding(java.util.function.Predicate<Hop> which) {
+    private List<String> dropTerminatingCalls(java.util.function.Predicate<Hop> originPredicate) {
         List<String> sessions = new ArrayList<>();
-        ending.entrySet().removeIf(one -> {
-            boolean drop = which.test(one.getKey().transaction().from());
-            if (drop) {
-                sessions.add(one.getValue().session());
-                trunks.release(one.getValue());
+        terminatingCalls.entrySet().removeIf(entry -> {
+            boolean matches = originPredicate.test(entry.getKey().transaction().from());
+            if (matches) {
+                sessions.add(entry.getValue().session());
+                trunks.release(entry.getValue());
             }
-            return drop;
+            return matches;
         });
         return sessions;
     }
@@ -320,12 +331,12 @@
         return endpoint.transport().resetAllConnections();
     }
 
-    public boolean cold() {
-        return processor.cold(new Moment(System.nanoTime()));
+    public boolean isCold() {
+        return processor.isCold(new Moment(System.nanoTime()));
     }
 
     public double capacity() {
-        return ProcessorModel.capacity(make.processor());
+        return ProcessorModel.capacity(settings.processor());
     }
 
     @Override
