--- a/src/main/java/martenslip/standin/TransitProxy.java
+++ b/src/main/java/martenslip/standin/TransitProxy.java
@@ -31,250 +31,258 @@
  * held from the INVITE until a refusal or a BYE.
  */
 final class TransitProxy {
-    private static final String MARK = Via.MAGIC_COOKIE + "p";
-    private static final Span GUARD = Span.ofMillis(40_000);
+    private static final String BRANCH_PREFIX = Via.MAGIC_COOKIE + "p";
+    private static final Span MAX_SET_UP_TIME = Span.ofMillis(40_000);
 
     private static final class TransitContact {
         final String session;
         final String group;
         final TrunkGroups.Seizure seizure;
-        final Hop from;
-        boolean stood;
-        boolean heard;
+        final Hop origin;
+        boolean established;
+        boolean responseReceived;
 
-        TransitContact(String session, String group, TrunkGroups.Seizure seizure, Hop from) {
+        TransitContact(String session, String group, TrunkGroups.Seizure seizure, Hop origin) {
             this.session = session;
             this.group = group;
             this.seizure = seizure;
-            this.from = from;
+            this.origin = origin;
         }
     }
 
-    private final SimulatedSwitch machine;
+    private final SimulatedSwitch simulatedSwitch;
     private final TrunkGroups trunks;
     private final Hop controller;
-    private final Map<String, TransitContact> all = new LinkedHashMap<>();
-    private final Set<String> waiting = new HashSet<>();
+    private final Map<String, TransitContact> contacts = new LinkedHashMap<>();
+    private final Set<String> queuedKeys = new HashSet<>();
 
-    TransitProxy(SimulatedSwitch machine, TrunkGroups trunks, Hop controller) {
-        this.machine = machine;
+    TransitProxy(SimulatedSwitch simulatedSwitch, TrunkGroups trunks, Hop controller) {
+        this.simulatedSwitch = simulatedSwitch;
         this.trunks = trunks;
         this.controller = controller;
     }
 
     /** False where the message is for the machine itself. */
-    boolean takes(Message message, Hop from) throws InvalidValueException {
+    boolean handle(Message message, Hop origin) throws InvalidValueException {
         if (message instanceof Response response) {
-            return back(response);
+            return forwardResponse(response);
         }
         Request request = (Request) message;
         String route = request.headers().first("Route");
-        if (route != null && mine(SipUri.parse(NameAddr.parse(route).uri()).hostPort())) {
-            within(request);
+        if (route != null
+                && isOwnAddress(SipUri.parse(NameAddr.parse(route).uri()).hostPort())) {
+            forwardInDialog(request);
             return true;
         }
-        boolean begins = request.hasMethod("INVITE") && request.to().tag().isEmpty();
-        boolean belongs = request.hasMethod("CANCEL") || request.hasMethod("ACK");
-        if (begins && !machine.endsHere(request.parsedUri())) {
-            begin(request, from);
+        boolean startsCall = request.hasMethod("INVITE") && request.to().tag().isEmpty();
+        boolean cancelOrAck = request.hasMethod("CANCEL") || request.hasMethod("ACK");
+        if (startsCall && !simulatedSwitch.terminatesHere(request.parsedUri())) {
+            startTransit(request, origin);
             return true;
         }
-        if (belongs && all.containsKey(request.callId()) && !machine.endsHere(request.parsedUri())) {
-            forward(request, WorkType.NOTE, controller, bytes -> {});
+        if (cancelOrAck
+                && contacts.containsKey(request.callId())
+                && !simulatedSwitch.terminatesHere(request.parsedUri())) {
+            forward(request, WorkType.MINOR_MESSAGE, controller, bytes -> {});
             return true;
         }
         return false;
     }
 
-    private boolean mine(HostPort at) {
-        InetSocketAddress udp = machine.address(Hop.Protocol.UDP);
-        InetSocketAddress tcp = machine.address(Hop.Protocol.TCP);
-        return at.hostWithoutBrackets().equals(udp.getAddress().getHostAddress())
-                && (at.port() == udp.getPort() || at.port() == tcp.getPort());
+    private boolean isOwnAddress(HostPort hostPort) {
+        InetSocketAddress udpAddress = simulatedSwitch.address(Hop.Protocol.UDP);
+        InetSocketAddress tcpAddress = simulatedSwitch.address(Hop.Protocol.TCP);
+        return hostPort.hostWithoutBrackets().equals(udpAddress.getAddress().getHostAddress())
+                && (hostPort.port() == udpAddress.getPort() || hostPort.port() == tcpAddress.getPort());
     }
 
-    private void begin(Request invite, Hop from) throws InvalidValueException {
-        String group = SimulatedSwitch.group(invite);
-        TransitContact known = all.get(invite.callId());
-        if (known == null) {
+    private void startTransit(Request invite, Hop origin) throws InvalidValueException {
+        String group = SimulatedSwitch.trunkGroup(invite);
+        TransitContact knownContact = contacts.get(invite.callId());
+        if (knownContact == null) {
             String session = String.valueOf(invite.headers().first("Session-ID"));
-            TrunkGroups.Seizure seizure = group == null ? null : trunks.seize(group, machine.width(invite), session);
+            TrunkGroups.Seizure seizure =
+                    group == null ? null : trunks.seize(group, simulatedSwitch.circuitWidth(invite), session);
             if (group != null && seizure == null) {
-                refuse(invite, from, "No circuit", ReleaseCause.NO_CIRCUIT, group);
+                sendRefusal(invite, origin, "No circuit", ReleaseCause.NO_CIRCUIT, group);
                 return;
             }
-            TransitContact through = new TransitContact(session, group, seizure, from);
-            all.put(invite.callId(), through);
+            TransitContact contact = new TransitContact(session, group, seizure, origin);
+            contacts.put(invite.callId(), contact);
             if (group != null) {
-                machine.sent();
+                simulatedSwitch.setUpReceived();
             }
-            machine.endpoint().timerWheel().scheduleAfter(GUARD, () -> {
-                if (!through.stood) {
-                    drop(invite.callId());
+            simulatedSwitch.endpoint().timerWheel().scheduleAfter(MAX_SET_UP_TIME, () -> {
+                if (!contact.established) {
+                    removeContact(invite.callId());
                 }
             });
         }
         // The front end answers at once (RFC 3261 16.2), and from then on it is the one that repeats.
         Response trying = invite.createResponse(100, "Trying", null);
-        machine.endpoint().transport().send(trying.bytes(), backTo(invite.via(), from));
-        if (known != null) {
+        simulatedSwitch.endpoint().transport().send(trying.bytes(), responseHop(invite.via(), origin));
+        if (knownContact != null) {
             return;
         }
         if (!forward(
                 invite,
-                WorkType.LOOK,
+                WorkType.ROUTE,
                 controller,
-                bytes -> repeat(invite.callId(), bytes, TransactionTimers.RFC_3261.t1()))) {
-            drop(invite.callId());
-            refuse(invite, from, "Processor full", ReleaseCause.CONGESTION, group);
+                bytes -> scheduleRetransmission(invite.callId(), bytes, TransactionTimers.RFC_3261.t1()))) {
+            removeContact(invite.callId());
+            sendRefusal(invite, origin, "Processor full", ReleaseCause.CONGESTION, group);
         }
     }
 
     /** An INVITE that the controller has not answered in any way is sent again, as by a client transaction. */
-    private void repeat(String callId, byte[] invite, Span after) {
+    private void scheduleRetransmission(String callId, byte[] invite, Span delay) {
         if (controller.isReliable()) {
             return;
         }
-        machine.endpoint().timerWheel().scheduleAfter(after, () -> {
-            TransitContact through = all.get(callId);
-            if (through != null && !through.heard && after.compareTo(TransactionTimers.RFC_3261.t2()) < 0) {
-                machine.endpoint().transport().send(invite, controller);
-                repeat(callId, invite, after.times(2));
+        simulatedSwitch.endpoint().timerWheel().scheduleAfter(delay, () -> {
+            TransitContact contact = contacts.get(callId);
+            if (contact != null && !contact.responseReceived && delay.compareTo(TransactionTimers.RFC_3261.t2()) < 0) {
+                simulatedSwitch.endpoint().transport().send(invite, controller);
+                scheduleRetransmission(callId, invite, delay.times(2));
             }
         });
     }
 
-    private void refuse(Request invite, Hop from, String reason, int cause, String group) throws InvalidValueException {
+    private void sendRefusal(Request invite, Hop origin, String reason, int cause, String group)
+            throws InvalidValueException {
         Response response = invite.createResponse(
-                503, reason, machine.endpoint().dialogLayer().idGenerator().nextTag());
+                503,
+                reason,
+                simulatedSwitch.endpoint().dialogLayer().idGenerator().nextTag());
         response.headers().add("Reason", new ReleaseCause(cause, ReleaseCause.LOCAL_NETWORK));
-        machine.loaded(response, group);
-        machine.endpoint().transport().send(response.bytes(), backTo(invite.via(), from));
+        simulatedSwitch.withLoadReport(response, group);
+        simulatedSwitch.endpoint().transport().send(response.bytes(), responseHop(invite.via(), origin));
     }
 
-    private void drop(String key) {
-        TransitContact through = all.remove(key);
-        if (through != null) {
-            trunks.release(through.seizure);
+    private void removeContact(String callId) {
+        TransitContact contact = contacts.remove(callId);
+        if (contact != null) {
+            trunks.release(contact.seizure);
         }
     }
 
     /** A request within a dialog follows its routes; a BYE gives the circuits back. */
-    private void within(Request request) throws InvalidValueException {
+    private void forwardInDialog(Request request) throws InvalidValueException {
         request.headers().removeFirst("Route");
-        String next = request.headers().first("Route");
-        Hop to = HopResolver.resolve(
-                SipUri.parse(next == null ? request.uri() : NameAddr.parse(next).uri()));
+        String nextRoute = request.headers().first("Route");
+        Hop hop = HopResolver.resolve(SipUri.parse(
+                nextRoute == null ? request.uri() : NameAddr.parse(nextRoute).uri()));
         boolean bye = request.hasMethod("BYE");
-        forward(request, bye ? WorkType.RELEASE : WorkType.NOTE, to, bytes -> {});
+        forward(request, bye ? WorkType.RELEASE : WorkType.MINOR_MESSAGE, hop, bytes -> {});
         if (bye) {
-            drop(request.callId());
+            removeContact(request.callId());
         }
     }
 
-    private boolean forward(Request request, WorkType work, Hop to, Consumer<byte[]> sent)
+    private boolean forward(Request request, WorkType work, Hop hop, Consumer<byte[]> onSent)
             throws InvalidValueException {
-        String hops = request.headers().first("Max-Forwards");
-        if ("0".equals(hops)) {
+        String maxForwards = request.headers().first("Max-Forwards");
+        if ("0".equals(maxForwards)) {
             return true;
         }
         String branch = request.via().branch();
-        String mark = MARK + branch.substring(branch.startsWith(Via.MAGIC_COOKIE) ? Via.MAGIC_COOKIE.length() : 0);
-        InetSocketAddress at = machine.address(to.protocol());
-        HostPort by = new HostPort(at.getAddress().getHostAddress(), at.getPort());
-        Via via = new Via(to.protocol().name(), by, Parameters.NONE)
-                .with("branch", mark)
+        String ownBranch =
+                BRANCH_PREFIX + branch.substring(branch.startsWith(Via.MAGIC_COOKIE) ? Via.MAGIC_COOKIE.length() : 0);
+        InetSocketAddress address = simulatedSwitch.address(hop.protocol());
+        HostPort sentBy = new HostPort(address.getAddress().getHostAddress(), address.getPort());
+        Via via = new Via(hop.protocol().name(), sentBy, Parameters.NONE)
+                .with("branch", ownBranch)
                 .with("rport", null);
         request.headers().addFirst("Via", via);
-        request.headers().set("Max-Forwards", hops == null ? 70 : Integer.parseInt(hops) - 1);
+        request.headers().set("Max-Forwards", maxForwards == null ? 70 : Integer.parseInt(maxForwards) - 1);
         if (request.hasMethod("INVITE")) {
-            request.headers().addFirst("Record-Route", "<sip:" + own() + ";lr>");
+            request.headers().addFirst("Record-Route", "<sip:" + ownHostPort() + ";lr>");
         }
         byte[] bytes = request.bytes();
-        return queued(request.method() + mark, work, () -> {
-            machine.endpoint().transport().send(bytes, to);
-            sent.accept(bytes);
+        return enqueueOnce(request.method() + ownBranch, work, () -> {
+            simulatedSwitch.endpoint().transport().send(bytes, hop);
+            onSent.accept(bytes);
         });
     }
 
     /** Waits for the processor; what comes again while it waits costs nothing. False where it was turned away. */
-    private boolean queued(String key, WorkType work, Runnable done) {
-        if (!waiting.add(key)) {
+    private boolean enqueueOnce(String key, WorkType work, Runnable completion) {
+        if (!queuedKeys.add(key)) {
             return true;
         }
-        boolean taken = machine.work(work, () -> {
-            waiting.remove(key);
-            done.run();
+        boolean accepted = simulatedSwitch.enqueueWork(work, () -> {
+            queuedKeys.remove(key);
+            completion.run();
         });
-        if (!taken) {
-            waiting.remove(key);
+        if (!accepted) {
+            queuedKeys.remove(key);
         }
-        return taken;
+        return accepted;
     }
 
-    private HostPort own() {
-        InetSocketAddress udp = machine.address(Hop.Protocol.UDP);
-        return new HostPort(udp.getAddress().getHostAddress(), udp.getPort());
+    private HostPort ownHostPort() {
+        InetSocketAddress udpAddress = simulatedSwitch.address(Hop.Protocol.UDP);
+        return new HostPort(udpAddress.getAddress().getHostAddress(), udpAddress.getPort());
     }
 
-    private boolean back(Response response) throws InvalidValueException {
-        if (!response.via().branch().startsWith(MARK)) {
+    private boolean forwardResponse(Response response) throws InvalidValueException {
+        if (!response.via().branch().startsWith(BRANCH_PREFIX)) {
             return false;
         }
         response.headers().removeFirst("Via");
         if (response.headers().first("Via") == null) {
             return true;
         }
-        TransitContact through = all.get(response.callId());
-        boolean invite = response.cseq().method().equals("INVITE");
-        if (through != null && invite) {
-            through.heard = true;
+        TransitContact contact = contacts.get(response.callId());
+        boolean forInvite = response.cseq().method().equals("INVITE");
+        if (contact != null && forInvite) {
+            contact.responseReceived = true;
         }
-        if (invite && response.status() == 100) {
+        if (forInvite && response.status() == 100) {
             // 100 goes one hop only (RFC 3261 16.7), and the front end has said it already.
             return true;
         }
-        if (through != null && invite && response.status() >= 200) {
-            through.stood |= response.isSuccess();
-            machine.loaded(response, through.group);
+        if (contact != null && forInvite && response.status() >= 200) {
+            contact.established |= response.isSuccess();
+            simulatedSwitch.withLoadReport(response, contact.group);
         }
-        Via next = response.via();
+        Via nextVia = response.via();
         byte[] bytes = response.bytes();
-        Hop to = backTo(next, null);
-        String key = response.status() + next.branch();
-        if (invite && response.status() >= 300) {
-            queued(key, WorkType.REJECT, () -> {
-                machine.endpoint().transport().send(bytes, to);
+        Hop hop = responseHop(nextVia, null);
+        String key = response.status() + nextVia.branch();
+        if (forInvite && response.status() >= 300) {
+            enqueueOnce(key, WorkType.REJECT, () -> {
+                simulatedSwitch.endpoint().transport().send(bytes, hop);
                 // The entry stays for the ACK that must still find its way; the guard takes it away.
-                trunks.release(through == null ? null : through.seizure);
+                trunks.release(contact == null ? null : contact.seizure);
             });
         } else {
-            WorkType work = invite && response.status() >= 200 ? WorkType.ANSWER : WorkType.NOTE;
-            queued(key, work, () -> machine.endpoint().transport().send(bytes, to));
+            WorkType work = forInvite && response.status() >= 200 ? WorkType.ANSWER : WorkType.MINOR_MESSAGE;
+            enqueueOnce(key, work, () -> simulatedSwitch.endpoint().transport().send(bytes, hop));
         }
         return true;
     }
 
     /** RFC 3261 18.2.2; over TCP by the connection it came on, where that is known. */
-    private static Hop backTo(Via via, Hop from) throws InvalidValueException {
-        if (from != null && from.isReliable()) {
-            return from;
+    private static Hop responseHop(Via via, Hop requestHop) throws InvalidValueException {
+        if (requestHop != null && requestHop.isReliable()) {
+            return requestHop;
         }
         String received = via.params().get("received");
         String rport = via.params().get("rport");
         int port = rport != null ? Integer.parseInt(rport) : via.sentBy().port();
-        InetSocketAddress at = HopResolver.parseAddress(
+        InetSocketAddress address = HopResolver.parseAddress(
                 new HostPort(received == null ? via.sentBy().host() : received, port));
-        return via.transport().equals("TCP") ? Hop.tcp(at) : Hop.udp(at);
+        return via.transport().equals("TCP") ? Hop.tcp(address) : Hop.udp(address);
     }
 
     /** Frees what came from, or goes to, such a place; the sessions are given. */
-    List<String> dropAll(Predicate<Hop> which) {
+    List<String> removeMatching(Predicate<Hop> hopPredicate) {
         List<String> sessions = new ArrayList<>();
-        for (Map.Entry<String, TransitContact> one : new ArrayList<>(all.entrySet())) {
-            if (which.test(one.getValue().from) || which.test(controller)) {
-                sessions.add(one.getValue().session);
-                drop(one.getKey());
+        for (Map.Entry<String, TransitContact> entry : new ArrayList<>(contacts.entrySet())) {
+            if (hopPredicate.test(entry.getValue().origin) || hopPredicate.test(controller)) {
+                sessions.add(entry.getValue().session);
+                removeContact(entry.getKey());
             }
         }
         return sessions;
--- a/src/main/java/martenslip/standin/TrunkGroups.java
+++ b/src/main/java/martenslip/standin/TrunkGroups.java
@@ -14,7 +14,7 @@
         private final Group group;
         private final int width;
         private final String session;
-        private boolean freed;
+        private boolean released;
 
         private Seizure(Group group, int width, String session) {
             this.group = group;
@@ -29,41 +29,41 @@
 
     static final class Group {
         final String name;
-        final int a;
-        final int b;
-        final int size;
-        int lost;
-        int used;
-        long changes;
-        final Set<Seizure> held = new LinkedHashSet<>();
-
-        Group(String name, int a, int b, int size) {
+        final int firstExchange;
+        final int secondExchange;
+        final int circuits;
+        int lostCircuits;
+        int usedCircuits;
+        long changeCount;
+        final Set<Seizure> seizures = new LinkedHashSet<>();
+
+        Group(String name, int firstExchange, int secondExchange, int circuits) {
             this.name = name;
-            this.a = a;
-            this.b = b;
-            this.size = size;
+            this.firstExchange = firstExchange;
+            this.secondExchange = secondExchange;
+            this.circuits = circuits;
         }
 
         int total() {
-            return size - lost;
+            return circuits - lostCircuits;
         }
 
         int free() {
-            return Math.max(0, total() - used);
+            return Math.max(0, total() - usedCircuits);
         }
 
-        boolean touches(int exchange) {
-            return a == exchange || b == exchange;
+        boolean isConnectedTo(int exchange) {
+            return firstExchange == exchange || secondExchange == exchange;
         }
     }
 
     /** A group as one end is told of it. */
-    public record CircuitState(String name, int total, int free, long changes) {}
+    public record CircuitState(String name, int total, int free, long changeCount) {}
 
     private final Map<String, Group> groups = new LinkedHashMap<>();
 
-    public synchronized void addGroup(String name, int a, int b, int size) {
-        groups.put(name, new Group(name, a, b, size));
+    public synchronized void addGroup(String name, int firstExchange, int secondExchange, int circuits) {
+        groups.put(name, new Group(name, firstExchange, secondExchange, circuits));
     }
 
     /** Null where the group is unknown or has too few free. */
@@ -73,65 +73,65 @@
             return null;
         }
         Seizure seizure = new Seizure(group, width, session);
-        group.used += width;
-        group.changes++;
-        group.held.add(seizure);
+        group.usedCircuits += width;
+        group.changeCount++;
+        group.seizures.add(seizure);
         return seizure;
     }
 
     public synchronized void release(Seizure seizure) {
-        if (seizure != null && !seizure.freed) {
-            seizure.freed = true;
-            seizure.group.held.remove(seizure);
-            seizure.group.used -= seizure.width;
-            seizure.group.changes++;
+        if (seizure != null && !seizure.released) {
+            seizure.released = true;
+            seizure.group.seizures.remove(seizure);
+            seizure.group.usedCircuits -= seizure.width;
+            seizure.group.changeCount++;
         }
     }
 
     public synchronized CircuitState circuitState(String name) {
         Group group = groups.get(name);
-        return group == null ? null : new CircuitState(name, group.total(), group.free(), group.changes);
+        return group == null ? null : new CircuitState(name, group.total(), group.free(), group.changeCount);
     }
 
     /** Groups of the exchange that changed after the count that {@code seen} holds for them, which is brought up. */
-    public synchronized List<CircuitState> changed(int exchange, Map<String, Long> seen) {
+    public synchronized List<CircuitState> changesSince(int exchange, Map<String, Long> lastSeen) {
         List<CircuitState> changed = new ArrayList<>();
         for (Group group : groups.values()) {
-            if (group.touches(exchange) && seen.getOrDefault(group.name, -1L) != group.changes) {
-                seen.put(group.name, group.changes);
-                changed.add(new CircuitState(group.name, group.total(), group.free(), group.changes));
+            if (group.isConnectedTo(exchange) && lastSeen.getOrDefault(group.name, -1L) != group.changeCount) {
+                lastSeen.put(group.name, group.changeCount);
+                changed.add(new CircuitState(group.name, group.total(), group.free(), group.changeCount));
             }
         }
         return changed;
     }
 
     /** The group keeps this part of its circuits; sessions on the lost ones are returned. */
-    public synchronized List<String> reduceCircuits(String name, double part) {
+    public synchronized List<String> reduceCircuits(String name, double keptShare) {
         Group group = groups.get(name);
-        group.lost = group.size - (int) Math.round(group.size * part);
-        group.changes++;
-        List<String> cut = new ArrayList<>();
-        int over = group.used - group.total();
-        for (Seizure seizure : group.held) {
-            if (over <= 0) {
+        group.lostCircuits = group.circuits - (int) Math.round(group.circuits * keptShare);
+        group.changeCount++;
+        List<String> cutSessions = new ArrayList<>();
+        int excess = group.usedCircuits - group.total();
+        for (Seizure seizure : group.seizures) {
+            if (excess <= 0) {
                 break;
             }
-            over -= seizure.width;
-            cut.add(seizure.session);
+            excess -= seizure.width;
+            cutSessions.add(seizure.session);
         }
-        return cut;
+        return cutSessions;
     }
 
     /** Names of the groups that pass the test of their two ends. */
-    public synchronized List<String> groupsMatching(java.util.function.BiPredicate<Integer, Integer> ends) {
+    public synchronized List<String> groupsMatching(java.util.function.BiPredicate<Integer, Integer> endsPredicate) {
         return groups.values().stream()
-                .filter(group -> ends.test(group.a, group.b))
+                .filter(group -> endsPredicate.test(group.firstExchange, group.secondExchange))
                 .map(group -> group.name)
                 .toList();
     }
 
     /** Circuits in use on all groups. */
     public synchronized int circuitsInUse() {
-        return groups.values().stream().mapToInt(group -> group.used).sum();
+        return groups.values().stream().mapToInt(group -> group.usedCircuits).sum();
     }
 }
--- a/src/main/java/martenslip/verification/AddedDelay.java
+++ b/src/main/java/martenslip/verification/AddedDelay.java
@@ -21,50 +21,50 @@
  * both sides' queues.
  */
 public final class AddedDelay implements CaptureReader.RecordHandler {
-    private static final long MOST_MICROS = 60_000_000;
+    private static final long MAX_MICROS = 60_000_000;
 
     private static final class ContactTiming {
-        Moment inviteIn;
-        long forward = -1;
-        Moment okIn;
+        Moment callerInviteAt;
+        long inviteDelayMicros = -1;
+        Moment ringOkAt;
     }
 
-    private final Span each;
-    private final TreeMap<Long, Histogram> parts = new TreeMap<>();
-    private Moment first;
-    private final Histogram forward = new Histogram(MOST_MICROS, 3);
-    private final Histogram back = new Histogram(MOST_MICROS, 3);
-    private final Histogram both = new Histogram(MOST_MICROS, 3);
+    private final Span intervalLength;
+    private final TreeMap<Long, Histogram> totalDelaysByInterval = new TreeMap<>();
+    private Moment firstMessageAt;
+    private final Histogram inviteDelays = new Histogram(MAX_MICROS, 3);
+    private final Histogram okDelays = new Histogram(MAX_MICROS, 3);
+    private final Histogram totalDelays = new Histogram(MAX_MICROS, 3);
     private final Set<String> controllers = new HashSet<>();
-    private final Map<String, ContactTiming> open = new HashMap<>();
-    private final Map<String, ContactTiming> byBranch = new HashMap<>();
-    private final Map<String, ContactTiming> byRing = new HashMap<>();
+    private final Map<String, ContactTiming> timingByContact = new HashMap<>();
+    private final Map<String, ContactTiming> timingByBranch = new HashMap<>();
+    private final Map<String, ContactTiming> timingByRing = new HashMap<>();
 
     /** {@code each} is how long a row of the table by time lasts; zero leaves that table out. */
-    public AddedDelay(Span each) {
-        this.each = each;
+    public AddedDelay(Span intervalLength) {
+        this.intervalLength = intervalLength;
     }
 
     @Override
-    public void annotation(Moment at, String kind, Map<String, String> words) {
+    public void annotation(Moment time, String kind, Map<String, String> attributes) {
         if (kind.equals("controller")) {
-            controllers.add(words.get("host"));
+            controllers.add(attributes.get("host"));
         }
     }
 
     @Override
-    public void message(Moment at, boolean in, String local, String remote, boolean lost, Message message) {
+    public void message(Moment time, boolean inbound, String local, String remote, boolean lost, Message message) {
         if (!controllers.contains(remote) || lost) {
             return;
         }
-        first = first == null ? at : first;
+        firstMessageAt = firstMessageAt == null ? time : firstMessageAt;
         try {
             if (message instanceof Request request) {
-                invite(at, in, remote, request);
+                recordInvite(time, inbound, remote, request);
             } else if (message instanceof Response response
                     && response.status() == 200
                     && response.cseq().method().equals("INVITE")) {
-                ok(at, in, remote, response);
+                recordOk(time, inbound, remote, response);
             }
         } catch (InvalidValueException e) {
             // A message that the rules' proof tells of.
@@ -72,59 +72,64 @@
         }
     }
 
-    private void invite(Moment at, boolean in, String remote, Request request) throws InvalidValueException {
+    private void recordInvite(Moment time, boolean inbound, String remote, Request request)
+            throws InvalidValueException {
         if (!request.hasMethod("INVITE") || !request.to().tag().isEmpty()) {
             return;
         }
         String contact = remote + request.headers().first("Session-ID");
-        if (!in) {
-            ContactTiming passage = open.computeIfAbsent(contact, any -> new ContactTiming());
-            if (passage.inviteIn == null) {
-                passage.inviteIn = at;
-                byBranch.put(remote + request.via().branch(), passage);
+        if (!inbound) {
+            ContactTiming timing = timingByContact.computeIfAbsent(contact, ignored -> new ContactTiming());
+            if (timing.callerInviteAt == null) {
+                timing.callerInviteAt = time;
+                timingByBranch.put(remote + request.via().branch(), timing);
             }
             return;
         }
-        ContactTiming passage = open.get(contact);
-        if (passage != null && passage.forward < 0) {
-            passage.forward = micros(passage.inviteIn, at);
-            forward.recordValue(passage.forward);
-            byRing.put(remote + request.callId(), passage);
+        ContactTiming timing = timingByContact.get(contact);
+        if (timing != null && timing.inviteDelayMicros < 0) {
+            timing.inviteDelayMicros = microsBetween(timing.callerInviteAt, time);
+            inviteDelays.recordValue(timing.inviteDelayMicros);
+            timingByRing.put(remote + request.callId(), timing);
         }
     }
 
-    private void ok(Moment at, boolean in, String remote, Response response) throws InvalidValueException {
-        if (!in) {
-            ContactTiming passage = byRing.remove(remote + response.callId());
-            if (passage != null) {
-                passage.okIn = at;
+    private void recordOk(Moment time, boolean inbound, String remote, Response response) throws InvalidValueException {
+        if (!inbound) {
+            ContactTiming timing = timingByRing.remove(remote + response.callId());
+            if (timing != null) {
+                timing.ringOkAt = time;
             }
             return;
         }
-        ContactTiming passage = byBranch.remove(remote + response.via().branch());
-        if (passage != null && passage.okIn != null) {
-            long took = micros(passage.okIn, at);
-            back.recordValue(took);
-            both.recordValue(passage.forward + took);
-            if (each.longerThan(Span.ZERO)) {
-                parts.computeIfAbsent(at.since(first).ns() / each.ns(), any -> new Histogram(MOST_MICROS, 3))
-                        .recordValue(passage.forward + took);
+        ContactTiming timing = timingByBranch.remove(remote + response.via().branch());
+        if (timing != null && timing.ringOkAt != null) {
+            long okDelayMicros = microsBetween(timing.ringOkAt, time);
+            okDelays.recordValue(okDelayMicros);
+            totalDelays.recordValue(timing.inviteDelayMicros + okDelayMicros);
+            if (intervalLength.longerThan(Span.ZERO)) {
+                totalDelaysByInterval
+                        .computeIfAbsent(
+                                time.since(firstMessageAt).ns() / intervalLength.ns(),
+                                ignored -> new Histogram(MAX_MICROS, 3))
+                        .recordValue(timing.inviteDelayMicros + okDelayMicros);
             }
         }
     }
 
-    private static long micros(Moment from, Moment to) {
-        return Math.max(0, Math.min(MOST_MICROS, to.since(from).ns() / 1000));
+    private static long microsBetween(Moment start, Moment end) {
+        return Math.max(0, Math.min(MAX_MICROS, end.since(start).ns() / 1000));
     }
 
     public void print(PrintStream out) {
-        line(out, "invite-to-ring", forward);
-        line(out, "200-to-200", back);
-        line(out, "both", both);
-        parts.forEach((row, histogram) -> line(out, "from " + row * each.ns() / 1_000_000_000 + " s", histogram));
+        printRow(out, "invite-to-ring", inviteDelays);
+        printRow(out, "200-to-200", okDelays);
+        printRow(out, "both", totalDelays);
+        totalDelaysByInterval.forEach((interval, histogram) ->
+                printRow(out, "from " + interval * intervalLength.ns() / 1_000_000_000 + " s", histogram));
     }
 
-    private static void line(PrintStream out, String name, Histogram histogram) {
+    private static void printRow(PrintStream out, String name, Histogram histogram) {
         out.printf(
                 Locale.ROOT,
                 "%-16s n=%d p50=%.2f ms p99=%.2f ms p99.9=%.2f ms max=%.2f ms%n",
--- a/src/main/java/martenslip/verification/ColdStartRule.java
+++ b/src/main/java/martenslip/verification/ColdStartRule.java
@@ -15,60 +15,65 @@
  */
 final class ColdStartRule {
     /** A few more than the budget are chance, as the stand-in's own count of a push has it. */
-    private static final int SLACK = 3;
+    private static final int RING_TOLERANCE = 3;
 
     private static final class ColdSwitch {
-        final Moment at;
+        final Moment startedAt;
         final double capacity;
-        final double from;
-        final Span warm;
-        final Deque<Moment> recent = new ArrayDeque<>();
-        boolean told;
+        final double initialShare;
+        final Span warmUpTime;
+        final Deque<Moment> recentRings = new ArrayDeque<>();
+        boolean reported;
 
-        ColdSwitch(Moment at, double capacity, double from, Span warm) {
-            this.at = at;
+        ColdSwitch(Moment startedAt, double capacity, double initialShare, Span warmUpTime) {
+            this.startedAt = startedAt;
             this.capacity = capacity;
-            this.from = from;
-            this.warm = warm;
+            this.initialShare = initialShare;
+            this.warmUpTime = warmUpTime;
         }
     }
 
-    private final Map<String, ColdSwitch> cold = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
-    private double multiple = 3;
+    private final Map<String, ColdSwitch> coldSwitches = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private double loadMultiple = 3;
     private Span window = Span.ofMillis(1500);
-    private long judged;
+    private long caseCount;
 
-    void budget(double times, Span span) {
-        multiple = times;
-        window = span;
+    void setLoadLimit(double newMultiple, Span newWindow) {
+        loadMultiple = newMultiple;
+        window = newWindow;
     }
 
-    void started(String at, Moment when, double capacity, double from, Span warm) {
-        cold.put(at, new ColdSwitch(when, capacity, from, warm));
+    void coldStartObserved(
+            String switchAddress, Moment startTime, double capacity, double initialShare, Span warmUpTime) {
+        coldSwitches.put(switchAddress, new ColdSwitch(startTime, capacity, initialShare, warmUpTime));
     }
 
-    void sent(Moment at, int controller, String to) {
-        ColdSwitch one = cold.get(to);
-        if (one == null || at.since(one.at).longerThan(one.warm)) {
+    void ringSent(Moment time, int controller, String switchAddress) {
+        ColdSwitch coldSwitch = coldSwitches.get(switchAddress);
+        if (coldSwitch == null || time.since(coldSwitch.startedAt).longerThan(coldSwitch.warmUpTime)) {
             return;
         }
-        judged++;
-        one.recent.add(at);
-        while (at.since(one.recent.peek()).longerThan(window)) {
-            one.recent.poll();
+        caseCount++;
+        coldSwitch.recentRings.add(time);
+        while (time.since(coldSwitch.recentRings.peek()).longerThan(window)) {
+            coldSwitch.recentRings.poll();
         }
-        double part = one.from + (1 - one.from) * at.since(one.at).ratioTo(one.warm);
-        double most = multiple * one.capacity * part * window.ns() / 1e9;
-        if (one.recent.size() > most + SLACK && !one.told) {
-            one.told = true;
-            broken.add("switch " + to + ": " + one.recent.size() + " rings in " + window.ns() / 1_000_000 + " ms, "
-                    + at.since(one.at).ns() / 1_000_000 + " ms after its cold start; " + Math.round(most)
+        double capacityShare = coldSwitch.initialShare
+                + (1 - coldSwitch.initialShare)
+                        * time.since(coldSwitch.startedAt).ratioTo(coldSwitch.warmUpTime);
+        double maxRings = loadMultiple * coldSwitch.capacity * capacityShare * window.ns() / 1e9;
+        if (coldSwitch.recentRings.size() > maxRings + RING_TOLERANCE && !coldSwitch.reported) {
+            coldSwitch.reported = true;
+            violations.add("switch " + switchAddress + ": " + coldSwitch.recentRings.size() + " rings in "
+                    + window.ns() / 1_000_000 + " ms, "
+                    + time.since(coldSwitch.startedAt).ns() / 1_000_000 + " ms after its cold start; "
+                    + Math.round(maxRings)
                     + " are the most, the last from controller " + controller);
         }
     }
 
-    RuleResult verdict() {
-        return new RuleResult(4, "no cold switch pushed over", judged, broken);
+    RuleResult result() {
+        return new RuleResult(4, "no cold switch pushed over", caseCount, violations);
     }
 }
--- a/src/main/java/martenslip/verification/DrainRule.java
+++ b/src/main/java/martenslip/verification/DrainRule.java
@@ -13,24 +13,24 @@
 
 /** Rule 3: nothing new to a switch once the grace has passed since its controller was told that it drains or is gone. */
 final class DrainRule {
-    private static final XmlFileReader SHEET = XmlFileReader.forSchema("switches.xsd");
+    private static final XmlFileReader SCHEMA_READER = XmlFileReader.forSchema("switches.xsd");
 
-    private record NotifiedState(boolean ready, long version, Moment at) {}
+    private record NotifiedState(boolean ready, long version, Moment notifiedAt) {}
 
-    private final Map<String, NotifiedState> told = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
-    private Span grace = Span.ofMillis(2000);
-    private long judged;
+    private final Map<String, NotifiedState> notifiedStates = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private Span gracePeriod = Span.ofMillis(2000);
+    private long caseCount;
 
-    void grace(Span span) {
-        grace = span;
+    void setGracePeriod(Span newGracePeriod) {
+        gracePeriod = newGracePeriod;
     }
 
     /** A list notice on its way to the controller. Wires may bring an older one later, which tells nothing new. */
-    void told(Moment at, int controller, byte[] body) {
+    void listNotified(Moment time, int controller, byte[] body) {
         XmlElement root;
         try {
-            root = SHEET.read("NOTIFY", body);
+            root = SCHEMA_READER.read("NOTIFY", body);
         } catch (InvalidFileException e) {
             return;
         }
@@ -38,34 +38,35 @@
             return;
         }
         long version = Long.parseLong(root.text("version"));
-        for (XmlElement line : root.children()) {
-            String address = line.text("uri").replaceFirst("^sip:", "").replaceFirst(";.*", "");
-            boolean ready = line.text("state").equals("ready");
-            NotifiedState before = told.get(controller + " " + address);
-            if (before == null || before.version < version && before.ready != ready) {
-                told.put(controller + " " + address, new NotifiedState(ready, version, at));
-                judged += ready ? 0 : 1;
+        for (XmlElement entry : root.children()) {
+            String address = entry.text("uri").replaceFirst("^sip:", "").replaceFirst(";.*", "");
+            boolean ready = entry.text("state").equals("ready");
+            NotifiedState previous = notifiedStates.get(controller + " " + address);
+            if (previous == null || previous.version < version && previous.ready != ready) {
+                notifiedStates.put(controller + " " + address, new NotifiedState(ready, version, time));
+                caseCount += ready ? 0 : 1;
             }
         }
     }
 
-    void sent(Moment at, int controller, Request invite, String to) {
-        NotifiedState last = told.get(controller + " " + to);
-        if (last == null || last.ready) {
+    void ringSent(Moment time, int controller, Request invite, String switchAddress) {
+        NotifiedState lastState = notifiedStates.get(controller + " " + switchAddress);
+        if (lastState == null || lastState.ready) {
             return;
         }
-        if (at.since(last.at).longerThan(grace)) {
-            broken.add("controller " + controller + ": ring to " + to + " "
-                    + at.since(last.at).ns() / 1_000_000 + " ms after it was told, Call-ID " + invite.callId());
+        if (time.since(lastState.notifiedAt).longerThan(gracePeriod)) {
+            violations.add("controller " + controller + ": ring to " + switchAddress + " "
+                    + time.since(lastState.notifiedAt).ns() / 1_000_000 + " ms after it was told, Call-ID "
+                    + invite.callId());
         }
     }
 
     /** What a killed controller was told is gone with it, but for the list it keeps on disk. */
-    void killed(int controller) {
-        told.keySet().removeIf(key -> key.startsWith(controller + " "));
+    void controllerKilled(int controller) {
+        notifiedStates.keySet().removeIf(key -> key.startsWith(controller + " "));
     }
 
-    RuleResult verdict() {
-        return new RuleResult(3, "drains kept", judged, broken);
+    RuleResult result() {
+        return new RuleResult(3, "drains kept", caseCount, violations);
     }
 }
--- a/src/main/java/martenslip/verification/FinalAnswerRule.java
+++ b/src/main/java/martenslip/verification/FinalAnswerRule.java
@@ -16,143 +16,149 @@
 /** Rule 1, first half: each contact that reached a running controller gets one final answer in its patience. */
 final class FinalAnswerRule {
     /** As the bench allows past the client's own time. */
-    private static final Span SLACK = Span.ofMillis(20);
+    private static final Span ANSWER_TOLERANCE = Span.ofMillis(20);
 
     /** How long bytes may wait in a connection that is then reset. */
-    private static final Span UNSENT = Span.ofMillis(20);
+    private static final Span MAX_UNSENT_TIME = Span.ofMillis(20);
 
     private static final class ConnectionReset {
-        final Moment begin;
-        Moment end;
+        final Moment startedAt;
+        Moment endedAt;
 
-        ConnectionReset(Moment begin) {
-            this.begin = begin;
+        ConnectionReset(Moment startedAt) {
+            this.startedAt = startedAt;
         }
     }
 
     private static final class ContactRequest {
-        final Moment at;
+        final Moment sentAt;
         final int controller;
         final Span patience;
-        final String session;
+        final String sessionId;
         String answer;
-        boolean second;
+        boolean conflictReported;
         Moment answeredAt;
 
-        ContactRequest(Moment at, int controller, Span patience, String session) {
-            this.at = at;
+        ContactRequest(Moment sentAt, int controller, Span patience, String sessionId) {
+            this.sentAt = sentAt;
             this.controller = controller;
             this.patience = patience;
-            this.session = session;
+            this.sessionId = sessionId;
         }
     }
 
-    private final Map<String, ContactRequest> asked = new LinkedHashMap<>();
-    private final Map<Integer, List<Moment>> kills = new HashMap<>();
+    private final Map<String, ContactRequest> requests = new LinkedHashMap<>();
+    private final Map<Integer, List<Moment>> killTimes = new HashMap<>();
     private final Map<Integer, List<ConnectionReset>> resets = new HashMap<>();
-    private final Set<Integer> down = new HashSet<>();
-    private final Set<String> unheard = new HashSet<>();
-    private final List<String> broken = new ArrayList<>();
-    private Moment last = new Moment(0);
-
-    void taken(Moment at, int controller, Request invite) throws InvalidValueException {
-        last = at;
-        if (down.contains(controller)) {
-            unheard.add(invite.via().branch());
+    private final Set<Integer> downControllers = new HashSet<>();
+    private final Set<String> branchesSentWhileDown = new HashSet<>();
+    private final List<String> violations = new ArrayList<>();
+    private Moment lastMessageAt = new Moment(0);
+
+    void inviteSent(Moment time, int controller, Request invite) throws InvalidValueException {
+        lastMessageAt = time;
+        if (downControllers.contains(controller)) {
+            branchesSentWhileDown.add(invite.via().branch());
             return;
         }
-        String exact = invite.headers().first("Martenslip-Patience");
-        String whole = invite.headers().first("Expires");
+        String patienceMs = invite.headers().first("Martenslip-Patience");
+        String expiresSeconds = invite.headers().first("Expires");
         Span patience = Span.ofMillis(
-                exact != null ? Double.parseDouble(exact) : whole != null ? Double.parseDouble(whole) * 1000 : 1e9);
-        asked.putIfAbsent(
+                patienceMs != null
+                        ? Double.parseDouble(patienceMs)
+                        : expiresSeconds != null ? Double.parseDouble(expiresSeconds) * 1000 : 1e9);
+        requests.putIfAbsent(
                 invite.via().branch(),
                 new ContactRequest(
-                        at,
+                        time,
                         controller,
                         patience,
                         String.valueOf(invite.headers().first("Session-ID"))));
     }
 
-    void answered(Moment at, int controller, Response response) throws InvalidValueException {
-        last = at;
-        ContactRequest one = asked.get(response.via().branch());
-        if (one == null && unheard.contains(response.via().branch())) {
+    void answerReceived(Moment time, int controller, Response response) throws InvalidValueException {
+        lastMessageAt = time;
+        ContactRequest request = requests.get(response.via().branch());
+        if (request == null && branchesSentWhileDown.contains(response.via().branch())) {
             // It listens already, and says so a moment later.
             return;
         }
-        if (one == null) {
-            broken.add("controller " + controller + ": answer to no contact, " + response.status() + " "
+        if (request == null) {
+            violations.add("controller " + controller + ": answer to no contact, " + response.status() + " "
                     + response.callId());
             return;
         }
-        String is = response.status() + " " + response.to().tag();
-        if (one.answer == null) {
-            one.answer = is;
-            one.answeredAt = at;
-        } else if (!one.answer.equals(is) && !one.second) {
-            one.second = true;
-            broken.add("contact " + one.session + " at controller " + controller + ": " + one.answer + ", then " + is
-                    + " after " + ms(at.since(one.at)) + " ms");
+        String answer = response.status() + " " + response.to().tag();
+        if (request.answer == null) {
+            request.answer = answer;
+            request.answeredAt = time;
+        } else if (!request.answer.equals(answer) && !request.conflictReported) {
+            request.conflictReported = true;
+            violations.add("contact " + request.sessionId + " at controller " + controller + ": " + request.answer
+                    + ", then " + answer + " after " + millis(time.since(request.sentAt)) + " ms");
         }
     }
 
-    String session(int controller, Response response) throws InvalidValueException {
-        ContactRequest one = asked.get(response.via().branch());
-        return one == null ? "" : one.session;
+    String sessionId(int controller, Response response) throws InvalidValueException {
+        ContactRequest request = requests.get(response.via().branch());
+        return request == null ? "" : request.sessionId;
     }
 
-    void unreadable(Moment at, int controller, String why) {
-        broken.add("controller " + controller + ": a message that can't be read, " + why);
+    void messageUnreadable(Moment time, int controller, String reason) {
+        violations.add("controller " + controller + ": a message that can't be read, " + reason);
     }
 
-    void up(int controller) {
-        down.remove(controller);
+    void controllerUp(int controller) {
+        downControllers.remove(controller);
     }
 
-    void killed(int controller, Moment at) {
-        down.add(controller);
-        kills.computeIfAbsent(controller, any -> new ArrayList<>()).add(at);
+    void controllerKilled(int controller, Moment time) {
+        downControllers.add(controller);
+        killTimes.computeIfAbsent(controller, ignored -> new ArrayList<>()).add(time);
     }
 
     /** Connections toward the controller are about to be reset by the stand-in. */
-    void resetting(int controller, Moment at) {
-        resets.computeIfAbsent(controller, any -> new ArrayList<>()).add(new ConnectionReset(at));
+    void resetStarted(int controller, Moment time) {
+        resets.computeIfAbsent(controller, ignored -> new ArrayList<>()).add(new ConnectionReset(time));
     }
 
-    void reset(int controller, Moment at) {
-        resets.getOrDefault(controller, List.of()).forEach(one -> one.end = one.end == null ? at : one.end);
+    void resetFinished(int controller, Moment time) {
+        resets.getOrDefault(controller, List.of())
+                .forEach(reset -> reset.endedAt = reset.endedAt == null ? time : reset.endedAt);
     }
 
     /** What was handed to a connection as it was reset may never have left it. */
-    private boolean mayNotHaveArrived(ContactRequest one) {
-        return resets.getOrDefault(one.controller, List.of()).stream()
-                .anyMatch(reset ->
-                        reset.end != null && reset.begin.before(one.at.plus(UNSENT)) && !reset.end.before(one.at));
+    private boolean mayNotHaveArrived(ContactRequest request) {
+        return resets.getOrDefault(request.controller, List.of()).stream()
+                .anyMatch(reset -> reset.endedAt != null
+                        && reset.startedAt.before(request.sentAt.plus(MAX_UNSENT_TIME))
+                        && !reset.endedAt.before(request.sentAt));
     }
 
-    private boolean excused(ContactRequest one) {
-        Moment due = one.at.plus(one.patience).plus(SLACK);
-        boolean killed = kills.getOrDefault(one.controller, List.of()).stream()
-                .anyMatch(kill -> !kill.before(one.at) && kill.before(due));
+    private boolean isExcused(ContactRequest request) {
+        Moment deadline = request.sentAt.plus(request.patience).plus(ANSWER_TOLERANCE);
+        boolean killed = killTimes.getOrDefault(request.controller, List.of()).stream()
+                .anyMatch(killTime -> !killTime.before(request.sentAt) && killTime.before(deadline));
         // What was still owed when the capture ended can't be judged.
-        return killed || last.before(due) || mayNotHaveArrived(one);
+        return killed || lastMessageAt.before(deadline) || mayNotHaveArrived(request);
     }
 
-    RuleResult verdict() {
-        for (ContactRequest one : asked.values()) {
-            if (one.answer == null && !excused(one)) {
-                broken.add("contact " + one.session + " at controller " + one.controller + ": no final answer within "
-                        + ms(one.patience) + " ms of " + one.at.ns());
-            } else if (one.answer != null && one.answeredAt.since(one.at).longerThan(one.patience.plus(SLACK))) {
-                broken.add("contact " + one.session + " at controller " + one.controller + ": " + one.answer + " after "
-                        + ms(one.answeredAt.since(one.at)) + " ms, patience " + ms(one.patience));
+    RuleResult result() {
+        for (ContactRequest request : requests.values()) {
+            if (request.answer == null && !isExcused(request)) {
+                violations.add("contact " + request.sessionId + " at controller " + request.controller
+                        + ": no final answer within " + millis(request.patience) + " ms of " + request.sentAt.ns());
+            } else if (request.answer != null
+                    && request.answeredAt.since(request.sentAt).longerThan(request.patience.plus(ANSWER_TOLERANCE))) {
+                violations.add("contact " + request.sessionId + " at controller " + request.controller + ": "
+                        + request.answer + " after " + millis(request.answeredAt.since(request.sentAt))
+                        + " ms, patience " + millis(request.patience));
             }
         }
-        return new RuleResult(1, "one final answer in time", asked.size(), broken);
+        return new RuleResult(1, "one final answer in time", requests.size(), violations);
     }
 
-    private static String ms(Span span) {
+    private static String millis(Span span) {
         return Long.toString(span.ns() / 1_000_000);
     }
 }
--- a/src/main/java/martenslip/verification/RingRules.java
+++ b/src/main/java/martenslip/verification/RingRules.java
@@ -19,150 +19,159 @@
  */
 final class RingRules {
     /** Clocks are read at both ends of a hand-over between threads. */
-    private static final Span SLACK = Span.ofMillis(3);
+    private static final Span CLOCK_TOLERANCE = Span.ofMillis(3);
 
     /** A repeat may have been under way when its ring was given up. */
-    private static final Span ON_ITS_WAY = Span.ofMillis(100);
+    private static final Span RETRANSMISSION_TOLERANCE = Span.ofMillis(100);
 
     private static final class Ring {
         final String callId;
-        final String to;
-        final Moment first;
-        Moment lastInvite;
-        Moment heard;
-        Moment finalAt;
+        final String switchAddress;
+        final Moment firstInviteAt;
+        Moment lastInviteAt;
+        Moment firstResponseAt;
+        Moment finalResponseAt;
         boolean timedOut;
         Moment cancelledAt;
 
-        Ring(String callId, String to, Moment first) {
+        Ring(String callId, String switchAddress, Moment firstInviteAt) {
             this.callId = callId;
-            this.to = to;
-            this.first = first;
-            lastInvite = first;
+            this.switchAddress = switchAddress;
+            this.firstInviteAt = firstInviteAt;
+            lastInviteAt = firstInviteAt;
         }
 
         /** Null while it is out. */
-        Moment end() {
-            if (cancelledAt != null && (finalAt == null || cancelledAt.before(finalAt))) {
+        Moment endTime() {
+            if (cancelledAt != null && (finalResponseAt == null || cancelledAt.before(finalResponseAt))) {
                 return cancelledAt;
             }
-            return finalAt != null ? finalAt : heard == null ? lastInvite : null;
+            return finalResponseAt != null ? finalResponseAt : firstResponseAt == null ? lastInviteAt : null;
         }
 
         /** It may still hold something: it was cancelled, timed out or reset, or nothing was ever heard. */
-        boolean held() {
-            return cancelledAt != null && (finalAt == null || cancelledAt.before(finalAt))
-                    || finalAt == null
+        boolean mayHoldCircuits() {
+            return cancelledAt != null && (finalResponseAt == null || cancelledAt.before(finalResponseAt))
+                    || finalResponseAt == null
                     || timedOut;
         }
     }
 
-    private final Map<String, Ring> byCall = new HashMap<>();
-    private final Map<String, List<Ring>> byContact = new LinkedHashMap<>();
-    private final Map<String, Moment> answered = new HashMap<>();
-    private final List<String> twoOut = new ArrayList<>();
-    private final List<String> tooSoon = new ArrayList<>();
-    private Span release = Span.ofMillis(500);
-    private long successors;
+    private final Map<String, Ring> ringsByCall = new HashMap<>();
+    private final Map<String, List<Ring>> ringsByContact = new LinkedHashMap<>();
+    private final Map<String, Moment> answerTimes = new HashMap<>();
+    private final List<String> exclusivityViolations = new ArrayList<>();
+    private final List<String> releaseViolations = new ArrayList<>();
+    private Span releaseTime = Span.ofMillis(500);
+    private long successorCount;
 
-    void release(Span span) {
-        release = span;
+    void setReleaseTime(Span newReleaseTime) {
+        releaseTime = newReleaseTime;
     }
 
-    private static String key(int controller, String callId) {
-        return controller + " " + callId;
+    private static String controllerKey(int controller, String id) {
+        return controller + " " + id;
     }
 
     /** True where it is the first INVITE of a ring. */
-    boolean invite(Moment at, int controller, Request invite, String to) {
-        Ring known = byCall.get(key(controller, invite.callId()));
-        if (known != null) {
-            repeated(at, controller, invite, known);
-            known.lastInvite = at;
+    boolean inviteSent(Moment time, int controller, Request invite, String switchAddress) {
+        Ring knownRing = ringsByCall.get(controllerKey(controller, invite.callId()));
+        if (knownRing != null) {
+            inviteRepeated(time, controller, invite, knownRing);
+            knownRing.lastInviteAt = time;
             return false;
         }
-        Ring ring = new Ring(invite.callId(), to, at);
-        byCall.put(key(controller, invite.callId()), ring);
-        String contact = key(controller, String.valueOf(invite.headers().first("Session-ID")));
-        List<Ring> before = byContact.computeIfAbsent(contact, any -> new ArrayList<>(2));
-        if (!before.isEmpty()) {
-            successors++;
-            compare(at, contact, before.get(before.size() - 1), ring);
+        Ring ring = new Ring(invite.callId(), switchAddress, time);
+        ringsByCall.put(controllerKey(controller, invite.callId()), ring);
+        String contact =
+                controllerKey(controller, String.valueOf(invite.headers().first("Session-ID")));
+        List<Ring> earlierRings = ringsByContact.computeIfAbsent(contact, ignored -> new ArrayList<>(2));
+        if (!earlierRings.isEmpty()) {
+            successorCount++;
+            checkSuccessor(time, contact, earlierRings.get(earlierRings.size() - 1), ring);
         }
-        Moment end = answered.get(contact);
-        if (end != null && end.plus(SLACK).before(at)) {
-            twoOut.add("contact " + contact + ": ring to " + to + " "
-                    + at.since(end).ns() / 1_000_000 + " ms after its final answer, Call-ID " + ring.callId);
+        Moment answerTime = answerTimes.get(contact);
+        if (answerTime != null && answerTime.plus(CLOCK_TOLERANCE).before(time)) {
+            exclusivityViolations.add("contact " + contact + ": ring to " + switchAddress + " "
+                    + time.since(answerTime).ns() / 1_000_000 + " ms after its final answer, Call-ID " + ring.callId);
         }
-        before.add(ring);
+        earlierRings.add(ring);
         return true;
     }
 
     /** A ring that was given up is not sent again: not beside a later one, and not after the answer. */
-    private void repeated(Moment at, int controller, Request invite, Ring ring) {
-        String contact = key(controller, String.valueOf(invite.headers().first("Session-ID")));
-        List<Ring> rings = byContact.get(contact);
-        Ring last = rings == null ? ring : rings.get(rings.size() - 1);
-        Moment end = answered.get(contact);
-        boolean beside = last != ring && last.first.plus(ON_ITS_WAY).before(at);
-        boolean after =
-                end != null && ring.finalAt == null && end.plus(ON_ITS_WAY).before(at);
-        if (beside || after) {
-            twoOut.add("contact " + contact + ": ring to " + ring.to + " of " + ring.first.ns() + " sent again at "
-                    + at.ns() + (beside ? " beside a later one" : " after its final answer") + ", Call-ID "
+    private void inviteRepeated(Moment time, int controller, Request invite, Ring ring) {
+        String contact =
+                controllerKey(controller, String.valueOf(invite.headers().first("Session-ID")));
+        List<Ring> rings = ringsByContact.get(contact);
+        Ring latestRing = rings == null ? ring : rings.get(rings.size() - 1);
+        Moment answerTime = answerTimes.get(contact);
+        boolean besideLaterRing = latestRing != ring
+                && latestRing.firstInviteAt.plus(RETRANSMISSION_TOLERANCE).before(time);
+        boolean afterFinalAnswer = answerTime != null
+                && ring.finalResponseAt == null
+                && answerTime.plus(RETRANSMISSION_TOLERANCE).before(time);
+        if (besideLaterRing || afterFinalAnswer) {
+            exclusivityViolations.add("contact " + contact + ": ring to " + ring.switchAddress + " of "
+                    + ring.firstInviteAt.ns() + " sent again at "
+                    + time.ns() + (besideLaterRing ? " beside a later one" : " after its final answer") + ", Call-ID "
                     + ring.callId);
         }
     }
 
-    private void compare(Moment at, String contact, Ring before, Ring ring) {
-        Moment end = before.end();
-        if (end == null || at.plus(SLACK).before(end)) {
-            twoOut.add("contact " + contact + ": ring to " + ring.to + " at " + at.ns() + " while one to " + before.to
-                    + " of " + before.first.ns() + " is out, Call-IDs " + before.callId + " and " + ring.callId);
-        } else if (before.held() && at.since(end).plus(SLACK).compareTo(release) < 0) {
-            tooSoon.add("contact " + contact + ": ring to " + ring.to + " "
-                    + at.since(end).ns() / 1_000_000
-                    + " ms after one to " + before.to + " was given up, Call-IDs " + before.callId + " and "
+    private void checkSuccessor(Moment time, String contact, Ring previous, Ring ring) {
+        Moment previousEnd = previous.endTime();
+        if (previousEnd == null || time.plus(CLOCK_TOLERANCE).before(previousEnd)) {
+            exclusivityViolations.add("contact " + contact + ": ring to " + ring.switchAddress + " at " + time.ns()
+                    + " while one to " + previous.switchAddress + " of " + previous.firstInviteAt.ns()
+                    + " is out, Call-IDs " + previous.callId + " and " + ring.callId);
+        } else if (previous.mayHoldCircuits()
+                && time.since(previousEnd).plus(CLOCK_TOLERANCE).compareTo(releaseTime) < 0) {
+            releaseViolations.add("contact " + contact + ": ring to " + ring.switchAddress + " "
+                    + time.since(previousEnd).ns() / 1_000_000
+                    + " ms after one to " + previous.switchAddress + " was given up, Call-IDs " + previous.callId
+                    + " and "
                     + ring.callId);
         }
     }
 
-    void response(Moment at, int controller, Response response) throws InvalidValueException {
-        Ring ring = byCall.get(key(controller, response.callId()));
+    void responseReceived(Moment time, int controller, Response response) throws InvalidValueException {
+        Ring ring = ringsByCall.get(controllerKey(controller, response.callId()));
         if (ring == null) {
             return;
         }
-        ring.heard = ring.heard == null ? at : ring.heard;
-        if (response.status() >= 200 && ring.finalAt == null) {
-            ring.finalAt = at;
+        ring.firstResponseAt = ring.firstResponseAt == null ? time : ring.firstResponseAt;
+        if (response.status() >= 200 && ring.finalResponseAt == null) {
+            ring.finalResponseAt = time;
             // A tandem that gave up behind itself turns the contact back: this ring is over and holds nothing.
-            ReleaseCause release = ReleaseCause.of(response);
-            boolean beyond = release != null && release.hasLocation(ReleaseCause.TRANSIT_NETWORK);
-            ring.timedOut = response.status() == 408 || response.status() == 504 && !beyond;
+            ReleaseCause releaseCause = ReleaseCause.of(response);
+            boolean rejectedBeyondTandem =
+                    releaseCause != null && releaseCause.hasLocation(ReleaseCause.TRANSIT_NETWORK);
+            ring.timedOut = response.status() == 408 || response.status() == 504 && !rejectedBeyondTandem;
         }
     }
 
-    void cancelled(Moment at, int controller, String callId) {
-        Ring ring = byCall.get(key(controller, callId));
+    void cancelSent(Moment time, int controller, String callId) {
+        Ring ring = ringsByCall.get(controllerKey(controller, callId));
         if (ring != null && ring.cancelledAt == null) {
-            ring.cancelledAt = at;
+            ring.cancelledAt = time;
         }
     }
 
-    void contactAnswered(Moment at, int controller, String session) {
-        answered.putIfAbsent(key(controller, session), at);
+    void contactAnswered(Moment time, int controller, String sessionId) {
+        answerTimes.putIfAbsent(controllerKey(controller, sessionId), time);
     }
 
     /** A killed controller's rings end with it, and it knows nothing of its contacts when it comes back. */
-    void killed(int controller) {
-        byContact.keySet().removeIf(contact -> contact.startsWith(controller + " "));
+    void controllerKilled(int controller) {
+        ringsByContact.keySet().removeIf(contact -> contact.startsWith(controller + " "));
     }
 
-    RuleResult oneOut() {
-        return new RuleResult(2, "one ring out, none after the answer", byCall.size(), twoOut);
+    RuleResult exclusivityResult() {
+        return new RuleResult(2, "one ring out, none after the answer", ringsByCall.size(), exclusivityViolations);
     }
 
-    RuleResult releaseAwaited() {
-        return new RuleResult(5, "release awaited", successors, tooSoon);
+    RuleResult releaseResult() {
+        return new RuleResult(5, "release awaited", successorCount, releaseViolations);
     }
 }
--- a/src/main/java/martenslip/verification/RuleResult.java
+++ b/src/main/java/martenslip/verification/RuleResult.java
@@ -5,7 +5,7 @@
 
 /** What a capture shows of one rule; {@code judged} is how many cases could have broken it. */
 public record RuleResult(int rule, String name, long caseCount, List<String> violations) {
-    private static final int MOST_LINES = 20;
+    private static final int MAX_PRINTED_VIOLATIONS = 20;
 
     public boolean passed() {
         return violations.isEmpty();
@@ -14,6 +14,6 @@
     public void print(PrintStream out) {
         out.println("rule " + rule + ": " + (passed() ? "kept" : "broken") + " (" + name + ", " + caseCount + " cases"
                 + (passed() ? "" : ", " + violations.size() + " broken") + ")");
-        violations.stream().limit(MOST_LINES).forEach(line -> out.println("  " + line));
+        violations.stream().limit(MAX_PRINTED_VIOLATIONS).forEach(violation -> out.println("  " + violation));
     }
 }
--- a/src/main/java/martenslip/verification/RuleVerifier.java
+++ b/src/main/java/martenslip/verification/RuleVerifier.java
@@ -17,42 +17,42 @@
  */
 public final class RuleVerifier implements CaptureReader.RecordHandler {
     private final Map<String, Integer> controllers = new HashMap<>();
-    private final Map<String, String> machines = new HashMap<>();
-    private final FinalAnswerRule answers = new FinalAnswerRule();
-    private final RingRules rings = new RingRules();
-    private final DrainRule drains = new DrainRule();
-    private final ColdStartRule cold = new ColdStartRule();
+    private final Map<String, String> switchAddressByLink = new HashMap<>();
+    private final FinalAnswerRule finalAnswerRule = new FinalAnswerRule();
+    private final RingRules ringRules = new RingRules();
+    private final DrainRule drainRule = new DrainRule();
+    private final ColdStartRule coldStartRule = new ColdStartRule();
 
     @Override
-    public void annotation(Moment at, String kind, Map<String, String> words) {
+    public void annotation(Moment time, String kind, Map<String, String> attributes) {
         switch (kind) {
             case "controller" -> {
-                int number = Integer.parseInt(words.get("number"));
-                controllers.put(words.get("host"), number);
-                if (words.get("state").equals("killed")) {
-                    answers.killed(number, at);
-                    rings.killed(number);
-                    drains.killed(number);
+                int number = Integer.parseInt(attributes.get("number"));
+                controllers.put(attributes.get("host"), number);
+                if (attributes.get("state").equals("killed")) {
+                    finalAnswerRule.controllerKilled(number, time);
+                    ringRules.controllerKilled(number);
+                    drainRule.controllerKilled(number);
                 } else {
-                    answers.up(number);
+                    finalAnswerRule.controllerUp(number);
                 }
             }
-            case "resetting" -> answers.resetting(Integer.parseInt(words.get("number")), at);
-            case "reset" -> answers.reset(Integer.parseInt(words.get("number")), at);
-            case "machine" -> machines.put(words.get("local"), words.get("at"));
+            case "resetting" -> finalAnswerRule.resetStarted(Integer.parseInt(attributes.get("number")), time);
+            case "reset" -> finalAnswerRule.resetFinished(Integer.parseInt(attributes.get("number")), time);
+            case "machine" -> switchAddressByLink.put(attributes.get("local"), attributes.get("at"));
             case "cold" ->
-                cold.started(
-                        words.get("at"),
-                        at,
-                        Double.parseDouble(words.get("capacity")),
-                        Double.parseDouble(words.get("from")),
-                        Span.ofMillis(Double.parseDouble(words.get("warm-ms"))));
+                coldStartRule.coldStartObserved(
+                        attributes.get("at"),
+                        time,
+                        Double.parseDouble(attributes.get("capacity")),
+                        Double.parseDouble(attributes.get("from")),
+                        Span.ofMillis(Double.parseDouble(attributes.get("warm-ms"))));
             case "rules" -> {
-                rings.release(Span.ofMillis(Double.parseDouble(words.get("release-ms"))));
-                drains.grace(Span.ofMillis(Double.parseDouble(words.get("drain-grace-ms"))));
-                cold.budget(
-                        Double.parseDouble(words.get("fall-multiple")),
-                        Span.ofMillis(Double.parseDouble(words.get("fall-ms"))));
+                ringRules.setReleaseTime(Span.ofMillis(Double.parseDouble(attributes.get("release-ms"))));
+                drainRule.setGracePeriod(Span.ofMillis(Double.parseDouble(attributes.get("drain-grace-ms"))));
+                coldStartRule.setLoadLimit(
+                        Double.parseDouble(attributes.get("fall-multiple")),
+                        Span.ofMillis(Double.parseDouble(attributes.get("fall-ms"))));
             }
             default -> {
                 // Facts for people, such as the beginning of a trouble.
@@ -61,69 +61,70 @@
     }
 
     @Override
-    public void message(Moment at, boolean in, String local, String remote, boolean lost, Message message) {
+    public void message(Moment time, boolean inbound, String local, String remote, boolean lost, Message message) {
         Integer controller = controllers.get(remote);
         if (controller == null) {
             return;
         }
         try {
-            if (in) {
-                fromController(at, controller, local, message);
+            if (inbound) {
+                fromController(time, controller, local, message);
             } else if (!lost) {
-                toController(at, controller, message);
+                toController(time, controller, message);
             }
         } catch (InvalidValueException e) {
-            answers.unreadable(at, controller, e.getMessage());
+            finalAnswerRule.messageUnreadable(time, controller, e.getMessage());
         }
     }
 
     /** Every message counts that a controller sent, whether the wires lost it later or not. */
-    private void fromController(Moment at, int controller, String local, Message message) throws InvalidValueException {
+    private void fromController(Moment time, int controller, String local, Message message)
+            throws InvalidValueException {
         if (message instanceof Response response) {
             if (response.cseq().method().equals("INVITE") && response.status() >= 200) {
-                answers.answered(at, controller, response);
-                rings.contactAnswered(at, controller, answers.session(controller, response));
+                finalAnswerRule.answerReceived(time, controller, response);
+                ringRules.contactAnswered(time, controller, finalAnswerRule.sessionId(controller, response));
             }
             return;
         }
         Request request = (Request) message;
-        boolean begins = request.hasMethod("INVITE") && request.to().tag().isEmpty();
-        if (begins && machines.containsKey(local)) {
-            String to = machines.get(local);
-            boolean first = rings.invite(at, controller, request, to);
-            if (first) {
-                drains.sent(at, controller, request, to);
-                cold.sent(at, controller, to);
+        boolean startsCall = request.hasMethod("INVITE") && request.to().tag().isEmpty();
+        if (startsCall && switchAddressByLink.containsKey(local)) {
+            String switchAddress = switchAddressByLink.get(local);
+            boolean firstInvite = ringRules.inviteSent(time, controller, request, switchAddress);
+            if (firstInvite) {
+                drainRule.ringSent(time, controller, request, switchAddress);
+                coldStartRule.ringSent(time, controller, switchAddress);
             }
         } else if (request.hasMethod("CANCEL")) {
-            rings.cancelled(at, controller, request.callId());
+            ringRules.cancelSent(time, controller, request.callId());
         }
     }
 
-    private void toController(Moment at, int controller, Message message) throws InvalidValueException {
+    private void toController(Moment time, int controller, Message message) throws InvalidValueException {
         if (message instanceof Response response) {
             if (response.cseq().method().equals("INVITE")) {
-                rings.response(at, controller, response);
+                ringRules.responseReceived(time, controller, response);
             }
             return;
         }
         Request request = (Request) message;
         if (request.hasMethod("INVITE") && request.to().tag().isEmpty()) {
-            answers.taken(at, controller, request);
+            finalAnswerRule.inviteSent(time, controller, request);
         } else if (request.hasMethod("NOTIFY")
                 && "martenslip-switches".equals(request.headers().first("Event"))) {
-            drains.told(at, controller, request.body());
+            drainRule.listNotified(time, controller, request.body());
         }
     }
 
     /** To be called once, after the last record. */
-    public List<RuleResult> verdicts() {
-        List<RuleResult> all = new ArrayList<>();
-        all.add(answers.verdict());
-        all.add(rings.oneOut());
-        all.add(drains.verdict());
-        all.add(cold.verdict());
-        all.add(rings.releaseAwaited());
-        return all;
+    public List<RuleResult> results() {
+        List<RuleResult> results = new ArrayList<>();
+        results.add(finalAnswerRule.result());
+        results.add(ringRules.exclusivityResult());
+        results.add(drainRule.result());
+        results.add(coldStartRule.result());
+        results.add(ringRules.releaseResult());
+        return results;
     }
 }
--- a/src/test/java/martenslip/benchmark/DataStructureBenchmark.java
+++ b/src/test/java/martenslip/benchmark/DataStructureBenchmark.java
@@ -38,56 +38,57 @@
     /** As many timers as stand at 620 contacts a second, most taken back before they ring. */
     @State(Scope.Thread)
     public static class Timers {
-        static final int STANDING = 20_000;
-        final SplittableRandom chance = new SplittableRandom(1);
+        static final int ACTIVE_TIMER_COUNT = 20_000;
+        final SplittableRandom random = new SplittableRandom(1);
         final TimerWheel wheel = new TimerWheel(new Moment(0));
-        final ArrayDeque<TimerWheel.Timer> set = new ArrayDeque<>();
+        final ArrayDeque<TimerWheel.Timer> activeTimers = new ArrayDeque<>();
         final PriorityQueue<long[]> heap = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-        final ArrayDeque<long[]> due = new ArrayDeque<>();
-        long now;
+        final ArrayDeque<long[]> heapEntries = new ArrayDeque<>();
+        long operationCount;
 
         @Setup(Level.Trial)
         public void fill() {
-            for (int i = 0; i < STANDING; i++) {
-                set.add(wheel.scheduleAfter(Span.ofMillis(500 + chance.nextInt(30_000)), () -> {}));
-                long[] one = {500 + chance.nextInt(30_000), 1};
-                heap.add(one);
-                due.add(one);
+            for (int i = 0; i < ACTIVE_TIMER_COUNT; i++) {
+                activeTimers.add(wheel.scheduleAfter(Span.ofMillis(500 + random.nextInt(30_000)), () -> {}));
+                long[] entry = {500 + random.nextInt(30_000), 1};
+                heap.add(entry);
+                heapEntries.add(entry);
             }
         }
     }
 
     /** Sets one, takes the oldest back, and turns a millisecond each 16 times. */
     @Benchmark
-    public void timersWheel(Timers on) {
-        on.set.add(on.wheel.scheduleAfter(Span.ofMillis(500 + on.chance.nextInt(30_000)), () -> {}));
-        on.set.poll().cancel();
-        if ((++on.now & 15) == 0) {
-            on.wheel.advanceTo(new Moment((on.now >> 4) * 1_000_000));
+    public void timersWheel(Timers timers) {
+        timers.activeTimers.add(
+                timers.wheel.scheduleAfter(Span.ofMillis(500 + timers.random.nextInt(30_000)), () -> {}));
+        timers.activeTimers.poll().cancel();
+        if ((++timers.operationCount & 15) == 0) {
+            timers.wheel.advanceTo(new Moment((timers.operationCount >> 4) * 1_000_000));
         }
     }
 
     /** The same with a heap; one that is taken back is marked, and left until its time. */
     @Benchmark
-    public void timersHeap(Timers on) {
-        long[] one = {(on.now >> 4) + 500 + on.chance.nextInt(30_000), 1};
-        on.heap.add(one);
-        on.due.add(one);
-        on.due.poll()[1] = 0;
-        if ((++on.now & 15) == 0) {
-            while (!on.heap.isEmpty() && on.heap.peek()[0] <= on.now >> 4) {
-                on.heap.poll();
+    public void timersHeap(Timers timers) {
+        long[] entry = {(timers.operationCount >> 4) + 500 + timers.random.nextInt(30_000), 1};
+        timers.heap.add(entry);
+        timers.heapEntries.add(entry);
+        timers.heapEntries.poll()[1] = 0;
+        if ((++timers.operationCount & 15) == 0) {
+            while (!timers.heap.isEmpty() && timers.heap.peek()[0] <= timers.operationCount >> 4) {
+                timers.heap.poll();
             }
         }
     }
 
     /** Keys as transactions have them. */
     @State(Scope.Thread)
-    public static class Table {
-        final Map<String, Object> plain = new HashMap<>();
-        final Map<String, Object> shared = new ConcurrentHashMap<>();
+    public static class TransactionTable {
+        final Map<String, Object> hashMap = new HashMap<>();
+        final Map<String, Object> concurrentMap = new ConcurrentHashMap<>();
         final String[] keys = new String[40_000];
-        int next;
+        int nextIndex;
 
         @Setup(Level.Trial)
         public void fill() {
@@ -95,29 +96,29 @@
                 keys[i] = "INVITE z9hG4bK1x8k2j9f0s." + Integer.toString(i, 36);
             }
             for (int i = 0; i < 20_000; i++) {
-                plain.put(keys[i], this);
-                shared.put(keys[i], this);
+                hashMap.put(keys[i], this);
+                concurrentMap.put(keys[i], this);
             }
         }
     }
 
-    private static Object use(Map<String, Object> map, Table table) {
-        int at = table.next++ % 20_000;
+    private static Object putGetRemove(Map<String, Object> map, TransactionTable table) {
+        int index = table.nextIndex++ % 20_000;
         // A fresh text each time, as one read off a message: its hash is not known yet.
-        map.put(new String(table.keys[20_000 + at]), table);
-        Object found = map.get(new String(table.keys[20_000 + at].toCharArray()));
-        map.remove(table.keys[20_000 + at]);
+        map.put(new String(table.keys[20_000 + index]), table);
+        Object found = map.get(new String(table.keys[20_000 + index].toCharArray()));
+        map.remove(table.keys[20_000 + index]);
         return found;
     }
 
     @Benchmark
-    public Object tableOfOneThread(Table table) {
-        return use(table.plain, table);
+    public Object tableOfOneThread(TransactionTable table) {
+        return putGetRemove(table.hashMap, table);
     }
 
     @Benchmark
-    public Object tableConcurrent(Table table) {
-        return use(table.shared, table);
+    public Object tableConcurrent(TransactionTable table) {
+        return putGetRemove(table.concurrentMap, table);
     }
 
     /** Three readers and one lane. */
@@ -129,7 +130,7 @@
         Queue<Object> queue;
 
         @Setup(Level.Iteration)
-        public void make() {
+        public void createQueue() {
             queue = switch (kind) {
                 case "ArrayBlockingQueue" -> new ArrayBlockingQueue<>(65_536);
                 default -> new LinkedBlockingQueue<>(65_536);
--- a/src/test/java/martenslip/scenario/EndToEndTest.java
+++ b/src/test/java/martenslip/scenario/EndToEndTest.java
@@ -23,7 +23,7 @@
 
 /** Callers, controllers and switches over loopback; then each rule with a fault planted in a controller. */
 public class EndToEndTest {
-    private static final Span UNIT = Span.ofMillis(2);
+    private static final Span SET_UP_TIME = Span.ofMillis(2);
 
     @DataProvider
     public Object[][] transports() {
@@ -31,44 +31,45 @@
     }
 
     @Test(dataProvider = "transports")
-    public void contactsStandAndGiveAllBack(Hop.Protocol kind) throws Exception {
-        ThreeExchangeEnvironment world = new ThreeExchangeEnvironment(kind, UNIT, RoutingPolicy::new);
+    public void contactsAreEstablishedAndReleaseTheirCircuits(Hop.Protocol protocol) throws Exception {
+        ThreeExchangeEnvironment environment = new ThreeExchangeEnvironment(protocol, SET_UP_TIME, RoutingPolicy::new);
         for (int i = 0; i < 30; i++) {
-            world.callers.dial(i % 3, (i + 1) % 3, 0);
+            environment.callers.dial(i % 3, (i + 1) % 3, 0);
         }
-        ThreeExchangeEnvironment.await(() -> world.ended() == 30, "all ended");
-        assertEquals(world.tally(CallOutcome.IN_TARGET), 30);
-        ThreeExchangeEnvironment.await(() -> world.trunks.circuitsInUse() == 0, "circuits given back");
+        ThreeExchangeEnvironment.await(() -> environment.endedCount() == 30, "all ended");
+        assertEquals(environment.outcomeCount(CallOutcome.IN_TARGET), 30);
+        ThreeExchangeEnvironment.await(() -> environment.trunks.circuitsInUse() == 0, "circuits given back");
         for (int rule = 1; rule <= 5; rule++) {
-            RuleResult verdict = world.verdict(rule);
-            assertTrue(verdict.passed(), verdict.toString());
+            RuleResult result = environment.result(rule);
+            assertTrue(result.passed(), result.toString());
         }
     }
 
     @Test
-    public void aFullGroupIsGoneRoundByATandem() throws Exception {
-        try (ThreeExchangeEnvironment world =
-                new ThreeExchangeEnvironment(Hop.Protocol.UDP, UNIT, RoutingPolicy::new)) {
-            world.trunks.reduceCircuits("g-0-1", 0);
+    public void fullGroupIsBypassedThroughTandem() throws Exception {
+        try (ThreeExchangeEnvironment environment =
+                new ThreeExchangeEnvironment(Hop.Protocol.UDP, SET_UP_TIME, RoutingPolicy::new)) {
+            environment.trunks.reduceCircuits("g-0-1", 0);
             ThreeExchangeEnvironment.await(
-                    () -> world.exchanges.get(0).freeCircuits(1) == 0, "the group known as full");
-            world.callers.dial(0, 1, 0);
-            ThreeExchangeEnvironment.await(() -> world.ended() == 1, "ended");
-            assertEquals(world.tally(CallOutcome.IN_TARGET), 1);
+                    () -> environment.exchanges.get(0).freeCircuits(1) == 0, "the group known as full");
+            environment.callers.dial(0, 1, 0);
+            ThreeExchangeEnvironment.await(() -> environment.endedCount() == 1, "ended");
+            assertEquals(environment.outcomeCount(CallOutcome.IN_TARGET), 1);
         }
     }
 
     @Test
-    public void whatAHungSwitchSwallowsIsAnsweredInTime() throws Exception {
-        ThreeExchangeEnvironment world = new ThreeExchangeEnvironment(Hop.Protocol.UDP, UNIT, RoutingPolicy::new);
-        world.wires.get(1).setSilent(true);
+    public void contactsSentToSilentSwitchAreAnsweredInTime() throws Exception {
+        ThreeExchangeEnvironment environment =
+                new ThreeExchangeEnvironment(Hop.Protocol.UDP, SET_UP_TIME, RoutingPolicy::new);
+        environment.links.get(1).setSilent(true);
         for (int i = 0; i < 5; i++) {
-            world.callers.dial(0, 1, 0);
+            environment.callers.dial(0, 1, 0);
         }
-        ThreeExchangeEnvironment.await(() -> world.ended() == 5, "all ended");
-        assertEquals(world.tally(CallOutcome.NO_ANSWER), 0);
-        assertTrue(world.verdict(1).passed());
-        assertTrue(world.verdict(5).passed());
+        ThreeExchangeEnvironment.await(() -> environment.endedCount() == 5, "all ended");
+        assertEquals(environment.outcomeCount(CallOutcome.NO_ANSWER), 0);
+        assertTrue(environment.result(1).passed());
+        assertTrue(environment.result(5).passed());
     }
 
     /** A module that does what a test says with each contact. */
@@ -108,84 +109,86 @@
         public void stopped(Moment now) {}
     }
 
-    private static ControllerFactory faulty(java.util.function.Function<Orders, Controller> faulty) {
+    private static ControllerFactory faultyFactory(java.util.function.Function<Orders, Controller> createController) {
         return (Map<String, String> settings, long seed, Moment now, Orders orders) ->
                 "0".equals(settings.get("family-info.home-no"))
-                        ? faulty.apply(orders)
+                        ? createController.apply(orders)
                         : new RoutingPolicy(settings, seed, now, orders);
     }
 
-    private static long id(ThreeExchangeEnvironment world, int exchange) {
+    private static long switchId(ThreeExchangeEnvironment environment, int exchange) {
         try {
             return martenslip.signaling.EventPackageCodec.switchId(
-                    world.machines.get(exchange).address(Hop.Protocol.UDP));
+                    environment.switches.get(exchange).address(Hop.Protocol.UDP));
         } catch (martenslip.sip.message.InvalidValueException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static final class Holder {
-        volatile ThreeExchangeEnvironment world;
+    private static final class EnvironmentHolder {
+        volatile ThreeExchangeEnvironment environment;
     }
 
-    private static RuleResult caught(RuleResult verdict) {
-        assertFalse(verdict.passed(), verdict.toString());
-        return verdict;
+    private static RuleResult assertViolated(RuleResult result) {
+        assertFalse(result.passed(), result.toString());
+        return result;
     }
 
     @Test
-    public void rule1CatchesAContactThatIsNeverAnswered() throws Exception {
-        ThreeExchangeEnvironment world =
-                new ThreeExchangeEnvironment(Hop.Protocol.UDP, UNIT, faulty(orders -> new FaultyController(orders) {}));
+    public void rule1DetectsUnansweredContact() throws Exception {
+        ThreeExchangeEnvironment environment = new ThreeExchangeEnvironment(
+                Hop.Protocol.UDP, SET_UP_TIME, faultyFactory(orders -> new FaultyController(orders) {}));
         // The caller's own CANCEL would be an answer; this one stays on the line, as its CANCEL is lost. A module that
         // is silent alone is not enough, as the lane has the last word: the whole controller ends amid the contact.
-        world.callers.dial(0, 1, 0);
-        ThreeExchangeEnvironment.await(() -> world.exchanges.get(0).statistics().contains("taken=1 "), "taken");
-        world.wires.get(0).setSilent(true);
-        world.exchanges.get(0).close();
-        ThreeExchangeEnvironment.await(() -> world.ended() == 1, "the caller gave up");
-        long due = System.nanoTime() + 200_000_000;
-        ThreeExchangeEnvironment.await(() -> System.nanoTime() > due, "its patience over at the controller too");
-        world.callers.dial(1, 2, 0);
-        ThreeExchangeEnvironment.await(() -> world.ended() == 2, "a later contact");
-        caught(world.verdict(1));
+        environment.callers.dial(0, 1, 0);
+        ThreeExchangeEnvironment.await(
+                () -> environment.exchanges.get(0).statistics().contains("taken=1 "), "taken");
+        environment.links.get(0).setSilent(true);
+        environment.exchanges.get(0).close();
+        ThreeExchangeEnvironment.await(() -> environment.endedCount() == 1, "the caller gave up");
+        long patienceEnd = System.nanoTime() + 200_000_000;
+        ThreeExchangeEnvironment.await(
+                () -> System.nanoTime() > patienceEnd, "its patience over at the controller too");
+        environment.callers.dial(1, 2, 0);
+        ThreeExchangeEnvironment.await(() -> environment.endedCount() == 2, "a later contact");
+        assertViolated(environment.result(1));
     }
 
     @Test
-    public void aModuleThatNeverAnswersLeavesTheLastWordToTheLane() throws Exception {
-        ThreeExchangeEnvironment world =
-                new ThreeExchangeEnvironment(Hop.Protocol.UDP, UNIT, faulty(orders -> new FaultyController(orders) {}));
-        world.callers.dial(0, 1, 0);
-        ThreeExchangeEnvironment.await(() -> world.ended() == 1, "ended");
+    public void laneAbandonsContactThatTheModuleNeverAnswers() throws Exception {
+        ThreeExchangeEnvironment environment = new ThreeExchangeEnvironment(
+                Hop.Protocol.UDP, SET_UP_TIME, faultyFactory(orders -> new FaultyController(orders) {}));
+        environment.callers.dial(0, 1, 0);
+        ThreeExchangeEnvironment.await(() -> environment.endedCount() == 1, "ended");
         assertTrue(
-                world.exchanges.get(0).statistics().contains("abandoned=1 "),
-                world.exchanges.get(0).statistics());
-        RuleResult verdict = world.verdict(1);
-        assertTrue(verdict.passed(), verdict.toString());
+                environment.exchanges.get(0).statistics().contains("abandoned=1 "),
+                environment.exchanges.get(0).statistics());
+        RuleResult result = environment.result(1);
+        assertTrue(result.passed(), result.toString());
     }
 
     @Test
-    public void rule2CatchesASecondRingBesideTheFirst() throws Exception {
-        Holder holder = new Holder();
-        holder.world =
-                new ThreeExchangeEnvironment(Hop.Protocol.UDP, UNIT, faulty(orders -> new FaultyController(orders) {
+    public void rule2DetectsSecondRingInFlight() throws Exception {
+        EnvironmentHolder holder = new EnvironmentHolder();
+        holder.environment = new ThreeExchangeEnvironment(
+                Hop.Protocol.UDP, SET_UP_TIME, faultyFactory(orders -> new FaultyController(orders) {
                     @Override
                     public void contactOffered(Moment now, Contact contact) {
-                        orders.ring(contact.id(), id(holder.world, 1), contact.patience());
-                        InjectedRing.send(holder.world, 0, contact.patience());
+                        orders.ring(contact.id(), switchId(holder.environment, 1), contact.patience());
+                        InjectedRing.send(holder.environment, 0, contact.patience());
                     }
                 }));
-        holder.world.machines.get(1).setSlowdown(200);
-        holder.world.callers.dial(0, 1, 0);
-        ThreeExchangeEnvironment.await(() -> holder.world.ended() == 1, "ended");
-        caught(holder.world.verdict(2));
+        holder.environment.switches.get(1).setSlowdown(200);
+        holder.environment.callers.dial(0, 1, 0);
+        ThreeExchangeEnvironment.await(() -> holder.environment.endedCount() == 1, "ended");
+        assertViolated(holder.environment.result(2));
     }
 
     @Test
-    public void rule3CatchesARingToADrainedSwitch() throws Exception {
-        Holder holder = new Holder();
-        holder.world =
-                new ThreeExchangeEnvironment(Hop.Protocol.UDP, UNIT, faulty(orders -> new FaultyController(orders) {
+    public void rule3DetectsRingToDrainedSwitch() throws Exception {
+        EnvironmentHolder holder = new EnvironmentHolder();
+        holder.environment = new ThreeExchangeEnvironment(
+                Hop.Protocol.UDP, SET_UP_TIME, faultyFactory(orders -> new FaultyController(orders) {
                     @Override
                     public void contactOffered(Moment now, Contact contact) {
                         orders.startTimer(Span.ofMillis(500), contact.id());
@@ -193,47 +196,48 @@
 
                     @Override
                     public void timerExpired(Moment now, long token) {
-                        orders.ring(token, id(holder.world, 1), Span.ofMillis(500));
+                        orders.ring(token, switchId(holder.environment, 1), Span.ofMillis(500));
                     }
                 }));
-        holder.world.list(1, SwitchEntry.State.DRAINING, false);
-        holder.world.callers.dial(0, 1, 0);
-        ThreeExchangeEnvironment.await(() -> holder.world.ended() == 1, "ended");
-        caught(holder.world.verdict(3));
+        holder.environment.publishState(1, SwitchEntry.State.DRAINING, false);
+        holder.environment.callers.dial(0, 1, 0);
+        ThreeExchangeEnvironment.await(() -> holder.environment.endedCount() == 1, "ended");
+        assertViolated(holder.environment.result(3));
     }
 
     @Test
-    public void rule4CatchesAColdSwitchPushedOver() throws Exception {
-        Holder holder = new Holder();
-        holder.world = new ThreeExchangeEnvironment(
-                Hop.Protocol.UDP, Span.ofMillis(60), faulty(orders -> new FaultyController(orders) {
+    public void rule4DetectsOverloadOfColdSwitch() throws Exception {
+        EnvironmentHolder holder = new EnvironmentHolder();
+        holder.environment = new ThreeExchangeEnvironment(
+                Hop.Protocol.UDP, Span.ofMillis(60), faultyFactory(orders -> new FaultyController(orders) {
                     @Override
                     public void contactOffered(Moment now, Contact contact) {
-                        orders.ring(contact.id(), id(holder.world, 1), contact.patience());
+                        orders.ring(contact.id(), switchId(holder.environment, 1), contact.patience());
                     }
                 }));
-        ThreeExchangeEnvironment world = holder.world;
-        world.machines.get(1).restart(lost -> {});
-        world.capture.annotation(
+        ThreeExchangeEnvironment environment = holder.environment;
+        environment.switches.get(1).restart(ignored -> {});
+        environment.capture.annotation(
                 "cold",
-                "at=" + world.place(1) + " capacity=" + world.machines.get(1).capacity() + " from=0.3 warm-ms=10000");
+                "at=" + environment.switchHostPort(1) + " capacity="
+                        + environment.switches.get(1).capacity() + " from=0.3 warm-ms=10000");
         // The own switch would else be the one that turns them away.
-        world.machines.get(0).setSlowdown(0.01);
+        environment.switches.get(0).setSlowdown(0.01);
         for (int i = 0; i < 40; i++) {
-            world.callers.dial(0, 1, 0);
+            environment.callers.dial(0, 1, 0);
         }
-        ThreeExchangeEnvironment.await(() -> world.machines.get(1).overloaded(), "pushed over");
-        caught(world.verdict(4));
+        ThreeExchangeEnvironment.await(() -> environment.switches.get(1).overloaded(), "pushed over");
+        assertViolated(environment.result(4));
     }
 
     @Test
-    public void rule5CatchesARingWithinTheReleaseTime() throws Exception {
-        Holder holder = new Holder();
-        holder.world =
-                new ThreeExchangeEnvironment(Hop.Protocol.UDP, UNIT, faulty(orders -> new FaultyController(orders) {
+    public void rule5DetectsRingWithinReleaseTime() throws Exception {
+        EnvironmentHolder holder = new EnvironmentHolder();
+        holder.environment = new ThreeExchangeEnvironment(
+                Hop.Protocol.UDP, SET_UP_TIME, faultyFactory(orders -> new FaultyController(orders) {
                     @Override
                     public void contactOffered(Moment now, Contact contact) {
-                        orders.ring(contact.id(), id(holder.world, 1), Span.ofMillis(200));
+                        orders.ring(contact.id(), switchId(holder.environment, 1), Span.ofMillis(200));
                     }
 
                     @Override
@@ -243,9 +247,9 @@
                         }
                     }
                 }));
-        holder.world.machines.get(1).setSlowdown(500);
-        holder.world.callers.dial(0, 1, 0);
-        ThreeExchangeEnvironment.await(() -> holder.world.ended() == 1, "ended");
-        caught(holder.world.verdict(5));
+        holder.environment.switches.get(1).setSlowdown(500);
+        holder.environment.callers.dial(0, 1, 0);
+        ThreeExchangeEnvironment.await(() -> holder.environment.endedCount() == 1, "ended");
+        assertViolated(holder.environment.result(5));
     }
 }
--- a/src/test/java/martenslip/scenario/EventReplayTest.java
+++ b/src/test/java/martenslip/scenario/EventReplayTest.java
@@ -27,82 +27,82 @@
         final Map<String, String> settings;
         final long seed;
         final Moment start;
-        final List<Consumer<Controller>> told = new ArrayList<>();
-        final List<Contact> offered = new CopyOnWriteArrayList<>();
-        final List<String> ordered = new ArrayList<>();
+        final List<Consumer<Controller>> events = new ArrayList<>();
+        final List<Contact> offeredContacts = new CopyOnWriteArrayList<>();
+        final List<String> orderLines = new ArrayList<>();
         private final Controller module;
 
         RecordingController(Map<String, String> settings, long seed, Moment now, Orders orders) {
             this.settings = settings;
             this.seed = seed;
             start = now;
-            module = new RoutingPolicy(settings, seed, now, written(ordered, orders));
+            module = new RoutingPolicy(settings, seed, now, recordingOrders(orderLines, orders));
         }
 
-        private synchronized void tell(Consumer<Controller> what) {
-            told.add(what);
-            ordered.add("-");
-            what.accept(module);
+        private synchronized void recordAndForward(Consumer<Controller> event) {
+            events.add(event);
+            orderLines.add("-");
+            event.accept(module);
         }
 
-        synchronized List<String> again() {
-            List<String> orders = new ArrayList<>();
-            Controller fresh = new RoutingPolicy(settings, seed, start, written(orders, null));
-            for (Consumer<Controller> what : told) {
-                orders.add("-");
-                what.accept(fresh);
+        synchronized List<String> replay() {
+            List<String> replayedLines = new ArrayList<>();
+            Controller replayModule = new RoutingPolicy(settings, seed, start, recordingOrders(replayedLines, null));
+            for (Consumer<Controller> event : events) {
+                replayedLines.add("-");
+                event.accept(replayModule);
             }
-            return orders;
+            return replayedLines;
         }
 
         @Override
         public void switchListReceived(Moment now, ListKind kind, List<SwitchEntry> lines) {
-            tell(to -> to.switchListReceived(now, kind, lines));
+            recordAndForward(controller -> controller.switchListReceived(now, kind, lines));
         }
 
         @Override
         public void contactOffered(Moment now, Contact contact) {
-            offered.add(contact);
-            tell(to -> to.contactOffered(now, contact));
+            offeredContacts.add(contact);
+            recordAndForward(controller -> controller.contactOffered(now, contact));
         }
 
         @Override
         public void established(Moment now, long contact, int ring, long target, Span took) {
-            tell(to -> to.established(now, contact, ring, target, took));
+            recordAndForward(controller -> controller.established(now, contact, ring, target, took));
         }
 
         @Override
         public void ringEnded(Moment now, RingEnd end) {
-            tell(to -> to.ringEnded(now, end));
+            recordAndForward(controller -> controller.ringEnded(now, end));
         }
 
         @Override
         public void callerGone(Moment now, long contact) {
-            tell(to -> to.callerGone(now, contact));
+            recordAndForward(controller -> controller.callerGone(now, contact));
         }
 
         @Override
         public void timerExpired(Moment now, long token) {
-            tell(to -> to.timerExpired(now, token));
+            recordAndForward(controller -> controller.timerExpired(now, token));
         }
 
         @Override
         public void switchReported(Moment now, long target, boolean reached, Span took, float[] report) {
-            tell(to -> to.switchReported(now, target, reached, took, report));
+            recordAndForward(controller -> controller.switchReported(now, target, reached, took, report));
         }
 
         @Override
         public void peerNoteReceived(Moment now, int peer, byte[] note) {
-            tell(to -> to.peerNoteReceived(now, peer, note));
+            recordAndForward(controller -> controller.peerNoteReceived(now, peer, note));
         }
 
         @Override
         public void stopped(Moment now) {
-            tell(to -> to.stopped(now));
+            recordAndForward(controller -> controller.stopped(now));
         }
     }
 
-    private static Orders written(List<String> lines, Orders on) {
+    private static Orders recordingOrders(List<String> lines, Orders delegate) {
         return (Orders) java.lang.reflect.Proxy.newProxyInstance(
                 Orders.class.getClassLoader(), new Class<?>[] {Orders.class}, (proxy, method, values) -> {
                     StringBuilder line = new StringBuilder(method.getName());
@@ -110,46 +110,47 @@
                         line.append(' ').append(value instanceof byte[] bytes ? List.of(bytes.length) : value);
                     }
                     lines.add(line.toString());
-                    return on == null ? null : method.invoke(on, values);
+                    return delegate == null ? null : method.invoke(delegate, values);
                 });
     }
 
     @Test
-    public void theSameHappeningsBringTheSameOrders() throws Exception {
-        List<RecordingController> diaries = new CopyOnWriteArrayList<>();
-        ControllerFactory maker = (settings, seed, now, orders) -> {
-            RecordingController diary = new RecordingController(settings, seed, now, orders);
-            diaries.add(diary);
-            return diary;
+    public void replayedEventsProduceTheSameOrders() throws Exception {
+        List<RecordingController> controllers = new CopyOnWriteArrayList<>();
+        ControllerFactory factory = (settings, seed, now, orders) -> {
+            RecordingController controller = new RecordingController(settings, seed, now, orders);
+            controllers.add(controller);
+            return controller;
         };
-        try (ThreeExchangeEnvironment world = new ThreeExchangeEnvironment(Hop.Protocol.UDP, Span.ofMillis(4), maker)) {
-            world.trunks.reduceCircuits("g-0-1", 0.05);
+        try (ThreeExchangeEnvironment environment =
+                new ThreeExchangeEnvironment(Hop.Protocol.UDP, Span.ofMillis(4), factory)) {
+            environment.trunks.reduceCircuits("g-0-1", 0.05);
             for (int i = 0; i < 60; i++) {
-                world.callers.dial(i % 3, (i + 1 + i / 30) % 3, 0);
+                environment.callers.dial(i % 3, (i + 1 + i / 30) % 3, 0);
                 if (i == 30) {
                     // A tandem that is slow already would be passed over.
                     ThreeExchangeEnvironment.await(
-                            () -> diaries.stream()
-                                    .flatMap(one -> one.offered.stream())
+                            () -> controllers.stream()
+                                    .flatMap(candidate -> candidate.offeredContacts.stream())
                                     .anyMatch(Contact::inTransit),
                             "a contact in transit");
-                    world.machines.get(2).setSlowdown(30);
+                    environment.switches.get(2).setSlowdown(30);
                 }
             }
-            ThreeExchangeEnvironment.await(() -> world.ended() == 60, "all ended");
+            ThreeExchangeEnvironment.await(() -> environment.endedCount() == 60, "all ended");
             // The first one of each exchange warmed its code and is thrown away.
-            List<Contact> own = diaries.get(1).offered.stream()
-                    .filter(one -> !one.inTransit())
+            List<Contact> originated = controllers.get(1).offeredContacts.stream()
+                    .filter(candidate -> !candidate.inTransit())
                     .toList();
-            assertEquals(own.size(), 20);
-            assertTrue(own.stream()
-                    .allMatch(one -> one.patience().ns() == 2_000_000_000L
-                            && one.width() == 1
-                            && one.routingHint() == -1
-                            && Long.toString(one.dialledNumber()).startsWith("770" + one.destination())));
-            for (RecordingController diary : diaries) {
-                synchronized (diary) {
-                    assertEquals(diary.again(), diary.ordered);
+            assertEquals(originated.size(), 20);
+            assertTrue(originated.stream()
+                    .allMatch(candidate -> candidate.patience().ns() == 2_000_000_000L
+                            && candidate.width() == 1
+                            && candidate.routingHint() == -1
+                            && Long.toString(candidate.dialledNumber()).startsWith("770" + candidate.destination())));
+            for (RecordingController controller : controllers) {
+                synchronized (controller) {
+                    assertEquals(controller.replay(), controller.orderLines);
                 }
             }
         }
--- a/src/test/java/martenslip/scenario/InjectedRing.java
+++ b/src/test/java/martenslip/scenario/InjectedRing.java
@@ -15,22 +15,25 @@
 final class InjectedRing {
     private InjectedRing() {}
 
-    static void send(ThreeExchangeEnvironment world, int exchange, Span patience) {
+    static void send(ThreeExchangeEnvironment environment, int exchange, Span patience) {
         Thread thread = new Thread(() -> {
             try {
-                String[] session = new String[1];
-                ThreeExchangeEnvironment.await(() -> (session[0] = session(world)) != null, "the first ring captured");
-                InetSocketAddress to = world.machines.get(2).address(Hop.Protocol.UDP);
-                try (DatagramSocket from = new DatagramSocket(
-                        new InetSocketAddress(ThreeExchangeEnvironment.address(1, 100 + exchange), 0))) {
-                    byte[] bytes = ("INVITE sip:+77020001;tgrp=g-0-2;trunk-context=t.example@" + to.getHostString()
+                String[] sessionId = new String[1];
+                ThreeExchangeEnvironment.await(
+                        () -> (sessionId[0] = sessionId(environment)) != null, "the first ring captured");
+                InetSocketAddress switchAddress = environment.switches.get(2).address(Hop.Protocol.UDP);
+                try (DatagramSocket socket = new DatagramSocket(
+                        new InetSocketAddress(ThreeExchangeEnvironment.loopbackAddress(1, 100 + exchange), 0))) {
+                    byte[] bytes = ("INVITE sip:+77020001;tgrp=g-0-2;trunk-context=t.example@"
+                                    + switchAddress.getHostString()
                                     + ":"
-                                    + to.getPort() + " SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.1.100:" + from.getLocalPort()
+                                    + switchAddress.getPort() + " SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.1.100:"
+                                    + socket.getLocalPort()
                                     + ";branch=z9hG4bKplanted\r\nFrom: <sip:x@h>;tag=p\r\nTo: <sip:y@h>\r\nCall-ID: planted\r\n"
                                     + "CSeq: 1 INVITE\r\nMax-Forwards: 70\r\nContact: <sip:x@127.0.0.1:9>\r\nSession-ID: "
-                                    + session[0] + "\r\n\r\n")
+                                    + sessionId[0] + "\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII);
-                    from.send(new DatagramPacket(bytes, bytes.length, to));
+                    socket.send(new DatagramPacket(bytes, bytes.length, switchAddress));
                 }
             } catch (IOException e) {
                 throw new IllegalStateException(e);
@@ -40,13 +43,13 @@
         thread.start();
     }
 
-    private static String session(ThreeExchangeEnvironment world) {
+    private static String sessionId(ThreeExchangeEnvironment environment) {
         try {
             // The capture is written in blocks; facts fill the block that holds the ring.
             for (int i = 0; i < 400; i++) {
-                world.capture.annotation("filler", "words=" + "x".repeat(3000));
+                environment.capture.annotation("filler", "words=" + "x".repeat(3000));
             }
-            String text = Files.readString(world.folder.resolve("capture"), StandardCharsets.ISO_8859_1);
+            String text = Files.readString(environment.folder.resolve("capture"), StandardCharsets.ISO_8859_1);
             Matcher matcher = Pattern.compile("Session-ID: ([^\r\n]+)").matcher(text);
             return matcher.find() ? matcher.group(1) : null;
         } catch (IOException e) {
--- a/src/test/java/martenslip/scenario/ThreeExchangeEnvironment.java
+++ b/src/test/java/martenslip/scenario/ThreeExchangeEnvironment.java
@@ -39,112 +39,118 @@
 
 /** Three exchanges in one process over real sockets, each with the module that a test gives it. */
 final class ThreeExchangeEnvironment implements AutoCloseable {
-    static final int COUNT = 3;
+    static final int EXCHANGE_COUNT = 3;
     final Path folder = Files.createTempDirectory("small-world");
     final TrunkGroups trunks = new TrunkGroups();
     final CaptureWriter capture;
     final SimulatedNetwork network;
-    final DirectoryService office;
+    final DirectoryService directory;
     final SimulatedCallers callers;
-    final List<SimulatedSwitch> machines = new ArrayList<>();
-    final List<SimulatedNetwork.NetworkLink> wires = new ArrayList<>();
+    final List<SimulatedSwitch> switches = new ArrayList<>();
+    final List<SimulatedNetwork.NetworkLink> links = new ArrayList<>();
     final List<Exchange> exchanges = new ArrayList<>();
-    private final Hop.Protocol kind;
+    private final Hop.Protocol protocol;
     private final int lanes;
 
-    ThreeExchangeEnvironment(Hop.Protocol kind, Span unit, ControllerFactory maker)
+    ThreeExchangeEnvironment(Hop.Protocol protocol, Span setUpTime, ControllerFactory controllerFactory)
             throws IOException, InvalidFileException {
-        this(kind, unit, maker, 1);
+        this(protocol, setUpTime, controllerFactory, 1);
     }
 
-    ThreeExchangeEnvironment(Hop.Protocol kind, Span unit, ControllerFactory maker, int lanes)
+    ThreeExchangeEnvironment(Hop.Protocol protocol, Span setUpTime, ControllerFactory controllerFactory, int lanes)
             throws IOException, InvalidFileException {
-        this.kind = kind;
+        this.protocol = protocol;
         this.lanes = lanes;
         capture = new CaptureWriter(folder.resolve("capture"));
         network = new SimulatedNetwork(capture, 1, Span.ofMillis(1), Span.ofMillis(1));
-        for (int i = 0; i < COUNT; i++) {
-            for (int j = i + 1; j < COUNT; j++) {
+        for (int i = 0; i < EXCHANGE_COUNT; i++) {
+            for (int j = i + 1; j < EXCHANGE_COUNT; j++) {
                 trunks.addGroup("g-" + i + "-" + j, i, j, 60);
             }
         }
-        office = new DirectoryService(network.createLink("office", -1), trunks, List.of("north"), COUNT, Span.ZERO);
-        office.open(address(3, 9));
+        directory = new DirectoryService(
+                network.createLink("office", -1), trunks, List.of("north"), EXCHANGE_COUNT, Span.ZERO);
+        directory.open(loopbackAddress(3, 9));
         Skill skill = new Skill("status", 1, 1, Span.ofMillis(1200), Span.ofMillis(4000), Span.ofMillis(300), "");
-        double[][] even = {{0, 1, 1}, {1, 0, 1}, {1, 1, 0}};
+        double[][] evenWeights = {{0, 1, 1}, {1, 0, 1}, {1, 1, 0}};
         callers = new SimulatedCallers(
                 new SimulatedCallers.CallerBehavior(
                         50, List.of(skill), List.of(1.0), 0, Span.ofMillis(500), 0.5, 0, Span.ofMillis(1e6), 0, "+77"),
-                even,
-                i -> Hop.udp(machines.get(i).address(Hop.Protocol.UDP)),
+                evenWeights,
+                i -> Hop.udp(switches.get(i).address(Hop.Protocol.UDP)),
                 martenslip.sip.transport.MessageInterceptor.PASS_THROUGH,
                 5);
-        callers.open(address(4, 9));
+        callers.open(loopbackAddress(4, 9));
         capture.annotation("rules", "release-ms=500 drain-grace-ms=300 fall-multiple=3 fall-ms=1500");
         PrefixTable prefixes = new PrefixTable();
-        for (int i = 0; i < COUNT; i++) {
+        for (int i = 0; i < EXCHANGE_COUNT; i++) {
             prefixes.add("+770" + i, i);
         }
-        for (int i = 0; i < COUNT; i++) {
-            InetSocketAddress at = free(address(1, 100 + i));
+        for (int i = 0; i < EXCHANGE_COUNT; i++) {
+            InetSocketAddress controllerAddress = freeAddress(loopbackAddress(1, 100 + i));
             ProcessorModel.Settings processor = new ProcessorModel.Settings(
-                    unit, Span.ofMillis(2000), 0.3, Span.ofMillis(10_000), 3, Span.ofMillis(1500));
-            SimulatedNetwork.NetworkLink wire = network.createLink("switch-" + i, 0);
-            SimulatedSwitch machine = new SimulatedSwitch(
+                    setUpTime, Span.ofMillis(2000), 0.3, Span.ofMillis(10_000), 3, Span.ofMillis(1500));
+            SimulatedNetwork.NetworkLink link = network.createLink("switch-" + i, 0);
+            SimulatedSwitch simulatedSwitch = new SimulatedSwitch(
                     new SimulatedSwitch.Settings(i, 0, processor, Span.ofMillis(200), 0, prefixes, Map.of(), i, true),
                     trunks,
-                    wire,
-                    new Hop(kind, at, 0),
+                    link,
+                    new Hop(protocol, controllerAddress, 0),
                     false);
-            machine.open(address(2, 100 + i));
-            machines.add(machine);
-            wires.add(wire);
-            capture.annotation("machine", "local=switch-" + i + " number=" + i + " at=" + place(i));
-            list(i, SwitchEntry.State.READY, false);
+            simulatedSwitch.open(loopbackAddress(2, 100 + i));
+            switches.add(simulatedSwitch);
+            links.add(link);
+            capture.annotation("machine", "local=switch-" + i + " number=" + i + " at=" + switchHostPort(i));
+            publishState(i, SwitchEntry.State.READY, false);
             Exchange exchange = new Exchange(
-                    ExchangeFile.read("test", site(i, at).getBytes(StandardCharsets.UTF_8), folder), maker);
+                    ExchangeFile.read(
+                            "test", configuration(i, controllerAddress).getBytes(StandardCharsets.UTF_8), folder),
+                    controllerFactory);
             exchange.start();
             exchanges.add(exchange);
             capture.annotation(
-                    "controller", "number=" + i + " host=" + at.getAddress().getHostAddress() + " state=up");
+                    "controller",
+                    "number=" + i + " host=" + controllerAddress.getAddress().getHostAddress() + " state=up");
         }
         // Until the lists are there a module knows no switch and defers all.
-        await(() -> exchanges.stream().allMatch(one -> one.knownSwitchCount() == COUNT), "switch lists");
+        await(
+                () -> exchanges.stream().allMatch(candidate -> candidate.knownSwitchCount() == EXCHANGE_COUNT),
+                "switch lists");
     }
 
-    static InetAddress address(int third, int fourth) throws IOException {
+    static InetAddress loopbackAddress(int third, int fourth) throws IOException {
         return InetAddress.getByAddress(new byte[] {127, 0, (byte) third, (byte) fourth});
     }
 
-    private static InetSocketAddress free(InetAddress host) throws IOException {
-        try (ServerSocket tcp = new ServerSocket(0, 1, host);
-                DatagramSocket udp = new DatagramSocket(new InetSocketAddress(host, tcp.getLocalPort()))) {
-            return new InetSocketAddress(host, udp.getLocalPort());
+    private static InetSocketAddress freeAddress(InetAddress host) throws IOException {
+        try (ServerSocket tcpSocket = new ServerSocket(0, 1, host);
+                DatagramSocket udpSocket = new DatagramSocket(new InetSocketAddress(host, tcpSocket.getLocalPort()))) {
+            return new InetSocketAddress(host, udpSocket.getLocalPort());
         }
     }
 
-    String place(int exchange) {
-        InetSocketAddress at = machines.get(exchange).address(kind);
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+    String switchHostPort(int exchange) {
+        InetSocketAddress address = switches.get(exchange).address(protocol);
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    void list(int exchange, SwitchEntry.State state, boolean started) {
-        office.publishChange(
+    void publishState(int exchange, SwitchEntry.State state, boolean started) {
+        directory.publishChange(
                 exchange,
                 0,
-                machines.get(exchange).address(kind),
-                kind,
+                switches.get(exchange).address(protocol),
+                protocol,
                 state,
                 started ? new Moment(System.nanoTime()) : null,
                 Span.ZERO);
     }
 
-    private String site(int number, InetSocketAddress at) throws IOException {
-        String host = at.getAddress().getHostAddress();
-        String service = address(3, 9).getHostAddress() + ":" + office.port(Hop.Protocol.UDP);
+    private String configuration(int number, InetSocketAddress controllerAddress) throws IOException {
+        String host = controllerAddress.getAddress().getHostAddress();
+        String directoryHostPort = loopbackAddress(3, 9).getHostAddress() + ":" + directory.port(Hop.Protocol.UDP);
         StringBuilder groups = new StringBuilder();
         StringBuilder prefixes = new StringBuilder();
-        for (int i = 0; i < COUNT; i++) {
+        for (int i = 0; i < EXCHANGE_COUNT; i++) {
             prefixes.append("<prefix digits='+770" + i + "' exchange='" + i + "'/>");
             if (i != number) {
                 groups.append("<group name='g-" + Math.min(i, number) + "-" + Math.max(i, number) + "' far='" + i
@@ -152,8 +158,10 @@
             }
         }
         return "<exchange xmlns='urn:martenslip:exchange:1' number='" + number + "' region='north' seed='" + number
-                + "'><listen host='" + host + "' udp='" + at.getPort() + "' tcp='" + at.getPort() + "'/>"
-                + "<circuits uri='sip:circuits-" + number + "@" + service + "'/><switch-list uri='sip:s@" + service
+                + "'><listen host='" + host + "' udp='" + controllerAddress.getPort() + "' tcp='"
+                + controllerAddress.getPort() + "'/>"
+                + "<circuits uri='sip:circuits-" + number + "@" + directoryHostPort + "'/><switch-list uri='sip:s@"
+                + directoryHostPort
                 + "' kept='kept-" + number + ".xml'/><regions><region name='north'/></regions>"
                 + "<skills usual='status'><skill name='status' value='1' width='1' answer-target-ms='1200' "
                 + "patience-ms='4000' mean-hold-ms='300'/></skills><numbering>" + prefixes + "</numbering>"
@@ -163,11 +171,11 @@
                 + "fall-multiple='3'/><reports fields='allowed depth'/><peers/></exchange>";
     }
 
-    static void await(BooleanSupplier what, String name) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!what.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("not within 20 s: " + name);
+    static void await(BooleanSupplier condition, String description) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadline) {
+                throw new AssertionError("not within 20 s: " + description);
             }
             Thread.onSpinWait();
             try {
@@ -178,36 +186,37 @@
         }
     }
 
-    long tally(CallerStatistics.CallOutcome end) {
-        return look(tally ->
-                tally.rows().values().stream().mapToLong(row -> row.count(end)).sum());
+    long outcomeCount(CallerStatistics.CallOutcome outcome) {
+        return readStatistics(statistics -> statistics.bySkill().values().stream()
+                .mapToLong(row -> row.count(outcome))
+                .sum());
     }
 
-    long ended() {
-        return look(tally -> tally.rows().values().stream()
+    long endedCount() {
+        return readStatistics(statistics -> statistics.bySkill().values().stream()
                 .mapToLong(row -> {
-                    long all = 0;
-                    for (CallerStatistics.CallOutcome end : CallerStatistics.CallOutcome.values()) {
-                        all += row.count(end);
+                    long count = 0;
+                    for (CallerStatistics.CallOutcome outcome : CallerStatistics.CallOutcome.values()) {
+                        count += row.count(outcome);
                     }
-                    return all;
+                    return count;
                 })
                 .sum());
     }
 
-    private long look(java.util.function.ToLongFunction<CallerStatistics> what) {
+    private long readStatistics(java.util.function.ToLongFunction<CallerStatistics> function) {
         CompletableFuture<Long> answer = new CompletableFuture<>();
-        callers.readStatistics(tally -> answer.complete(what.applyAsLong(tally)));
+        callers.readStatistics(statistics -> answer.complete(function.applyAsLong(statistics)));
         return answer.join();
     }
 
     /** Closes all, and gives what the capture proves of one rule. */
-    RuleResult verdict(int rule) throws IOException {
+    RuleResult result(int rule) throws IOException {
         close();
-        RuleVerifier proof = new RuleVerifier();
-        CaptureReader.read(folder.resolve("capture"), proof);
-        Predicate<RuleResult> is = one -> one.rule() == rule;
-        return proof.verdicts().stream().filter(is).findFirst().orElseThrow();
+        RuleVerifier verifier = new RuleVerifier();
+        CaptureReader.read(folder.resolve("capture"), verifier);
+        Predicate<RuleResult> hasNumber = result -> result.rule() == rule;
+        return verifier.results().stream().filter(hasNumber).findFirst().orElseThrow();
     }
 
     private boolean closed;
@@ -218,8 +227,8 @@
             closed = true;
             callers.close();
             exchanges.forEach(Exchange::close);
-            machines.forEach(SimulatedSwitch::close);
-            office.close();
+            switches.forEach(SimulatedSwitch::close);
+            directory.close();
             network.close();
             capture.close();
         }
