--- a/src/main/java/martenslip/scenario/ControllerProcesses.java
+++ b/src/main/java/martenslip/scenario/ControllerProcesses.java
@@ -86,7 +86,7 @@
                 + (day.tcpExchanges().contains(exchange) ? ";transport=tcp" : "");
     }
 
-    /** Writes the exchange's configuration; {@code directory} is the address of the switch list and circuits service. */
+    /** Writes the exchange's configuration; {@code directory} is the address of the directory service. */
     void writeConfiguration(int exchange, InetSocketAddress directory) throws IOException {
         InetSocketAddress address = addresses.get(exchange);
         String directoryHostPort = directory.getAddress().getHostAddress() + ":" + directory.getPort();
--- a/src/main/java/martenslip/scenario/CoresBenchmark.java
+++ b/src/main/java/martenslip/scenario/CoresBenchmark.java
@@ -117,7 +117,7 @@
         return results;
     }
 
-    /** Measures each number of lanes with more contacts than circuits; one in eight is urgent and takes four circuits. */
+    /** Measures each number of lanes with more contacts than circuits; one in eight is urgent with four circuits. */
     public List<FullGroupResult> measureFullGroups(List<Integer> laneCounts) throws IOException, InterruptedException {
         List<FullGroupResult> results = new ArrayList<>();
         out.println("lanes  dialled   stood  refused  urgent  of-them-refused  rings-too-many  circuits-used");
@@ -240,10 +240,10 @@
                     + "fall-multiple='3'/><reports fields='allowed depth'/><peers/></exchange>";
         }
 
-        private CallGenerator dial(double rate, int seconds) throws IOException, InterruptedException {
+        private CallGenerator dial(double rate, int durationSeconds) throws IOException, InterruptedException {
             CallGenerator.LoadProfile profile = new CallGenerator.LoadProfile(
                     rate,
-                    Span.ofMillis(seconds * 1000.0),
+                    Span.ofMillis(durationSeconds * 1000.0),
                     HOLD_TIME,
                     "+9155",
                     FAR_EXCHANGE_COUNT,
@@ -253,7 +253,7 @@
                     new InetSocketAddress(address(60), 0),
                     controllerAddress,
                     profile,
-                    "r" + runCount + "x" + (long) rate + "x" + seconds)) {
+                    "r" + runCount + "x" + (long) rate + "x" + durationSeconds)) {
                 generator.run();
                 return generator;
             }
--- a/src/main/java/martenslip/scenario/Day.java
+++ b/src/main/java/martenslip/scenario/Day.java
@@ -14,7 +14,18 @@
 import martenslip.configuration.XmlFileReader;
 import martenslip.control.Span;
 
-/** A validated day file: a scripted scenario with traffic, switches and injected faults. */
+/**
+ * A validated day file: a scripted scenario with traffic, switches and injected faults.
+ *
+ * @param length time from the first contact to the end of dialing
+ * @param exchanges number of exchanges
+ * @param shares relative share of each skill in the traffic
+ * @param defaultSkill name of the skill that an exchange assumes for a contact without a Resource-Priority
+ * @param tcpExchanges exchanges whose controller and switch use TCP
+ * @param listLag delay of switch list changes
+ * @param silentListLag additional delay until a switch that went silent is listed as gone
+ * @param limits element that is copied to the configuration of each exchange, as are rules and reports
+ */
 public record Day(
         String name,
         long seed,
@@ -36,7 +47,14 @@
         XmlElement rules,
         XmlElement reports,
         List<InjectedFault> faults) {
-    /** Load and behaviour of the callers; {@code drift} is the standard deviation of the weights' logarithm. */
+    /**
+     * Load and behaviour of the callers.
+     *
+     * @param tryPatienceShare share of a skill's patience that a caller waits for one try
+     * @param cutRedialProbability probability that a caller dials again after a cut
+     * @param driftDeviation standard deviation of the logarithm of the destinations' weights
+     * @param driftInterval how often the weights are drawn anew
+     */
     public record Traffic(
             double contactsPerSecond,
             int maxRedials,
@@ -47,10 +65,23 @@
             Span driftInterval,
             String numberPrefix) {}
 
-    /** How trunk groups are sized; {@code unlinkedShare} of the exchange pairs have no group. */
+    /**
+     * How trunk groups are sized.
+     *
+     * @param spareShare circuits above the expected load, as a share of it
+     * @param unevenness spread of the traffic between exchange pairs
+     * @param unlinkedShare share of the exchange pairs without a group
+     */
     public record GroupSettings(String trunkContext, double spareShare, double unevenness, double unlinkedShare) {}
 
-    /** Processor and load reports of the simulated switches; {@code utilization} is the planned share of a processor. */
+    /**
+     * Processors and load reports of the simulated switches.
+     *
+     * @param utilization share of a processor that the planned load uses
+     * @param maxWait queue wait above which a processor rejects new contacts
+     * @param coldStartCapacity share of the warm capacity at a cold start
+     * @param reportNoise relative deviation of reported processor figures
+     */
     public record SwitchSettings(
             double utilization,
             Span maxWait,
--- a/src/main/java/martenslip/scenario/FaultSchedule.java
+++ b/src/main/java/martenslip/scenario/FaultSchedule.java
@@ -17,7 +17,7 @@
     }
 
     /** One action; {@code at} is the time since the first contact. */
-    record ScheduledAction(Span at, String description, Action action) {}
+    record ScheduledAction(Span startsAfter, String description, Action action) {}
 
     private final StandInEnvironment environment;
     private final ControllerProcesses controllers;
@@ -28,7 +28,7 @@
         this.environment = environment;
         this.controllers = controllers;
         day.faults().forEach(this::add);
-        actions.sort(Comparator.comparing(ScheduledAction::at));
+        actions.sort(Comparator.comparing(ScheduledAction::startsAfter));
     }
 
     List<ScheduledAction> actions() {
--- a/src/main/java/martenslip/scenario/ScenarioRunner.java
+++ b/src/main/java/martenslip/scenario/ScenarioRunner.java
@@ -101,7 +101,7 @@
         long end = start + day.length().ns();
         while (System.nanoTime() < end) {
             long now = System.nanoTime();
-            while (!remaining.isEmpty() && remaining.peek().at().ns() <= now - start) {
+            while (!remaining.isEmpty() && remaining.peek().startsAfter().ns() <= now - start) {
                 FaultSchedule.ScheduledAction action = remaining.poll();
                 out.printf(Locale.ROOT, "%5.1f s  %s%n", (now - start) / 1e9, action.description());
                 environment.annotate("trouble", "what=" + action.description().replace(' ', '-'));
@@ -117,17 +117,17 @@
 
     private void printProgress(StandInEnvironment environment, long second) {
         environment.callers().readStatistics(statistics -> {
-            long wanted = 0;
+            long intentCount = 0;
             long inTarget = 0;
             for (CallerStatistics.SkillStatistics row : statistics.bySkill().values()) {
-                wanted += row.intentCount();
+                intentCount += row.intentCount();
                 inTarget += row.count(CallerStatistics.CallOutcome.IN_TARGET);
             }
             out.printf(
                     Locale.ROOT,
                     "%5d s  wanted %d, in target %d, established %d, circuits used %d, waits ms%s%n",
                     second,
-                    wanted,
+                    intentCount,
                     inTarget,
                     environment.callers().establishedCount(),
                     environment.trunks().circuitsInUse(),
--- a/src/main/java/martenslip/scenario/StandInEnvironment.java
+++ b/src/main/java/martenslip/scenario/StandInEnvironment.java
@@ -189,6 +189,7 @@
         }
     }
 
+    /** Replaces the exchange's switch by a cold one and lists the replaced one as draining. */
     void drain(int exchange) throws IOException {
         SimulatedSwitch previous = buildSwitch(exchange, true);
         replacedSwitches.add(previous);
@@ -196,6 +197,7 @@
         publishState(exchange, switches.get(exchange), SwitchEntry.State.READY, true, Span.ZERO);
     }
 
+    /** Lists the replaced switches of the exchange as gone. */
     void endDrain(int exchange) {
         for (SimulatedSwitch simulatedSwitch : replacedSwitches) {
             if (simulatedSwitch.number() == exchange) {
@@ -204,12 +206,14 @@
         }
     }
 
+    /** Stops the exchange's switch, which loses its contacts; it is listed as gone after an additional delay. */
     void stopSwitch(int exchange) {
         links.get(exchange).setSilent(true);
         switches.get(exchange).restart(callers::sessionsLost);
         publishState(exchange, switches.get(exchange), SwitchEntry.State.GONE, false, day.silentListLag());
     }
 
+    /** Starts the stopped switch again, cold. */
     void startSwitchCold(int exchange) {
         switches.get(exchange).restart(callers::sessionsLost);
         links.get(exchange).setSilent(false);
@@ -217,6 +221,7 @@
         publishState(exchange, switches.get(exchange), SwitchEntry.State.READY, true, Span.ZERO);
     }
 
+    /** Reduces the groups between the region and all others to this share of their circuits. */
     void reduceCircuits(int region, double keptShare) {
         for (String name : trunks.groupsMatching((firstExchange, secondExchange) ->
                 (regionOf(firstExchange) == region) != (regionOf(secondExchange) == region))) {
--- a/src/main/java/martenslip/standin/CallGenerator.java
+++ b/src/main/java/martenslip/standin/CallGenerator.java
@@ -15,9 +15,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * An open-loop call generator with little overhead, for benchmarks of controllers only: it dials at a constant rate over
- * one UDP socket, holds each contact for the same time and hangs up, without transactions. It uses two threads: one of
- * its own that receives, and the one that calls {@link #run}.
+ * An open-loop call generator with little overhead, for benchmarks of controllers only: it dials at a constant rate
+ * over one UDP socket, holds each contact for the same time and hangs up, without transactions. It uses two threads:
+ * one of its own that receives, and the one that calls {@link #run}.
  */
 public final class CallGenerator implements AutoCloseable {
     /**
@@ -37,6 +37,8 @@
             int urgentEvery,
             String urgentPriority) {}
 
+    private static final long MAX_SET_UP_MICROS = 60_000_000;
+
     private final DatagramSocket socket;
     private final InetSocketAddress controller;
     private final String host;
@@ -45,7 +47,7 @@
     private final int callCount;
     private final AtomicLongArray inviteSentAt;
     private final AtomicReferenceArray<String> toHeaders;
-    private final Histogram setUpTimes = new ConcurrentHistogram(60_000_000, 3);
+    private final Histogram setUpTimes = new ConcurrentHistogram(MAX_SET_UP_MICROS, 3);
     private final LongAdder established = new LongAdder();
     private final LongAdder refused = new LongAdder();
     private final LongAdder urgentRefused = new LongAdder();
@@ -203,7 +205,7 @@
             return;
         }
         if (firstFinalResponse) {
-            setUpTimes.recordValue(Math.min(60_000_000, (System.nanoTime() - inviteSentAt.get(number)) / 1000));
+            setUpTimes.recordValue(Math.min(MAX_SET_UP_MICROS, (System.nanoTime() - inviteSentAt.get(number)) / 1000));
             established.increment();
         }
         send(createInDialogRequest("ACK", number, 1, "ak" + number));
--- a/src/main/java/martenslip/standin/CallerStatistics.java
+++ b/src/main/java/martenslip/standin/CallerStatistics.java
@@ -6,21 +6,31 @@
 
 /** Outcomes of call intents by skill; a redial counts for the intent of its first try. Owned by one thread. */
 public final class CallerStatistics {
+    private static final long MAX_SET_UP_MICROS = 60_000_000;
+
     /** How an intent ended. The ordinal is the index of its counter. */
     public enum CallOutcome {
+
+        /** Established within the skill's answer target. */
         IN_TARGET,
+        /** Established later than that. */
         LATE,
+        /** The last try was refused with 503. */
         DEFERRED,
+        /** The last try was refused with another status. */
         ABANDONED,
+        /** The caller's patience ended after a provisional response. */
         GAVE_UP,
+        /** The last try failed, or the patience ended without any response. */
         NO_ANSWER,
+        /** Cut after it was established. */
         CUT
     }
 
     /** Counters of one skill. */
     public static final class SkillStatistics {
         private final long[] outcomeCounts = new long[CallOutcome.values().length];
-        private final Histogram setUpTimes = new Histogram(60_000_000, 3);
+        private final Histogram setUpTimes = new Histogram(MAX_SET_UP_MICROS, 3);
         private long intentCount;
         private long tryCount;
 
@@ -75,6 +85,6 @@
     }
 
     void contactEstablished(String skill, long micros) {
-        forSkill(skill).setUpTimes.recordValue(Math.max(0, Math.min(60_000_000, micros)));
+        forSkill(skill).setUpTimes.recordValue(Math.max(0, Math.min(MAX_SET_UP_MICROS, micros)));
     }
 }
--- a/src/main/java/martenslip/standin/CaptureWriter.java
+++ b/src/main/java/martenslip/standin/CaptureWriter.java
@@ -11,9 +11,9 @@
 import martenslip.sip.transport.Hop;
 
 /**
- * Writes the messages at the stand-ins' sockets to a file, with annotations about events that no message shows. A record
- * is a head line and, for messages, the bytes as sent. A full queue blocks the stand-ins, because an incomplete capture
- * would prove nothing. Thread-safe.
+ * Writes the messages at the stand-ins' sockets to a file, with annotations about events that no message shows. A
+ * record is a head line and, for messages, the bytes as sent. A full queue blocks the stand-ins, because an incomplete
+ * capture would prove nothing. Thread-safe.
  */
 public final class CaptureWriter implements AutoCloseable {
     private static final int QUEUE_CAPACITY = 65_536;
@@ -58,8 +58,8 @@
 
     private void writeRecords() {
         try (out) {
-            for (byte[] record = queue.take(); record != END_MARKER; record = queue.take()) {
-                out.write(record);
+            for (byte[] nextRecord = queue.take(); nextRecord != END_MARKER; nextRecord = queue.take()) {
+                out.write(nextRecord);
             }
         } catch (IOException e) {
             failure = e;
--- a/src/main/java/martenslip/standin/DirectoryService.java
+++ b/src/main/java/martenslip/standin/DirectoryService.java
@@ -26,7 +26,8 @@
 
 /**
  * Stand-in for the service that publishes switch lists, with a delay, and the circuits of each exchange's trunk groups.
- * It runs on its endpoint's thread; the public operations may be called by any thread.
+ * Its thread and its link in captures are named {@code office}. It runs on its endpoint's thread; the public operations
+ * may be called by any thread.
  */
 public final class DirectoryService implements AutoCloseable {
     private static final Span CIRCUIT_NOTIFICATION_INTERVAL = Span.ofMillis(100);
@@ -175,7 +176,7 @@
         }
     }
 
-    /** Publishes a change of a switch after the notification delay; {@code additionalDelay} is added for this change. */
+    /** Publishes a change of a switch after the notification delay and the {@code additionalDelay}. */
     public void publishChange(
             int number,
             int region,
--- a/src/main/java/martenslip/standin/ProcessorModel.java
+++ b/src/main/java/martenslip/standin/ProcessorModel.java
@@ -6,17 +6,28 @@
 import martenslip.control.Span;
 
 /**
- * Model of a switch's processor: one first-in, first-out queue that rejects new contacts once the wait is too long. Time is
- * a parameter, so that real and simulated time can both drive it.
+ * Model of a switch's processor: one first-in, first-out queue that rejects new contacts once the wait is too long.
+ * Time is a parameter, so that real and simulated time can both drive it.
  */
 public final class ProcessorModel {
-    /** Kinds of work with their cost relative to a set-up; the front end's own responses and ACKs cost almost nothing. */
+    /** Kinds of work with their cost in set-ups; the front end's own responses and ACKs cost almost nothing. */
     public enum WorkType {
+        /** Forwarding a contact to the exchange's controller. */
         ROUTE(0.25),
+
+        /** Setting up a contact that terminates here. */
         SET_UP(1),
+
+        /** Forwarding a final response to an INVITE that is not a refusal. */
         ANSWER(0.3),
+
+        /** Ending an established contact. */
         RELEASE(0.3),
+
+        /** Refusing or cancelling a contact. */
         REJECT(0.1),
+
+        /** Any other message. */
         MINOR_MESSAGE(0.02);
 
         private final double setUpShare;
@@ -60,6 +71,12 @@
     public static final double FORWARDING_COST_SETUPS =
             WorkType.ROUTE.setUpShare + WorkType.ANSWER.setUpShare + WorkType.RELEASE.setUpShare;
 
+    /** Set-ups above the limit that count as chance, not as overload by the controllers. */
+    private static final int SET_UP_TOLERANCE = 3;
+
+    /** Longer than any run: work at an overloaded processor never completes. */
+    private static final Span OVERLOADED_COMPLETION_DELAY = Span.ofMillis(3.6e6);
+
     private final Settings settings;
     private final Moment startedAt;
     private final boolean coldStart;
@@ -122,8 +139,7 @@
                 * capacityShare(now)
                 * settings.fallWindow().ns()
                 / 1e9;
-        // A few above the limit are chance, not overload by the controllers.
-        overloaded |= isCold(now) && recentSetUps.size() > maxSetUps + 3;
+        overloaded |= isCold(now) && recentSetUps.size() > maxSetUps + SET_UP_TOLERANCE;
     }
 
     /** Queues work and returns when it completes; null where it was rejected, which costs some work too. */
@@ -134,7 +150,7 @@
                 return null;
             }
         }
-        return overloaded ? now.plus(Span.ofMillis(3.6e6)) : append(now, type);
+        return overloaded ? now.plus(OVERLOADED_COMPLETION_DELAY) : append(now, type);
     }
 
     private Moment append(Moment now, WorkType type) {
--- a/src/main/java/martenslip/standin/SimulatedSwitch.java
+++ b/src/main/java/martenslip/standin/SimulatedSwitch.java
@@ -31,9 +31,9 @@
 
 /**
  * Stand-in for a switch: a processor with one queue, the circuits of its groups, contacts that terminate at it, and
- * contacts that it forwards to its exchange's controller (from its own callers, and in transit). Its front end sends 100
- * at once and seizes circuits; all other work waits for the processor. Owned by its endpoint's thread; the public
- * operations are passed to that thread.
+ * contacts that it forwards to its exchange's controller (from its own callers, and in transit). Its front end sends
+ * 100 at once and seizes circuits; all other work waits for the processor. Owned by its endpoint's thread; operations
+ * that change it are passed to that thread.
  */
 public final class SimulatedSwitch implements AutoCloseable {
     /**
--- a/src/main/java/martenslip/standin/TransitProxy.java
+++ b/src/main/java/martenslip/standin/TransitProxy.java
@@ -179,7 +179,7 @@
         }
     }
 
-    private boolean forward(Request request, WorkType work, Hop hop, Consumer<byte[]> onSent)
+    private boolean forward(Request request, WorkType type, Hop hop, Consumer<byte[]> onSent)
             throws InvalidValueException {
         String maxForwards = request.headers().first("Max-Forwards");
         if ("0".equals(maxForwards)) {
@@ -199,18 +199,18 @@
             request.headers().addFirst("Record-Route", "<sip:" + ownHostPort() + ";lr>");
         }
         byte[] bytes = request.bytes();
-        return enqueueOnce(request.method() + ownBranch, work, () -> {
+        return enqueueOnce(request.method() + ownBranch, type, () -> {
             simulatedSwitch.endpoint().transport().send(bytes, hop);
             onSent.accept(bytes);
         });
     }
 
     /** Queues work for the processor; retransmissions meanwhile are ignored. False where the work was rejected. */
-    private boolean enqueueOnce(String key, WorkType work, Runnable completion) {
+    private boolean enqueueOnce(String key, WorkType type, Runnable completion) {
         if (!queuedKeys.add(key)) {
             return true;
         }
-        boolean accepted = simulatedSwitch.enqueueWork(work, () -> {
+        boolean accepted = simulatedSwitch.enqueueWork(type, () -> {
             queuedKeys.remove(key);
             completion.run();
         });
@@ -257,8 +257,8 @@
                 trunks.release(contact == null ? null : contact.seizure);
             });
         } else {
-            WorkType work = forInvite && response.status() >= 200 ? WorkType.ANSWER : WorkType.MINOR_MESSAGE;
-            enqueueOnce(key, work, () -> simulatedSwitch.endpoint().transport().send(bytes, hop));
+            WorkType type = forInvite && response.status() >= 200 ? WorkType.ANSWER : WorkType.MINOR_MESSAGE;
+            enqueueOnce(key, type, () -> simulatedSwitch.endpoint().transport().send(bytes, hop));
         }
         return true;
     }
--- a/src/main/java/martenslip/standin/TrunkGroups.java
+++ b/src/main/java/martenslip/standin/TrunkGroups.java
@@ -115,12 +115,12 @@
         group.lostCircuits = group.circuits - (int) Math.round(group.circuits * keptShare);
         group.changeCount++;
         List<String> cutSessions = new ArrayList<>();
-        int excess = group.usedCircuits - group.total();
+        int excessCircuits = group.usedCircuits - group.total();
         for (Seizure seizure : group.seizures) {
-            if (excess <= 0) {
+            if (excessCircuits <= 0) {
                 break;
             }
-            excess -= seizure.width;
+            excessCircuits -= seizure.width;
             cutSessions.add(seizure.session);
         }
         return cutSessions;
--- a/src/main/java/martenslip/verification/DrainRule.java
+++ b/src/main/java/martenslip/verification/DrainRule.java
@@ -11,7 +11,10 @@
 import martenslip.control.Span;
 import martenslip.sip.message.Request;
 
-/** Rule 3: a controller sends no ring to a switch later than the grace period after the notice that it drains or is gone. */
+/**
+ * Rule 3: a controller sends no new ring to a switch once the grace period has passed since it was notified that the
+ * switch is draining or gone.
+ */
 final class DrainRule {
     private static final XmlFileReader SCHEMA_READER = XmlFileReader.forSchema("switches.xsd");
 
@@ -57,7 +60,7 @@
         if (time.since(lastState.notifiedAt).longerThan(gracePeriod)) {
             violations.add("controller " + controller + ": ring to " + switchAddress + " "
                     + time.since(lastState.notifiedAt).ns() / 1_000_000
-                    + " ms after the controller was notified that it is draining or gone, Call-ID "
+                    + " ms after the notice that the switch is draining or gone, Call-ID "
                     + invite.callId());
         }
     }
--- a/src/main/java/martenslip/verification/FinalAnswerRule.java
+++ b/src/main/java/martenslip/verification/FinalAnswerRule.java
@@ -13,12 +13,15 @@
 import martenslip.sip.message.Request;
 import martenslip.sip.message.Response;
 
-/** Rule 1: each contact that reached a running controller gets one final answer within its patience. */
+/**
+ * Rule 1: each contact that reached a running controller gets one final answer within its patience. That no ring
+ * follows the answer is checked by {@link RingRules}.
+ */
 final class FinalAnswerRule {
     /** Allowed delay past the caller's patience; the benchmark allows its clients as much. */
     private static final Span ANSWER_TOLERANCE = Span.ofMillis(20);
 
-    /** How long sent bytes may stay unsent in a connection; a reset in that time loses them. */
+    /** How long written bytes may wait in a connection before they are sent; a reset in that time loses them. */
     private static final Span MAX_UNSENT_TIME = Span.ofMillis(20);
 
     private static final class ConnectionReset {
--- a/src/main/java/martenslip/verification/RingRules.java
+++ b/src/main/java/martenslip/verification/RingRules.java
@@ -13,10 +13,11 @@
 import martenslip.sip.message.Response;
 
 /**
- * Rule 2 (a contact has at most one ring in flight, and none after its final answer) and rule 5 (the release time passes
- * before the next ring). A ring is in flight from its INVITE to the final response that reached its controller, or to
- * its CANCEL. A ring without any response counts as in flight until its last INVITE, because CANCEL may not be sent
- * before a response.
+ * Rule 2 (a contact has at most one ring in flight) and rule 5 (the release time passes before the next ring). It also
+ * checks the part of rule 1 that no ring is sent after the final answer, and reports that under rule 2.
+ *
+ * <p>A ring is in flight from its INVITE to the final response that reached its controller, or to its CANCEL. A ring
+ * without any response counts as in flight until its last INVITE, because CANCEL may not be sent before a response.
  */
 final class RingRules {
     /** The clock is read on both sides of a hand-over between threads. */
@@ -50,7 +51,7 @@
             return finalResponseAt != null ? finalResponseAt : firstResponseAt == null ? lastInviteAt : null;
         }
 
-        /** True where the switch may still hold circuits: the ring was cancelled, timed out, or had no final response. */
+        /** True where the switch may still hold circuits: the ring was cancelled, timed out or not finally answered. */
         boolean mayHoldCircuits() {
             return cancelledAt != null && (finalResponseAt == null || cancelledAt.before(finalResponseAt))
                     || finalResponseAt == null
@@ -78,7 +79,7 @@
     boolean inviteSent(Moment time, int controller, Request invite, String switchAddress) {
         Ring knownRing = ringsByCall.get(controllerKey(controller, invite.callId()));
         if (knownRing != null) {
-            inviteRepeated(time, controller, invite, knownRing);
+            inviteRetransmitted(time, controller, invite, knownRing);
             knownRing.lastInviteAt = time;
             return false;
         }
@@ -101,7 +102,7 @@
     }
 
     /** An INVITE is not retransmitted once a later ring of the contact started or the contact had its final answer. */
-    private void inviteRepeated(Moment time, int controller, Request invite, Ring ring) {
+    private void inviteRetransmitted(Moment time, int controller, Request invite, Ring ring) {
         String contact =
                 controllerKey(controller, String.valueOf(invite.headers().first("Session-ID")));
         List<Ring> rings = ringsByContact.get(contact);
--- a/src/main/java/martenslip/verification/RuleVerifier.java
+++ b/src/main/java/martenslip/verification/RuleVerifier.java
@@ -40,7 +40,9 @@
             }
             case "resetting" -> finalAnswerRule.resetStarted(Integer.parseInt(attributes.get("number")), time);
             case "reset" -> finalAnswerRule.resetFinished(Integer.parseInt(attributes.get("number")), time);
+            // A switch: the name of its link and its listen address.
             case "machine" -> switchAddressByLink.put(attributes.get("local"), attributes.get("at"));
+            // A switch that starts cold, with its warm capacity and the share of it at the start.
             case "cold" ->
                 coldStartRule.coldStartObserved(
                         attributes.get("at"),
--- a/src/test/java/martenslip/benchmark/DataStructureBenchmark.java
+++ b/src/test/java/martenslip/benchmark/DataStructureBenchmark.java
@@ -28,7 +28,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Compares the data structures on the path of each contact with simpler ones. Run by hand: docs/measurements/cores.md. */
+/** Compares data structures on the path of each contact with simpler ones. Run by hand: docs/measurements/cores.md. */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 @Warmup(iterations = 2, time = 1)
--- a/src/test/java/martenslip/scenario/EndToEndTest.java
+++ b/src/test/java/martenslip/scenario/EndToEndTest.java
@@ -138,10 +138,8 @@
     public void rule1DetectsUnansweredContact() throws Exception {
         ThreeExchangeEnvironment environment = new ThreeExchangeEnvironment(
                 Hop.Protocol.UDP, SET_UP_TIME, faultyFactory(orders -> new FaultyController(orders) {}));
-        // The caller's CANCEL would lead to a final answer, so its link is silenced and the CANCEL lost. A controller
-        // module
-        // that never answers is not enough, because the lane abandons the contact: the whole exchange is closed
-        // instead.
+        // A module that never answers is not enough, because the lane abandons the contact: the exchange is closed.
+        // The caller's CANCEL would lead to a final answer, so the switch's link is silenced and the CANCEL lost.
         environment.callers.dial(0, 1, 0);
         ThreeExchangeEnvironment.await(
                 () -> environment.exchanges.get(0).statistics().contains("taken=1 "), "taken");
--- a/src/test/java/martenslip/scenario/EventReplayTest.java
+++ b/src/test/java/martenslip/scenario/EventReplayTest.java
@@ -26,7 +26,7 @@
     private static final class RecordingController implements Controller {
         final Map<String, String> settings;
         final long seed;
-        final Moment start;
+        final Moment startedAt;
         final List<Consumer<Controller>> events = new ArrayList<>();
         final List<Contact> offeredContacts = new CopyOnWriteArrayList<>();
         final List<String> orderLines = new ArrayList<>();
@@ -35,7 +35,7 @@
         RecordingController(Map<String, String> settings, long seed, Moment now, Orders orders) {
             this.settings = settings;
             this.seed = seed;
-            start = now;
+            startedAt = now;
             module = new RoutingPolicy(settings, seed, now, recordingOrders(orderLines, orders));
         }
 
@@ -47,7 +47,8 @@
 
         synchronized List<String> replay() {
             List<String> replayedLines = new ArrayList<>();
-            Controller replayModule = new RoutingPolicy(settings, seed, start, recordingOrders(replayedLines, null));
+            Controller replayModule =
+                    new RoutingPolicy(settings, seed, startedAt, recordingOrders(replayedLines, null));
             for (Consumer<Controller> event : events) {
                 replayedLines.add("-");
                 event.accept(replayModule);
--- a/src/test/java/martenslip/scenario/ThreeExchangeEnvironment.java
+++ b/src/test/java/martenslip/scenario/ThreeExchangeEnvironment.java
@@ -40,7 +40,7 @@
 /** Three exchanges in one process over real sockets, each with a controller from the test's factory. */
 final class ThreeExchangeEnvironment implements AutoCloseable {
     static final int EXCHANGE_COUNT = 3;
-    final Path folder = Files.createTempDirectory("small-world");
+    final Path folder = Files.createTempDirectory("three-exchanges");
     final TrunkGroups trunks = new TrunkGroups();
     final CaptureWriter capture;
     final SimulatedNetwork network;
--- a/src/test/java/martenslip/verification/RuleVerifierTest.java
+++ b/src/test/java/martenslip/verification/RuleVerifierTest.java
@@ -101,9 +101,9 @@
     @Test
     public void resetExcusesOnlyInvitesThatItMayHaveLost() {
         callerInvite(70, "before");
-        callerInvite(95, "swallowed");
+        callerInvite(95, "lost");
         verifier.annotation(atMillis(100), "resetting", Map.of("number", "0"));
-        callerInvite(110, "swallowed too");
+        callerInvite(110, "lost too");
         verifier.annotation(atMillis(120), "reset", Map.of("number", "0"));
         callerInvite(121, "after");
         assertEquals(violationCount(1), 2);
