--- a/src/main/java/martenslip/standin/CallerStatistics.java
+++ b/src/main/java/martenslip/standin/CallerStatistics.java
@@ -4,73 +4,87 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What became of the callers' wants, by skill; redials belong to their first try. One thread owns it. */
+/** Outcomes of call intents by skill; a redial counts for the intent of its first try. Owned by one thread. */
 public final class CallerStatistics {
-    /** How a want ended. */
+    private static final long MAX_SET_UP_MICROS = 60_000_000;
+
+    /** How an intent ended. The ordinal is the index of its counter. */
     public enum CallOutcome {
+
+        /** Established within the skill's answer target. */
         IN_TARGET,
+        /** Established later than that. */
         LATE,
+        /** The last try was refused with 503. */
         DEFERRED,
+        /** The last try was refused with another status. */
         ABANDONED,
+        /** The caller's patience ended after a provisional response. */
         GAVE_UP,
+        /** The last try failed, or the patience ended without any response. */
         NO_ANSWER,
+        /** Cut after it was established. */
         CUT
     }
 
-    /** Counts of one skill. */
+    /** Counters of one skill. */
     public static final class SkillStatistics {
-        private final long[] ends = new long[CallOutcome.values().length];
-        private final Histogram setUp = new Histogram(60_000_000, 3);
-        private long wanted;
-        private long tries;
+        private final long[] outcomeCounts = new long[CallOutcome.values().length];
+        private final Histogram setUpTimes = new Histogram(MAX_SET_UP_MICROS, 3);
+        private long intentCount;
+        private long tryCount;
 
-        public long wanted() {
-            return wanted;
+        /** Call intents, each with all its tries. */
+        public long intentCount() {
+            return intentCount;
         }
 
-        public long tries() {
-            return tries;
+        /** INVITEs sent, redials included. */
+        public long tryCount() {
+            return tryCount;
         }
 
-        public long count(CallOutcome end) {
-            return ends[end.ordinal()];
+        /** Intents with this outcome. */
+        public long count(CallOutcome outcome) {
+            return outcomeCounts[outcome.ordinal()];
         }
 
-        /** Set-up time in milliseconds at a percentile, of contacts that stood. */
+        /** Percentile of the set-up time of established contacts in milliseconds. */
         public double setUpMs(double percentile) {
-            return setUp.getValueAtPercentile(percentile) / 1000.0;
+            return setUpTimes.getValueAtPercentile(percentile) / 1000.0;
         }
     }
 
-    private final Map<String, SkillStatistics> rows = new LinkedHashMap<>();
+    private final Map<String, SkillStatistics> bySkill = new LinkedHashMap<>();
 
-    public Map<String, SkillStatistics> rows() {
-        return rows;
+    /** The counters by the name of the skill. */
+    public Map<String, SkillStatistics> bySkill() {
+        return bySkill;
     }
 
-    SkillStatistics row(String skill) {
-        return rows.computeIfAbsent(skill, any -> new SkillStatistics());
+    SkillStatistics forSkill(String skill) {
+        return bySkill.computeIfAbsent(skill, ignored -> new SkillStatistics());
     }
 
-    void wanted(String skill) {
-        row(skill).wanted++;
+    void intentStarted(String skill) {
+        forSkill(skill).intentCount++;
     }
 
-    void tried(String skill) {
-        row(skill).tries++;
+    void tryStarted(String skill) {
+        forSkill(skill).tryCount++;
     }
 
-    void ended(String skill, CallOutcome end) {
-        row(skill).ends[end.ordinal()]++;
+    void intentEnded(String skill, CallOutcome outcome) {
+        forSkill(skill).outcomeCounts[outcome.ordinal()]++;
     }
 
-    /** A contact that stood and was cut is served no more. */
-    void cut(String skill, CallOutcome before) {
-        row(skill).ends[before.ordinal()]--;
-        row(skill).ends[CallOutcome.CUT.ordinal()]++;
+    /** Moves an established contact that was cut from its previous outcome to {@code CUT}. */
+    void contactCut(String skill, CallOutcome previous) {
+        forSkill(skill).outcomeCounts[previous.ordinal()]--;
+        forSkill(skill).outcomeCounts[CallOutcome.CUT.ordinal()]++;
     }
 
-    void stood(String skill, long micros) {
-        row(skill).setUp.recordValue(Math.max(0, Math.min(60_000_000, micros)));
+    void contactEstablished(String skill, long micros) {
+        forSkill(skill).setUpTimes.recordValue(Math.max(0, Math.min(MAX_SET_UP_MICROS, micros)));
     }
 }
--- a/src/main/java/martenslip/standin/RawMessage.java
+++ b/src/main/java/martenslip/standin/RawMessage.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Header lines of a message as they stand, for stand-ins that must cost little: they read only what they answer. */
+/** An unparsed SIP message, for lightweight stand-ins that read only the headers they need. */
 final class RawMessage {
     private final String text;
 
@@ -10,7 +10,7 @@
         text = new String(bytes, 0, length, StandardCharsets.ISO_8859_1);
     }
 
-    boolean response() {
+    boolean isResponse() {
         return text.startsWith("SIP/2.0 ");
     }
 
@@ -18,7 +18,7 @@
         return Integer.parseInt(text.substring(8, 11));
     }
 
-    /** Up to the first blank. */
+    /** The text up to the first blank. */
     String method() {
         return text.substring(0, text.indexOf(' '));
     }
@@ -27,32 +27,33 @@
         return text.substring(0, text.indexOf('\r'));
     }
 
-    /** The value of the first line of the name, or an empty text. */
-    String value(String name) {
-        int at = text.indexOf("\r\n" + name + ": ");
-        if (at < 0) {
+    /** The value of the first header of that name, or an empty string. */
+    String headerValue(String name) {
+        int lineStart = text.indexOf("\r\n" + name + ": ");
+        if (lineStart < 0) {
             return "";
         }
-        int from = at + name.length() + 4;
-        return text.substring(from, text.indexOf('\r', from));
+        int valueStart = lineStart + name.length() + 4;
+        return text.substring(valueStart, text.indexOf('\r', valueStart));
     }
 
-    /** What stands between two marks, or an empty text. */
-    static String between(String in, String before, String after) {
-        int from = in.indexOf(before);
-        if (from < 0) {
+    /** The text between the prefix and the suffix, or an empty string. */
+    static String between(String source, String prefix, String suffix) {
+        int start = source.indexOf(prefix);
+        if (start < 0) {
             return "";
         }
-        from += before.length();
-        int to = in.indexOf(after, from);
-        return in.substring(from, to < 0 ? in.length() : to);
-    }
-
-    /** A response with the lines that each must repeat. */
-    String answer(String status, String tag, String more) {
-        String to = value("To");
-        return "SIP/2.0 " + status + "\r\nVia: " + value("Via") + "\r\nFrom: " + value("From") + "\r\nTo: " + to
-                + (to.contains("tag=") ? "" : ";tag=" + tag) + "\r\nCall-ID: " + value("Call-ID") + "\r\nCSeq: "
-                + value("CSeq") + "\r\n" + more + "Content-Length: 0\r\n\r\n";
+        start += prefix.length();
+        int end = source.indexOf(suffix, start);
+        return source.substring(start, end < 0 ? source.length() : end);
+    }
+
+    /** A response with the headers copied from the request (RFC 3261 8.2.6.2); {@code extraHeaders} end with CRLF. */
+    String createResponse(String status, String tag, String extraHeaders) {
+        String to = headerValue("To");
+        return "SIP/2.0 " + status + "\r\nVia: " + headerValue("Via") + "\r\nFrom: " + headerValue("From") + "\r\nTo: "
+                + to
+                + (to.contains("tag=") ? "" : ";tag=" + tag) + "\r\nCall-ID: " + headerValue("Call-ID") + "\r\nCSeq: "
+                + headerValue("CSeq") + "\r\n" + extraHeaders + "Content-Length: 0\r\n\r\n";
     }
 }
