--- a/src/main/java/martenslip/RoutingPolicy.java
+++ b/src/main/java/martenslip/RoutingPolicy.java
@@ -76,7 +76,7 @@
     }
 
     /** A ring of the contact was answered. */
-    record ContactAnswered(long contact) implements Message<ContactManager> {
+    record ContactEstablished(long contact) implements Message<ContactManager> {
         public void deliverTo(ContactManager receiver) {
             receiver.established(contact);
         }
@@ -156,7 +156,7 @@
     }
 
     /** Tells the target and the home switch that a contact was established. */
-    record ContactEstablished(long contact, Span setUpTime) implements Message<Switch> {
+    record SwitchContactEstablished(long contact, Span setUpTime) implements Message<Switch> {
         public void deliverTo(Switch receiver) {
             receiver.contactEstablished(contact, setUpTime);
         }
@@ -1146,9 +1146,9 @@
 
     @Override
     public void established(Moment eventTime, long contact, int ring, long target, Span setUpTime) {
-        process(eventTime, switchById(target), new ContactEstablished(contact, setUpTime));
-        process(eventTime, homeSwitch(), new ContactEstablished(contact, setUpTime));
-        process(eventTime, contactManager, new ContactAnswered(contact));
+        process(eventTime, switchById(target), new SwitchContactEstablished(contact, setUpTime));
+        process(eventTime, homeSwitch(), new SwitchContactEstablished(contact, setUpTime));
+        process(eventTime, contactManager, new ContactEstablished(contact));
     }
 
     @Override
--- a/src/main/java/martenslip/exchange/AcceptedContact.java
+++ b/src/main/java/martenslip/exchange/AcceptedContact.java
@@ -69,9 +69,9 @@
 
     /** A copy of the state for a successor thread. */
     HandoverRecord toHandoverRecord() {
-        HandoverRecord.InFlightRing recordedRing =
+        HandoverRecord.RecordedRing recordedRing =
                 lastRing != null && (!lastRing.endReported || pendingBye == HandoverRecord.PendingBye.RING)
-                        ? lastRing.toInFlightRing()
+                        ? lastRing.toRecordedRing()
                         : null;
         return new HandoverRecord(
                 contact,
@@ -79,7 +79,7 @@
                 acceptedAt,
                 caller.invite(),
                 caller.transaction().from(),
-                caller.tag(),
+                caller.localTag(),
                 ringCount,
                 recordedRing,
                 lastHeldRingEndedAt,
--- a/src/main/java/martenslip/exchange/HandoverRecord.java
+++ b/src/main/java/martenslip/exchange/HandoverRecord.java
@@ -31,7 +31,7 @@
         Hop callerHop,
         String localTag,
         int ringCount,
-        InFlightRing liveRing,
+        RecordedRing liveRing,
         Moment lastHeldRingEndedAt,
         RejectionReason lastRejectionReason,
         Response answer,
@@ -50,7 +50,7 @@
      * A ring that is in flight or established. {@code invite} contains its Via; {@code successResponse} is the 2xx, or
      * null.
      */
-    record InFlightRing(
+    record RecordedRing(
             int number,
             long target,
             int farExchange,
--- a/src/main/java/martenslip/exchange/LaneTakeover.java
+++ b/src/main/java/martenslip/exchange/LaneTakeover.java
@@ -81,7 +81,7 @@
         }
     }
 
-    private void restoreRing(AcceptedContact acceptedContact, HandoverRecord.InFlightRing recordedRing)
+    private void restoreRing(AcceptedContact acceptedContact, HandoverRecord.RecordedRing recordedRing)
             throws InvalidValueException {
         Ring ring = new Ring(
                 recordedRing.number(),
--- a/src/main/java/martenslip/exchange/Ring.java
+++ b/src/main/java/martenslip/exchange/Ring.java
@@ -47,10 +47,10 @@
     }
 
     /** The state of the ring for a handover, or null if it was not sent. */
-    HandoverRecord.InFlightRing toInFlightRing() {
+    HandoverRecord.RecordedRing toRecordedRing() {
         return invite == null
                 ? null
-                : new HandoverRecord.InFlightRing(
+                : new HandoverRecord.RecordedRing(
                         number, target, farExchange, startedAt, expiresAt, invite, hop, successResponse);
     }
 }
--- a/src/main/java/martenslip/exchange/ThreadSupervisor.java
+++ b/src/main/java/martenslip/exchange/ThreadSupervisor.java
@@ -275,10 +275,10 @@
                 return;
             }
             for (int i = 0; i < laneCount; i++) {
-                watchdog.loopTurned(i, lanes.get(i).loop.lastTurnAt());
+                watchdog.iterationStarted(i, lanes.get(i).loop.lastTurnAt());
             }
             if (!singleLane) {
-                watchdog.loopTurned(laneCount, deciderInstance.loop().lastTurnAt());
+                watchdog.iterationStarted(laneCount, deciderInstance.loop().lastTurnAt());
             }
             int stalledLoop = watchdog.findStalled(new Moment(System.nanoTime()));
             if (stalledLoop >= 0 && !closed) {
--- a/src/main/java/martenslip/platform/Configuration.java
+++ b/src/main/java/martenslip/platform/Configuration.java
@@ -47,7 +47,7 @@
         if (Files.size(file) > MAX_FILE_BYTES) {
             throw new IOException("larger than " + MAX_FILE_BYTES + " bytes");
         }
-        if (!(Json.read(Files.readAllBytes(file)) instanceof Map<?, ?> root)) {
+        if (!(Json.parse(Files.readAllBytes(file)) instanceof Map<?, ?> root)) {
             throw new IOException("not a JSON object");
         }
         List<InetSocketAddress> peerAddresses = new ArrayList<>();
--- a/src/main/java/martenslip/platform/ControllerService.java
+++ b/src/main/java/martenslip/platform/ControllerService.java
@@ -437,7 +437,7 @@
         }
 
         @Override
-        public boolean hasEstablishedAt(long switchId) {
+        public boolean hasEstablishedContactsAt(long switchId) {
             return contactTable.hasEstablishedContactsAt(switchId);
         }
 
@@ -470,7 +470,7 @@
 
         @Override
         public long otherCallerConnection(long excludedConnectionId) {
-            return callerConnections.mostRecentConnection(excludedConnectionId);
+            return callerConnections.otherConnection(excludedConnectionId);
         }
 
         @Override
--- a/src/main/java/martenslip/platform/SwitchRegistry.java
+++ b/src/main/java/martenslip/platform/SwitchRegistry.java
@@ -108,7 +108,7 @@
             if (entry.state() == SwitchEntry.State.GONE) {
                 removedIds.add(entry.id());
             } else {
-                switchConnections.listed(
+                switchConnections.switchListed(
                         registered.switchId, entry.address(), entry.state() == SwitchEntry.State.DRAINING);
             }
         }
@@ -121,7 +121,7 @@
         contactTable.notifyController(controller -> controller.switchListReceived(now, kind, controllerEntries));
         for (String instanceId : removedIds) {
             long switchId = switchesById.remove(instanceId).switchId;
-            switchConnections.unlisted(switchId);
+            switchConnections.switchUnlisted(switchId);
             contactTable.switchRemoved(switchId);
         }
     }
--- a/src/main/java/martenslip/platform/caller/CallerConnections.java
+++ b/src/main/java/martenslip/platform/caller/CallerConnections.java
@@ -184,7 +184,7 @@
      * Returns the id of the connection with the most recent input among those that sent a valid message:
      * {@code excludedId} only if there is no other, 0 if there is none.
      */
-    public long mostRecentConnection(long excludedId) {
+    public long otherConnection(long excludedId) {
         CallerConnection mostRecent = null;
         for (CallerConnection caller : callers.values()) {
             boolean onlyExcluded = mostRecent != null && mostRecent.connection.id() == excludedId;
--- a/src/main/java/martenslip/platform/journal/JournalConnection.java
+++ b/src/main/java/martenslip/platform/journal/JournalConnection.java
@@ -146,7 +146,7 @@
                     if (data.length() > 0) {
                         listener.eventReceived(
                                 this,
-                                SwitchListEvent.parse(Json.read(data.toString().getBytes(StandardCharsets.UTF_8))));
+                                SwitchListEvent.parse(Json.parse(data.toString().getBytes(StandardCharsets.UTF_8))));
                         data.setLength(0);
                     }
                 } else if (text.startsWith("data:")) {
--- a/src/main/java/martenslip/platform/json/Json.java
+++ b/src/main/java/martenslip/platform/json/Json.java
@@ -34,7 +34,7 @@
      *
      * @throws IOException if the bytes are not exactly one JSON value within the limits
      */
-    public static Object read(byte[] bytes) throws IOException {
+    public static Object parse(byte[] bytes) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             Object value = parseValue(parser, parser.nextToken());
             if (parser.nextToken() != null) {
--- a/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
@@ -65,7 +65,7 @@
         void processEnded(long switchId);
 
         /** Whether any contact is established at the switch. */
-        boolean hasEstablishedAt(long switchId);
+        boolean hasEstablishedContactsAt(long switchId);
 
         /** Writes a line to the log. */
         void log(String line);
@@ -169,7 +169,7 @@
     }
 
     /** A switch is on the list. One that drains may be alive even if it accepts no further connection. */
-    public void listed(long id, InetSocketAddress address, boolean draining) {
+    public void switchListed(long id, InetSocketAddress address, boolean draining) {
         SwitchEndpoint endpoint = endpoints.get(id);
         if (endpoint == null) {
             endpoint = new SwitchEndpoint(id, address, timerWheel.now());
@@ -187,7 +187,7 @@
      * A switch has left the list: no further connection is opened to it, and it is removed once it has no connection
      * left or is silent.
      */
-    public void unlisted(long id) {
+    public void switchUnlisted(long id) {
         SwitchEndpoint endpoint = endpoints.get(id);
         if (endpoint != null) {
             endpoint.listed = false;
@@ -208,7 +208,7 @@
             }
         }
         // A listed switch without established contacts owes no release, so its silence does not matter.
-        LivenessMonitor.Action action = endpoint.listed && !listener.hasEstablishedAt(endpoint.id)
+        LivenessMonitor.Action action = endpoint.listed && !listener.hasEstablishedContactsAt(endpoint.id)
                 ? LivenessMonitor.Action.NONE
                 : endpoint.liveness.check(timerWheel.now());
         if (action == LivenessMonitor.Action.DECLARE_DEAD || !endpoint.listed && endpoint.connections.isEmpty()) {
--- a/src/main/java/martenslip/sip/dialog/UasCall.java
+++ b/src/main/java/martenslip/sip/dialog/UasCall.java
@@ -80,7 +80,7 @@
     }
 
     /** The local tag of the dialog. */
-    public String tag() {
+    public String localTag() {
         return localTag;
     }
 
--- a/src/main/java/martenslip/standin/ProcessorModel.java
+++ b/src/main/java/martenslip/standin/ProcessorModel.java
@@ -48,16 +48,16 @@
      * @param setUpTime processor time of one set-up when warm
      * @param maxWait queue wait above which new contacts are rejected
      * @param coldStartCapacity share of the warm capacity at a cold start; it rises linearly over {@code warmUpTime}
-     * @param fallMultiple multiple of its present capacity at which a cold switch is overloaded
-     * @param fallWindow window over which set-ups are counted for that
+     * @param overloadMultiple multiple of its present capacity at which a cold switch is overloaded
+     * @param overloadWindow window over which set-ups are counted for that
      */
     public record Settings(
             Span setUpTime,
             Span maxWait,
             double coldStartCapacity,
             Span warmUpTime,
-            double fallMultiple,
-            Span fallWindow) {}
+            double overloadMultiple,
+            Span overloadWindow) {}
 
     /** Set-ups a second, with their releases, of a warm processor that does nothing else. */
     static double capacity(Settings settings) {
@@ -131,13 +131,13 @@
     /** Counts a set-up that a controller sent here; too many while cold overload the processor. */
     public void setUpReceived(Moment now) {
         recentSetUps.add(now);
-        while (now.since(recentSetUps.peek()).longerThan(settings.fallWindow())) {
+        while (now.since(recentSetUps.peek()).longerThan(settings.overloadWindow())) {
             recentSetUps.poll();
         }
-        double maxSetUps = settings.fallMultiple()
+        double maxSetUps = settings.overloadMultiple()
                 * capacity(settings)
                 * capacityShare(now)
-                * settings.fallWindow().ns()
+                * settings.overloadWindow().ns()
                 / 1e9;
         overloaded |= isCold(now) && recentSetUps.size() > maxSetUps + SET_UP_TOLERANCE;
     }
--- a/src/main/java/martenslip/standin/SimulatedCallers.java
+++ b/src/main/java/martenslip/standin/SimulatedCallers.java
@@ -44,7 +44,7 @@
      *
      * @param contactsPerSecond first tries of all callers
      * @param shares relative weight of each skill
-     * @param retryProbability share of a skill's patience that a caller waits for one try
+     * @param tryPatienceShare share of a skill's patience that a caller waits for one try
      * @param driftDeviation standard deviation of the logarithm of the weights
      */
     public record CallerBehavior(
@@ -53,7 +53,7 @@
             List<Double> shares,
             int maxRedials,
             Span redialDelay,
-            double retryProbability,
+            double tryPatienceShare,
             double cutRedialProbability,
             Span driftInterval,
             double driftDeviation,
@@ -331,7 +331,7 @@
             statistics.tryStarted(intent.skillName());
             Skill skill = behavior.skills().get(intent.skillIndex);
             Span remainingPatience = intent.startedAt.plus(skill.patience()).since(now());
-            Span patience = remainingPatience.atMost(skill.patience().times(behavior.retryProbability()));
+            Span patience = remainingPatience.atMost(skill.patience().times(behavior.tryPatienceShare()));
             Hop hop = switchHops.apply(intent.origin);
             InetSocketAddress address = hop.address();
             Headers headers = new Headers();
--- a/src/main/java/martenslip/watchdog/Watchdog.java
+++ b/src/main/java/martenslip/watchdog/Watchdog.java
@@ -50,7 +50,7 @@
     }
 
     /** Records when a thread began its last loop iteration. */
-    public void loopTurned(int thread, Moment at) {
+    public void iterationStarted(int thread, Moment at) {
         lastIterationAt[thread] = at;
     }
 
--- a/src/test/java/martenslip/platform/PlatformStandIn.java
+++ b/src/test/java/martenslip/platform/PlatformStandIn.java
@@ -89,7 +89,7 @@
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
                 for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                     java.util.Map<?, ?> message =
-                            (java.util.Map<?, ?>) Json.read(line.getBytes(StandardCharsets.UTF_8));
+                            (java.util.Map<?, ?>) Json.parse(line.getBytes(StandardCharsets.UTF_8));
                     receivedMessages.add(new ReceivedMessage(
                             socket,
                             (String) message.get("verb"),
--- a/src/test/java/martenslip/platform/SettingsFlattenerTest.java
+++ b/src/test/java/martenslip/platform/SettingsFlattenerTest.java
@@ -11,7 +11,7 @@
 /** Nested settings become the paths of the simulator's protocol; text that is not one JSON value is refused. */
 public class SettingsFlattenerTest {
     private static Map<String, String> flatten(String json) throws IOException {
-        return SettingsFlattener.flatten((Map<?, ?>) Json.read(json.getBytes(StandardCharsets.UTF_8)));
+        return SettingsFlattener.flatten((Map<?, ?>) Json.parse(json.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
--- a/src/test/java/martenslip/watchdog/WatchdogTest.java
+++ b/src/test/java/martenslip/watchdog/WatchdogTest.java
@@ -18,7 +18,7 @@
         for (double time = start; time <= end; time += 20) {
             for (int i = 0; i < threads; i++) {
                 if (i != hungThread) {
-                    watchdog.loopTurned(i, at(time));
+                    watchdog.iterationStarted(i, at(time));
                 }
             }
             int stalled = watchdog.findStalled(at(time));
@@ -50,9 +50,9 @@
     @Test
     public void longestStalledThreadIsReplacedFirst() {
         Watchdog watchdog = new Watchdog(3, at(0));
-        watchdog.loopTurned(0, at(10));
-        watchdog.loopTurned(1, at(5));
-        watchdog.loopTurned(2, at(170));
+        watchdog.iterationStarted(0, at(10));
+        watchdog.iterationStarted(1, at(5));
+        watchdog.iterationStarted(2, at(170));
         for (double time = 20; time < 155; time += 20) {
             watchdog.findStalled(at(time));
         }
