--- a/src/main/java/martenslip/scenario/Day.java
+++ b/src/main/java/martenslip/scenario/Day.java
@@ -14,7 +14,18 @@
 import martenslip.configuration.XmlFileReader;
 import martenslip.control.Span;
 
-/** A day file, checked whole. Times of troubles are spans from the first contact. */
+/**
+ * A validated day file: a scripted scenario with traffic, switches and injected faults.
+ *
+ * @param length time from the first contact to the end of dialing
+ * @param exchanges number of exchanges
+ * @param shares relative share of each skill in the traffic
+ * @param defaultSkill name of the skill that an exchange assumes for a contact without a Resource-Priority
+ * @param tcpExchanges exchanges whose controller and switch use TCP
+ * @param listLag delay of switch list changes
+ * @param silentListLag additional delay until a switch that went silent is listed as gone
+ * @param limits element that is copied to the configuration of each exchange, as are rules and reports
+ */
 public record Day(
         String name,
         long seed,
@@ -23,54 +34,90 @@
         List<String> regions,
         List<Skill> skills,
         List<Double> shares,
-        String usual,
+        String defaultSkill,
         Traffic traffic,
         GroupSettings groups,
         SwitchSettings switches,
-        Span same,
-        Span cross,
-        Set<Integer> overTcp,
-        Span lag,
-        Span silentLag,
+        Span sameRegionDelay,
+        Span crossRegionDelay,
+        Set<Integer> tcpExchanges,
+        Span listLag,
+        Span silentListLag,
         XmlElement limits,
         XmlElement rules,
         XmlElement reports,
-        List<InjectedFault> troubles) {
+        List<InjectedFault> faults) {
+    /**
+     * Load and behaviour of the callers.
+     *
+     * @param tryPatienceShare share of a skill's patience that a caller waits for one try
+     * @param cutRedialProbability probability that a caller dials again after a cut
+     * @param driftDeviation standard deviation of the logarithm of the destinations' weights
+     * @param driftInterval how often the weights are drawn anew
+     */
     public record Traffic(
-            double rate,
-            int redials,
-            Span redialAfter,
-            double tryPart,
-            double comeAgain,
-            double drift,
-            Span driftEvery,
-            String prefix) {}
+            double contactsPerSecond,
+            int maxRedials,
+            Span redialDelay,
+            double tryPatienceShare,
+            double cutRedialProbability,
+            double driftDeviation,
+            Span driftInterval,
+            String numberPrefix) {}
 
-    public record GroupSettings(String context, double spare, double uneven, double unlinked) {}
+    /**
+     * How trunk groups are sized.
+     *
+     * @param spareShare circuits above the expected load, as a share of it
+     * @param unevenness spread of the traffic between exchange pairs
+     * @param unlinkedShare share of the exchange pairs without a group
+     */
+    public record GroupSettings(String trunkContext, double spareShare, double unevenness, double unlinkedShare) {}
 
+    /**
+     * Processors and load reports of the simulated switches.
+     *
+     * @param utilization share of a processor that the planned load uses
+     * @param maxWait queue wait above which a processor rejects new contacts
+     * @param coldStartCapacity share of the warm capacity at a cold start
+     * @param reportNoise relative deviation of reported processor figures
+     */
     public record SwitchSettings(
-            double use, Span mostWait, double coldFrom, Span warm, Span reportEvery, double noise) {}
+            double utilization,
+            Span maxWait,
+            double coldStartCapacity,
+            Span warmUpTime,
+            Span reportInterval,
+            double reportNoise) {}
 
-    /** {@code span} is zero where it has none; {@code said} has the rest. */
+    /**
+     * A fault to inject.
+     *
+     * @param startsAfter time since the first contact
+     * @param duration zero where the fault has no end
+     * @param region index of the region, -1 where the fault names none
+     * @param attributes the fault's element with the attributes specific to its kind
+     */
     public record InjectedFault(
-            String kind, Span at, Span span, List<Integer> exchanges, int region, XmlElement said) {}
+            String kind, Span startsAfter, Span duration, List<Integer> exchanges, int region, XmlElement attributes) {}
 
-    private static final XmlFileReader SHEET = XmlFileReader.forSchema("day.xsd");
+    private static final XmlFileReader SCHEMA_READER = XmlFileReader.forSchema("day.xsd");
 
+    /** Reads and validates a day file. */
     public static Day read(Path file) throws IOException, InvalidFileException {
-        XmlElement root = SHEET.read(file);
-        List<FileError> faults = new ArrayList<>();
-        Day day = of(root, faults);
-        if (!faults.isEmpty()) {
-            throw new InvalidFileException(file.toString(), faults);
+        XmlElement root = SCHEMA_READER.read(file);
+        List<FileError> errors = new ArrayList<>();
+        Day day = of(root, errors);
+        if (!errors.isEmpty()) {
+            throw new InvalidFileException(file.toString(), errors);
         }
         return day;
     }
 
-    private static Day of(XmlElement root, List<FileError> faults) {
+    private static Day of(XmlElement root, List<FileError> errors) {
         int exchanges = root.integer("exchanges");
         List<String> regions = root.child("regions").children().stream()
-                .map(one -> one.text("name"))
+                .map(regionNode -> regionNode.text("name"))
                 .toList();
         List<Skill> skills = new ArrayList<>();
         List<Double> shares = new ArrayList<>();
@@ -89,19 +136,19 @@
         XmlElement groups = root.child("groups");
         XmlElement processor = root.child("processor");
         XmlElement network = root.child("network");
-        List<InjectedFault> troubles = new ArrayList<>();
+        List<InjectedFault> faults = new ArrayList<>();
         for (XmlElement node : root.child("troubles").children()) {
-            List<Integer> which = numbers(node, "exchanges", exchanges, faults);
+            List<Integer> faultExchanges = exchangeNumbers(node, "exchanges", exchanges, errors);
             int region = node.has("region") ? regions.indexOf(node.text("region")) : -1;
             if (node.has("region") && region < 0) {
-                faults.add(node.error("region", "no region is called " + node.text("region")));
+                errors.add(node.error("region", "no region is called " + node.text("region")));
             }
-            need(node, faults);
-            troubles.add(new InjectedFault(
+            checkRequiredAttributes(node, errors);
+            faults.add(new InjectedFault(
                     node.name(),
                     node.milliseconds("at").times(1000),
                     node.has("for") ? node.milliseconds("for").times(1000) : Span.ZERO,
-                    which,
+                    faultExchanges,
                     region,
                     node));
         }
@@ -137,31 +184,32 @@
                         processor.decimal("report-noise")),
                 network.milliseconds("same-ms"),
                 network.milliseconds("cross-ms"),
-                new TreeSet<>(numbers(network, "tcp-exchanges", exchanges, faults)),
+                new TreeSet<>(exchangeNumbers(network, "tcp-exchanges", exchanges, errors)),
                 root.child("list").milliseconds("lag-ms"),
                 root.child("list").milliseconds("silent-lag-ms"),
                 root.child("limits"),
                 root.child("rules"),
                 root.child("reports"),
-                troubles);
+                faults);
     }
 
-    private static List<Integer> numbers(XmlElement node, String attribute, int exchanges, List<FileError> faults) {
+    private static List<Integer> exchangeNumbers(
+            XmlElement node, String attribute, int exchanges, List<FileError> errors) {
         if (!node.has(attribute) || node.text(attribute).isEmpty()) {
             return List.of();
         }
-        List<Integer> all = Arrays.stream(node.text(attribute).split("\\s+"))
+        List<Integer> numbers = Arrays.stream(node.text(attribute).split("\\s+"))
                 .map(Integer::valueOf)
                 .toList();
-        all.stream()
-                .filter(one -> one >= exchanges)
-                .forEach(one -> faults.add(node.error(attribute, "there is no exchange " + one)));
-        return all;
+        numbers.stream()
+                .filter(number -> number >= exchanges)
+                .forEach(number -> errors.add(node.error(attribute, "there is no exchange " + number)));
+        return numbers;
     }
 
-    /** What a kind of trouble can't do without. */
-    private static void need(XmlElement node, List<FileError> faults) {
-        List<String> needed = switch (node.name()) {
+    /** Reports missing attributes that the kind of fault requires. */
+    private static void checkRequiredAttributes(XmlElement node, List<FileError> errors) {
+        List<String> required = switch (node.name()) {
             case "burst" -> List.of("for", "times");
             case "hot-caller" -> List.of("for", "exchanges", "part");
             case "slow" -> List.of("for", "exchanges", "times");
@@ -173,8 +221,8 @@
             case "wear", "cut" -> List.of("part");
             default -> List.of("exchanges");
         };
-        needed.stream()
-                .filter(one -> !node.has(one))
-                .forEach(one -> faults.add(node.error("a " + node.name() + " needs " + one)));
+        required.stream()
+                .filter(attribute -> !node.has(attribute))
+                .forEach(attribute -> errors.add(node.error("a " + node.name() + " needs " + attribute)));
     }
 }
--- a/src/main/java/martenslip/standin/CaptureWriter.java
+++ b/src/main/java/martenslip/standin/CaptureWriter.java
@@ -11,43 +11,44 @@
 import martenslip.sip.transport.Hop;
 
 /**
- * Writes down what passes at the stand-ins' sockets, with facts of the day that no message tells. One record is a
- * head line and, for messages, the bytes as they passed. A queue that is full holds the stand-ins up: a capture
- * with holes would prove nothing. Any thread may call.
+ * Writes the messages at the stand-ins' sockets to a file, with annotations about events that no message shows. A
+ * record is a head line and, for messages, the bytes as sent. A full queue blocks the stand-ins, because an incomplete
+ * capture would prove nothing. Thread-safe.
  */
 public final class CaptureWriter implements AutoCloseable {
-    private static final int QUEUE = 65_536;
-    private static final byte[] END = {};
+    private static final int QUEUE_CAPACITY = 65_536;
+    private static final byte[] END_MARKER = {};
 
-    private final ArrayBlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE);
+    private final ArrayBlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final OutputStream out;
     private final Thread thread;
-    private volatile IOException trouble;
+    private volatile IOException failure;
 
+    /** Creates or replaces the file and starts the writing thread. */
     public CaptureWriter(Path file) throws IOException {
         out = new BufferedOutputStream(Files.newOutputStream(file), 1 << 20);
-        thread = new Thread(null, this::work, "capture", 256 * 1024);
+        thread = new Thread(null, this::writeRecords, "capture", 256 * 1024);
         thread.start();
     }
 
-    /** {@code in} is toward the stand-in. A message that the stand-ins lose on purpose is noted as lost. */
-    public void message(boolean in, String local, Hop remote, boolean lost, byte[] bytes) {
-        String head = "@ " + System.nanoTime() + (in ? " in " : " out ") + local + ' ' + remote
+    /** Captures a message; {@code inbound} is toward the stand-in, {@code lost} marks one dropped on purpose. */
+    public void message(boolean inbound, String local, Hop remote, boolean lost, byte[] bytes) {
+        String headLine = "@ " + System.nanoTime() + (inbound ? " in " : " out ") + local + ' ' + remote
                 + (lost ? " lost " : " whole ") + bytes.length + "\n";
-        byte[] start = head.getBytes(StandardCharsets.US_ASCII);
-        byte[] record = new byte[start.length + bytes.length + 1];
-        System.arraycopy(start, 0, record, 0, start.length);
-        System.arraycopy(bytes, 0, record, start.length, bytes.length);
+        byte[] headBytes = headLine.getBytes(StandardCharsets.US_ASCII);
+        byte[] record = new byte[headBytes.length + bytes.length + 1];
+        System.arraycopy(headBytes, 0, record, 0, headBytes.length);
+        System.arraycopy(bytes, 0, record, headBytes.length, bytes.length);
         record[record.length - 1] = '\n';
-        put(record);
+        enqueue(record);
     }
 
-    /** A fact: a kind and words of name=value. */
-    public void annotation(String kind, String words) {
-        put(("! " + System.nanoTime() + ' ' + kind + ' ' + words + "\n").getBytes(StandardCharsets.UTF_8));
+    /** Captures an annotation: a kind, and attributes as {@code name=value} separated by blanks. */
+    public void annotation(String kind, String attributes) {
+        enqueue(("! " + System.nanoTime() + ' ' + kind + ' ' + attributes + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    private void put(byte[] record) {
+    private void enqueue(byte[] record) {
         try {
             queue.put(record);
         } catch (InterruptedException e) {
@@ -55,13 +56,13 @@
         }
     }
 
-    private void work() {
+    private void writeRecords() {
         try (out) {
-            for (byte[] next = queue.take(); next != END; next = queue.take()) {
-                out.write(next);
+            for (byte[] nextRecord = queue.take(); nextRecord != END_MARKER; nextRecord = queue.take()) {
+                out.write(nextRecord);
             }
         } catch (IOException e) {
-            trouble = e;
+            failure = e;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -69,14 +70,14 @@
 
     @Override
     public void close() throws IOException {
-        put(END);
+        enqueue(END_MARKER);
         try {
             thread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (trouble != null) {
-            throw new UncheckedIOException(trouble);
+        if (failure != null) {
+            throw new UncheckedIOException(failure);
         }
     }
 }
--- a/src/main/java/martenslip/standin/ProcessorModel.java
+++ b/src/main/java/martenslip/standin/ProcessorModel.java
@@ -6,128 +6,157 @@
 import martenslip.control.Span;
 
 /**
- * A switch's processor as a model: one line, work in the order of its arrival, set-ups and looks turned away once
- * the wait is too long. Time is handed in, so sockets and simulated time can both drive it.
+ * Model of a switch's processor: one first-in, first-out queue that rejects new contacts once the wait is too long.
+ * Time is a parameter, so that real and simulated time can both drive it.
  */
 public final class ProcessorModel {
-    /** What a message costs, in parts of a set-up; the front end's own replies and ACKs are next to nothing. */
+    /** Kinds of work with their cost in set-ups; the front end's own responses and ACKs cost almost nothing. */
     public enum WorkType {
-        LOOK(0.25),
+        /** Forwarding a contact to the exchange's controller. */
+        ROUTE(0.25),
+
+        /** Setting up a contact that terminates here. */
         SET_UP(1),
+
+        /** Forwarding a final response to an INVITE that is not a refusal. */
         ANSWER(0.3),
+
+        /** Ending an established contact. */
         RELEASE(0.3),
+
+        /** Refusing or cancelling a contact. */
         REJECT(0.1),
-        NOTE(0.02);
 
-        private final double part;
+        /** Any other message. */
+        MINOR_MESSAGE(0.02);
 
-        WorkType(double part) {
-            this.part = part;
+        private final double setUpShare;
+
+        WorkType(double setUpShare) {
+            this.setUpShare = setUpShare;
         }
 
-        /** New work, which a full processor turns away; the rest belongs to what was taken before. */
-        boolean fresh() {
-            return this == LOOK || this == SET_UP;
+        /** True for new contacts, which a full processor rejects; other work belongs to contacts accepted before. */
+        boolean isNewWork() {
+            return this == ROUTE || this == SET_UP;
         }
     }
 
-    /** {@code unit} is a warm set-up's work; a cold start at {@code coldFrom} is warm after {@code warm}. */
+    /**
+     * Settings of a processor.
+     *
+     * @param setUpTime processor time of one set-up when warm
+     * @param maxWait queue wait above which new contacts are rejected
+     * @param coldStartCapacity share of the warm capacity at a cold start; it rises linearly over {@code warmUpTime}
+     * @param overloadMultiple multiple of its present capacity at which a cold switch is overloaded
+     * @param overloadWindow window over which set-ups are counted for that
+     */
     public record Settings(
             Span setUpTime,
             Span maxWait,
             double coldStartCapacity,
             Span warmUpTime,
-            double fallMultiple,
-            Span fallWindow) {}
+            double overloadMultiple,
+            Span overloadWindow) {}
 
-    /** Set-ups a second of a warm processor that does nothing else, with their releases. */
-    static double capacity(Settings make) {
-        return 1e9 / make.setUpTime().ns() / TERMINATING_COST_SETUPS;
+    /** Set-ups a second, with their releases, of a warm processor that does nothing else. */
+    static double capacity(Settings settings) {
+        return 1e9 / settings.setUpTime().ns() / TERMINATING_COST_SETUPS;
     }
 
-    /** Work of a contact that ends here, and of one that is handed on to the controller, in set-ups. */
-    public static final double TERMINATING_COST_SETUPS = WorkType.SET_UP.part + WorkType.RELEASE.part;
+    /** Work of a contact that terminates here, in set-ups. */
+    public static final double TERMINATING_COST_SETUPS = WorkType.SET_UP.setUpShare + WorkType.RELEASE.setUpShare;
 
+    /** Work of a contact that is forwarded to the controller, in set-ups. */
     public static final double FORWARDING_COST_SETUPS =
-            WorkType.LOOK.part + WorkType.ANSWER.part + WorkType.RELEASE.part;
+            WorkType.ROUTE.setUpShare + WorkType.ANSWER.setUpShare + WorkType.RELEASE.setUpShare;
+
+    /** Set-ups above the limit that count as chance, not as overload by the controllers. */
+    private static final int SET_UP_TOLERANCE = 3;
+
+    /** Longer than any run: work at an overloaded processor never completes. */
+    private static final Span OVERLOADED_COMPLETION_DELAY = Span.ofMillis(3.6e6);
 
-    private final Settings make;
-    private final Moment started;
+    private final Settings settings;
+    private final Moment startedAt;
     private final boolean coldStart;
-    private final Deque<Moment> recent = new ArrayDeque<>();
-    private final Deque<Moment> pending = new ArrayDeque<>();
+    private final Deque<Moment> recentSetUps = new ArrayDeque<>();
+    private final Deque<Moment> pendingCompletions = new ArrayDeque<>();
     private Moment busyUntil;
-    private double slowness = 1;
+    private double slowdown = 1;
     private boolean overloaded;
 
-    public ProcessorModel(Settings make, Moment now, boolean coldStart) {
-        this.make = make;
-        started = now;
+    /** Creates a processor that starts now. */
+    public ProcessorModel(Settings settings, Moment now, boolean coldStart) {
+        this.settings = settings;
+        startedAt = now;
         busyUntil = now;
         this.coldStart = coldStart;
     }
 
-    /** Its present capacity as a part of a warm one's. */
-    public double part(Moment now) {
-        double warm = coldStart ? now.since(started).ratioTo(make.warmUpTime()) : 1;
-        return (make.coldStartCapacity() + (1 - make.coldStartCapacity()) * Math.min(1, warm)) / slowness;
+    /** The present capacity as a share of the warm capacity. */
+    public double capacityShare(Moment now) {
+        double warmShare = coldStart ? now.since(startedAt).ratioTo(settings.warmUpTime()) : 1;
+        return (settings.coldStartCapacity() + (1 - settings.coldStartCapacity()) * Math.min(1, warmShare)) / slowdown;
     }
 
-    public boolean cold(Moment now) {
-        return coldStart && make.warmUpTime().longerThan(now.since(started));
+    /** True while it warms up after a cold start. */
+    public boolean isCold(Moment now) {
+        return coldStart && settings.warmUpTime().longerThan(now.since(startedAt));
     }
 
-    /** From now on work takes this many times as long. */
-    public void slow(double times) {
-        slowness = times;
+    /** Multiplies the time of later work by this factor. */
+    public void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
-    /** True once it was pushed over while cold; nothing is done any more. */
+    /** True once it was overloaded while cold; from then on no work completes. */
     public boolean overloaded() {
         return overloaded;
     }
 
-    public Span wait(Moment now) {
+    /** How long work added now waits until it starts. */
+    public Span waitTime(Moment now) {
         return busyUntil.since(now).atLeast(Span.ZERO);
     }
 
-    public int depth(Moment now) {
-        while (!pending.isEmpty() && !now.before(pending.peek())) {
-            pending.poll();
+    /** Work items that are not completed yet. */
+    public int queueDepth(Moment now) {
+        while (!pendingCompletions.isEmpty() && !now.before(pendingCompletions.peek())) {
+            pendingCompletions.poll();
         }
-        return pending.size();
+        return pendingCompletions.size();
     }
 
-    /** A set-up was sent here by a controller; too many while it is cold push it over. */
-    public void sent(Moment now) {
-        recent.add(now);
-        while (now.since(recent.peek()).longerThan(make.fallWindow())) {
-            recent.poll();
+    /** Counts a set-up that a controller sent here; too many while cold overload the processor. */
+    public void setUpReceived(Moment now) {
+        recentSetUps.add(now);
+        while (now.since(recentSetUps.peek()).longerThan(settings.overloadWindow())) {
+            recentSetUps.poll();
         }
-        double most = make.fallMultiple()
-                * capacity(make)
-                * part(now)
-                * make.fallWindow().ns()
+        double maxSetUps = settings.overloadMultiple()
+                * capacity(settings)
+                * capacityShare(now)
+                * settings.overloadWindow().ns()
                 / 1e9;
-        // A few more than the budget are chance, not a push.
-        overloaded |= cold(now) && recent.size() > most + 3;
+        overloaded |= isCold(now) && recentSetUps.size() > maxSetUps + SET_UP_TOLERANCE;
     }
 
-    /** When the work will be done; null where it is turned away, which costs work too. */
-    public Moment take(Moment now, WorkType work) {
-        if (work.fresh()) {
-            if (wait(now).longerThan(make.maxWait())) {
-                add(now, WorkType.REJECT);
+    /** Queues work and returns when it completes; null where it was rejected, which costs some work too. */
+    public Moment enqueue(Moment now, WorkType type) {
+        if (type.isNewWork()) {
+            if (waitTime(now).longerThan(settings.maxWait())) {
+                append(now, WorkType.REJECT);
                 return null;
             }
         }
-        return overloaded ? now.plus(Span.ofMillis(3.6e6)) : add(now, work);
+        return overloaded ? now.plus(OVERLOADED_COMPLETION_DELAY) : append(now, type);
     }
 
-    private Moment add(Moment now, WorkType work) {
-        Moment begins = busyUntil.before(now) ? now : busyUntil;
-        busyUntil = begins.plus(make.setUpTime().times(work.part / part(now)));
-        pending.add(busyUntil);
+    private Moment append(Moment now, WorkType type) {
+        Moment startsAt = busyUntil.before(now) ? now : busyUntil;
+        busyUntil = startsAt.plus(settings.setUpTime().times(type.setUpShare / capacityShare(now)));
+        pendingCompletions.add(busyUntil);
         return busyUntil;
     }
 }
--- a/src/main/java/martenslip/tracking/ContactRegistry.java
+++ b/src/main/java/martenslip/tracking/ContactRegistry.java
@@ -16,17 +16,26 @@
 import martenslip.control.Span;
 
 /**
- * Which contacts the module knows of, and what it has heard of each, so that it hears all once and in order while the
- * threads around it are replaced. Rings are numbered by the lane that sends them; a module that took over amid a
- * contact counts its own from 0, so each contact has a base. What a lane still holds after a replacement is compared
- * with what the module was told, and the difference is told.
+ * Tracks the contacts that the module knows and the events it was notified of for each, so that the module is notified
+ * of each event once and in order while the threads around it are replaced. The lane that sends the rings numbers them;
+ * a module that took over a contact in progress numbers its own rings from 0, so each contact has an offset. After a
+ * replacement the registry compares what a lane still holds with what the module was notified of, and notifies the
+ * module of the difference.
  *
- * <p>Without I/O, threads or clock; the thread that owns the module owns it. Bounded by the contacts that are open.
+ * <p>Without I/O, threads or clock; owned by the thread that owns the module. Its size is bounded by the open contacts.
  */
 public final class ContactRegistry {
     /**
-     * What a lane holds of a contact: when it was taken, how many rings it had, the one that is out or stands, or -1,
-     * and when the last one ended that may still hold something, or null.
+     * A contact as its lane holds it.
+     *
+     * @param contact the contact
+     * @param takenAt when the lane took it
+     * @param ringCount how many rings the lane has sent for it
+     * @param inFlightRing the ring that is in flight or established, or -1
+     * @param target switch of that ring
+     * @param established whether that ring is established
+     * @param answered whether the contact has its final answer
+     * @param lastHeldRingEndedAt when the last ring ended that may still hold circuits, or null
      */
     public record LaneContact(
             Contact contact,
@@ -38,92 +47,94 @@
             boolean answered,
             Moment lastHeldRingEndedAt) {}
 
-    /** What the roll orders beside the module. */
+    /** Orders that the registry itself gives to lanes. */
     public interface LaneOrders {
-        /** A ring that this module never ordered, of a contact that is over. */
+        /** Cancels a ring that this module never ordered, of a contact that has ended. */
         void cancel(long contact, int ring);
     }
 
     private static final class Entry {
         final Contact contact;
         final int lane;
-        final Moment at;
-        /** Rings below this number were another module's. */
-        int base;
+        final Moment takenAt;
+        /** Rings with a lower number were ordered by a previous module. */
+        int firstModuleRing;
 
-        int next;
-        int live = -1;
+        int nextRing;
+        int inFlightRing = -1;
         long target;
-        boolean known;
-        boolean stood;
+        boolean offered;
+        boolean established;
         boolean answered;
 
-        Entry(Contact contact, int lane, Moment at) {
+        Entry(Contact contact, int lane, Moment takenAt) {
             this.contact = contact;
             this.lane = lane;
-            this.at = at;
+            this.takenAt = takenAt;
         }
 
-        boolean foreign() {
-            return live >= 0 && live < base;
+        boolean hasForeignRing() {
+            return inFlightRing >= 0 && inFlightRing < firstModuleRing;
         }
     }
 
-    private record DelayedOffer(long contact, Moment at, long order) {}
+    private record DelayedOffer(long contact, Moment dueAt, long sequence) {}
 
     private final Controller module;
-    private final Span release;
-    private final LaneOrders lanes;
+    private final Span releaseTime;
+    private final LaneOrders laneOrders;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
-    private final PriorityQueue<DelayedOffer> later =
-            new PriorityQueue<>(Comparator.comparing(DelayedOffer::at).thenComparing(DelayedOffer::order));
-    private long orders;
+    private final PriorityQueue<DelayedOffer> delayedOffers =
+            new PriorityQueue<>(Comparator.comparing(DelayedOffer::dueAt).thenComparing(DelayedOffer::sequence));
+    private long nextOfferSequence;
 
-    /** {@code release} is how long nothing is sent for a contact after a ring that may still hold something. */
-    public ContactRegistry(Controller module, Span release, LaneOrders lanes) {
+    /** {@code releaseTime} is how long no ring is sent for a contact after one that may still hold circuits. */
+    public ContactRegistry(Controller module, Span releaseTime, LaneOrders laneOrders) {
         this.module = module;
-        this.release = release;
-        this.lanes = lanes;
+        this.releaseTime = releaseTime;
+        this.laneOrders = laneOrders;
     }
 
+    /** Number of contacts that have not ended. */
     public int size() {
         return entries.size();
     }
 
-    /** A contact that a lane has taken; one that is known already is not told again. */
+    /** Offers a contact that a lane has taken to the module, unless it is already registered. */
     public void contactOffered(Moment now, Contact contact, int lane) {
         if (!entries.containsKey(contact.id())) {
             Entry entry = new Entry(contact, lane, now);
-            entry.known = true;
+            entry.offered = true;
             entries.put(contact.id(), entry);
             module.contactOffered(now, contact);
         }
     }
 
-    /** The module orders a ring: its number for the lane, or -1 where the contact is not on the roll. */
+    /** The module orders a ring; returns the lane's number of it, or -1 if the contact is not registered. */
     public int ringOrdered(long contact, long target) {
         Entry entry = entries.get(contact);
         if (entry == null) {
             return -1;
         }
-        entry.live = entry.next++;
+        entry.inFlightRing = entry.nextRing++;
         entry.target = target;
-        return entry.live;
+        return entry.inFlightRing;
     }
 
+    /** Whether the contact is registered. */
     public boolean contains(long contact) {
         return entries.containsKey(contact);
     }
 
-    /** How many circuits a contact on the roll takes. */
+    /** How many circuits a registered contact takes. */
     public int width(long contact) {
         return entries.get(contact).contact.width();
     }
 
-    /** The lane's number of a ring that the module names. */
+    /** The lane's number of a ring that has this number for the module, or -1 if the contact is not registered. */
     public int laneRingNumber(long contact, int ring) {
         Entry entry = entries.get(contact);
-        return entry == null ? -1 : entry.base + ring;
+        return entry == null ? -1 : entry.firstModuleRing + ring;
     }
 
     /** The module gave its final answer. */
@@ -131,37 +142,38 @@
         Entry entry = entries.get(contact);
         if (entry != null) {
             entry.answered = true;
-            forget(entry);
+            removeIfEnded(entry);
         }
     }
 
-    public void established(Moment now, long contact, int ring, long target, Span took) {
+    /** A ring was answered; the module is notified once, and only of its own rings. */
+    public void established(Moment now, long contact, int ring, long target, Span setUpTime) {
         Entry entry = entries.get(contact);
-        if (entry == null || entry.live != ring || entry.stood) {
+        if (entry == null || entry.inFlightRing != ring || entry.established) {
             return;
         }
-        boolean foreign = entry.foreign();
-        entry.stood = true;
+        boolean foreign = entry.hasForeignRing();
+        entry.established = true;
         entry.answered = true;
         if (!foreign) {
-            module.established(now, contact, ring - entry.base, target, took);
+            module.established(now, contact, ring - entry.firstModuleRing, target, setUpTime);
         }
     }
 
-    /** The outcome of a ring, numbered by its lane; true where it is news. */
+    /** A ring, numbered by its lane, has ended; returns false if it is not the one in flight. */
     public boolean ringEnded(Moment now, RingEnd end) {
         Entry entry = entries.get(end.contact());
-        if (entry == null || entry.live != end.ring()) {
+        if (entry == null || entry.inFlightRing != end.ring()) {
             return false;
         }
-        boolean foreign = entry.foreign();
-        entry.live = -1;
+        boolean foreign = entry.hasForeignRing();
+        entry.inFlightRing = -1;
         if (!foreign) {
             module.ringEnded(
                     now,
                     new RingEnd(
                             end.contact(),
-                            end.ring() - entry.base,
+                            end.ring() - entry.firstModuleRing,
                             end.target(),
                             end.cause(),
                             end.rejectionReason(),
@@ -169,81 +181,87 @@
                             end.answered(),
                             end.report()));
         } else if (!entry.answered) {
-            offerLater(entry, mayHoldCircuits(end.cause()) ? now.plus(release) : now);
+            scheduleOffer(entry, mayHoldCircuits(end.cause()) ? now.plus(releaseTime) : now);
         }
-        forget(entry);
+        removeIfEnded(entry);
         return true;
     }
 
-    /** Rule 5: after these nothing is sent for the release time, as the switch may still hold something. */
+    /**
+     * Whether the switch may still hold circuits after a ring that ended this way. Rule 5: no ring is then sent for the
+     * contact during the release time.
+     */
     public static boolean mayHoldCircuits(RingEndCause cause) {
         return cause == RingEndCause.TIMED_OUT || cause == RingEndCause.CUT || cause == RingEndCause.CALLED_OFF;
     }
 
-    /** The caller is gone, or the lane had the last word. */
+    /** The caller is gone, or the lane gave the final answer itself. */
     public void callerGone(Moment now, long contact) {
         Entry entry = entries.get(contact);
         if (entry == null || entry.answered) {
             return;
         }
         entry.answered = true;
-        if (entry.foreign()) {
-            lanes.cancel(contact, entry.live);
+        if (entry.hasForeignRing()) {
+            laneOrders.cancel(contact, entry.inFlightRing);
         }
-        if (entry.known) {
+        if (entry.offered) {
             module.callerGone(now, contact);
         }
-        forget(entry);
+        removeIfEnded(entry);
     }
 
-    private void forget(Entry entry) {
-        if (entry.answered && entry.live < 0) {
+    private void removeIfEnded(Entry entry) {
+        if (entry.answered && entry.inFlightRing < 0) {
             entries.remove(entry.contact.id(), entry);
         }
     }
 
-    /** A lane's thread, or this one, was replaced: all that the lane holds. */
-    public void reconcileLane(Moment now, int lane, List<LaneContact> held) {
+    /** Compares the registry with all that a lane holds, after the lane's thread or this one was replaced. */
+    public void reconcileLane(Moment now, int lane, List<LaneContact> laneContacts) {
         Map<Long, LaneContact> byId = new HashMap<>();
-        held.forEach(one -> byId.put(one.contact().id(), one));
-        List<Entry> mine = new ArrayList<>();
-        entries.values().stream().filter(entry -> entry.lane == lane).forEach(mine::add);
-        for (Entry entry : mine) {
-            compare(now, entry, byId.get(entry.contact.id()));
+        laneContacts.forEach(laneContact -> byId.put(laneContact.contact().id(), laneContact));
+        List<Entry> laneEntries = new ArrayList<>();
+        entries.values().stream().filter(entry -> entry.lane == lane).forEach(laneEntries::add);
+        for (Entry entry : laneEntries) {
+            reconcileEntry(now, entry, byId.get(entry.contact.id()));
         }
-        for (LaneContact one : held) {
-            if (!entries.containsKey(one.contact().id()) && !(one.answered() && one.inFlightRing() < 0)) {
-                adopt(now, lane, one);
+        for (LaneContact laneContact : laneContacts) {
+            if (!entries.containsKey(laneContact.contact().id())
+                    && !(laneContact.answered() && laneContact.inFlightRing() < 0)) {
+                adoptContact(now, lane, laneContact);
             }
         }
     }
 
-    private void compare(Moment now, Entry entry, LaneContact held) {
+    private void reconcileEntry(Moment now, Entry entry, LaneContact laneContact) {
         long id = entry.contact.id();
-        if (held == null) {
-            // The lane had done with it, and what it said of that was lost.
+        if (laneContact == null) {
+            // The lane has ended the contact, and its notification was lost.
             callerGone(now, id);
-            over(now, entry, RingEndCause.CUT);
+            endRing(now, entry, RingEndCause.CUT);
             return;
         }
-        if (held.established()) {
-            established(now, id, held.inFlightRing(), held.target(), now.since(held.takenAt()));
-        } else if (entry.live >= 0 && entry.live < held.ringCount() && held.inFlightRing() != entry.live) {
-            over(now, entry, entry.stood ? RingEndCause.CUT : RingEndCause.TIMED_OUT);
+        if (laneContact.established()) {
+            established(now, id, laneContact.inFlightRing(), laneContact.target(), now.since(laneContact.takenAt()));
+        } else if (entry.inFlightRing >= 0
+                && entry.inFlightRing < laneContact.ringCount()
+                && laneContact.inFlightRing() != entry.inFlightRing) {
+            endRing(now, entry, entry.established ? RingEndCause.CUT : RingEndCause.TIMED_OUT);
         }
-        // A ring that the lane has no count of is an order that still stands in its inbox.
-        if (held.answered()) {
+        // A ring that the lane has not counted is an order that is still in its inbox.
+        if (laneContact.answered()) {
             callerGone(now, id);
         }
     }
 
-    private void over(Moment now, Entry entry, RingEndCause cause) {
-        if (entry.live >= 0) {
+    private void endRing(Moment now, Entry entry, RingEndCause cause) {
+        if (entry.inFlightRing >= 0) {
             ringEnded(
                     now,
                     new RingEnd(
                             entry.contact.id(),
-                            entry.live,
+                            entry.inFlightRing,
                             entry.target,
                             cause,
                             RejectionReason.NONE,
@@ -253,60 +271,60 @@
         }
     }
 
-    private void adopt(Moment now, int lane, LaneContact held) {
-        Entry entry = new Entry(held.contact(), lane, held.takenAt());
-        entry.base = held.ringCount();
-        entry.next = held.ringCount();
-        entry.live = held.inFlightRing();
-        entry.target = held.target();
-        entry.stood = held.established();
-        entry.answered = held.answered();
-        entries.put(held.contact().id(), entry);
-        if (!entry.answered && entry.live < 0) {
-            Moment until = held.lastHeldRingEndedAt() == null
+    private void adoptContact(Moment now, int lane, LaneContact laneContact) {
+        Entry entry = new Entry(laneContact.contact(), lane, laneContact.takenAt());
+        entry.firstModuleRing = laneContact.ringCount();
+        entry.nextRing = laneContact.ringCount();
+        entry.inFlightRing = laneContact.inFlightRing();
+        entry.target = laneContact.target();
+        entry.established = laneContact.established();
+        entry.answered = laneContact.answered();
+        entries.put(laneContact.contact().id(), entry);
+        if (!entry.answered && entry.inFlightRing < 0) {
+            Moment offerAt = laneContact.lastHeldRingEndedAt() == null
                     ? now
-                    : held.lastHeldRingEndedAt().plus(release);
-            offerLater(entry, until.before(now) ? now : until);
+                    : laneContact.lastHeldRingEndedAt().plus(releaseTime);
+            scheduleOffer(entry, offerAt.before(now) ? now : offerAt);
         }
     }
 
-    private void offerLater(Entry entry, Moment at) {
-        entry.base = entry.next;
-        later.add(new DelayedOffer(entry.contact.id(), at, orders++));
+    private void scheduleOffer(Entry entry, Moment dueAt) {
+        entry.firstModuleRing = entry.nextRing;
+        delayedOffers.add(new DelayedOffer(entry.contact.id(), dueAt, nextOfferSequence++));
     }
 
     /** When {@link #offerDue} has something to do, or null. */
     public Moment nextOfferAt() {
-        return later.isEmpty() ? null : later.peek().at();
+        return delayedOffers.isEmpty() ? null : delayedOffers.peek().dueAt();
     }
 
-    /** Offers what another module had been offered before and is due; with what is left of its patience. */
+    /** Offers the contacts that are due and were offered to a previous module, with their remaining patience. */
     public void offerDue(Moment now) {
-        while (!later.isEmpty() && !now.before(later.peek().at())) {
-            Entry entry = entries.get(later.poll().contact());
-            if (entry == null || entry.answered || entry.known && entry.live >= 0) {
+        while (!delayedOffers.isEmpty() && !now.before(delayedOffers.peek().dueAt())) {
+            Entry entry = entries.get(delayedOffers.poll().contact());
+            if (entry == null || entry.answered || entry.offered && entry.inFlightRing >= 0) {
                 continue;
             }
-            Contact was = entry.contact;
-            Span left = was.patience().minus(now.since(entry.at));
-            if (!left.longerThan(Span.ZERO)) {
-                // Its lane has the last word about now.
+            Contact contact = entry.contact;
+            Span remainingPatience = contact.patience().minus(now.since(entry.takenAt));
+            if (!remainingPatience.longerThan(Span.ZERO)) {
+                // Its lane gives the final answer at about this time.
                 continue;
             }
-            entry.known = true;
+            entry.offered = true;
             module.contactOffered(
                     now,
                     new Contact(
-                            was.id(),
-                            was.skill(),
-                            was.dialledNumber(),
-                            was.destination(),
-                            was.routingHint(),
-                            was.width(),
-                            left,
-                            was.redial(),
-                            was.inTransit(),
-                            was.previouslyCut()));
+                            contact.id(),
+                            contact.skill(),
+                            contact.dialledNumber(),
+                            contact.destination(),
+                            contact.routingHint(),
+                            contact.width(),
+                            remainingPatience,
+                            contact.redial(),
+                            contact.inTransit(),
+                            contact.previouslyCut()));
         }
     }
 }
--- a/src/test/java/martenslip/InterleavingExplorer.java
+++ b/src/test/java/martenslip/InterleavingExplorer.java
@@ -6,75 +6,76 @@
 import java.util.function.Supplier;
 
 /**
- * Every order of a world's events: depth first, each sequence played from the start, as a world can't be copied. After
- * so many choices the rest is played in one order until nothing is left to come. It stops at the first fault.
+ * Explores every order of a simulation's events, depth first. Each sequence is played from the start because a
+ * simulation can't be copied. After {@code depth} choices the remaining events are played in one fixed order until none
+ * is left. The search stops at the first violation.
  */
 public final class InterleavingExplorer {
-    /** One thing that may come next. */
+    /** An event that may happen next. */
     public record Event(String name, Runnable action) {}
 
-    /** What is explored; it judges itself by the rules as it goes. */
+    /** A system under exploration; it checks the rules at each event. */
     public interface Simulation {
-        /** What may come next, always in the same order. */
+        /** Events that may happen next, always in the same order. */
         List<Event> enabledEvents();
 
         RuleChecker rules();
 
-        /** Looks at what is left once nothing more can come. */
+        /** Checks the remaining state once no event is left. */
         void checkQuiescent();
     }
 
-    /** How many sequences a world has, and the first fault met with the way there, or null. */
+    /** Number of sequences, and the first violation with the events that led to it, or null. */
     public record SearchResult(long sequences, String fault) {}
 
-    private static final int MOST_TAIL = 400;
+    private static final int MAX_TAIL_EVENTS = 400;
 
-    private final Supplier<Simulation> worlds;
+    private final Supplier<Simulation> simulations;
     private final int depth;
     private long sequences;
     private String fault;
 
-    private InterleavingExplorer(Supplier<Simulation> worlds, int depth) {
-        this.worlds = worlds;
+    private InterleavingExplorer(Supplier<Simulation> simulations, int depth) {
+        this.simulations = simulations;
         this.depth = depth;
     }
 
-    /** {@code worlds} makes the same world each time. */
-    public static SearchResult search(Supplier<Simulation> worlds, int depth) {
-        InterleavingExplorer search = new InterleavingExplorer(worlds, depth);
-        search.from(new int[0]);
-        return new SearchResult(search.sequences, search.fault);
+    /** {@code simulations} must create the same simulation each time. */
+    public static SearchResult search(Supplier<Simulation> simulations, int depth) {
+        InterleavingExplorer explorer = new InterleavingExplorer(simulations, depth);
+        explorer.explore(new int[0]);
+        return new SearchResult(explorer.sequences, explorer.fault);
     }
 
-    private void from(int[] picks) {
-        Simulation world = worlds.get();
+    private void explore(int[] picks) {
+        Simulation simulation = simulations.get();
         List<String> names = new ArrayList<>();
-        List<Event> next = world.enabledEvents();
+        List<Event> next = simulation.enabledEvents();
         for (int pick : picks) {
-            next = step(world, next.get(pick), names);
+            next = step(simulation, next.get(pick), names);
         }
-        boolean last = picks.length == depth || next.isEmpty();
-        int choices = last ? 0 : next.size();
-        if (last) {
+        boolean isLeaf = picks.length == depth || next.isEmpty();
+        int choices = isLeaf ? 0 : next.size();
+        if (isLeaf) {
             sequences++;
-            for (int i = 0; i < MOST_TAIL && !next.isEmpty(); i++) {
-                next = step(world, next.get(0), names);
+            for (int i = 0; i < MAX_TAIL_EVENTS && !next.isEmpty(); i++) {
+                next = step(simulation, next.get(0), names);
             }
-            world.checkQuiescent();
+            simulation.checkQuiescent();
         }
-        if (!world.rules().violations().isEmpty()) {
-            fault = world.rules().violations() + " after " + names;
+        if (!simulation.rules().violations().isEmpty()) {
+            fault = simulation.rules().violations() + " after " + names;
         }
         int[] longer = Arrays.copyOf(picks, picks.length + 1);
         for (int pick = 0; pick < choices && fault == null; pick++) {
             longer[picks.length] = pick;
-            from(longer);
+            explore(longer);
         }
     }
 
-    private static List<Event> step(Simulation world, Event event, List<String> names) {
+    private static List<Event> step(Simulation simulation, Event event, List<String> names) {
         names.add(event.name());
         event.action().run();
-        return world.enabledEvents();
+        return simulation.enabledEvents();
     }
 }
