--- a/src/main/java/martenslip/RoutingPolicy.java
+++ b/src/main/java/martenslip/RoutingPolicy.java
@@ -8,6 +8,10 @@
  * The module: makes every routing decision. A program creates one for each exchange, notifies it of events through
  * {@link Controller} and carries out the {@link Orders} it gives. Each event becomes messages in the inboxes of actors,
  * and one loop empties all inboxes before the call returns. See docs/design.md.
+ *
+ * <p>A contact takes the direct route first, then a tandem drawn by weight. Near full, each class of service may hold
+ * only a share of a group; the shares change in stages with the urgent demand, after F. Carvalho de Gouveia, Y. Rebahi,
+ * J. R. Planella, T. Magedanz, "Emergency Services Control Model for Next Generation Networks", called the paper below.
  */
 public final class RoutingPolicy implements Controller {
     // Shares of a group by stage of urgent demand. The thresholds (urgent demand over the group's size) are the
@@ -34,8 +38,29 @@
     static final double MIN_WEIGHT = 0.05;
     /** Assumed load of a processor on an ordinary day, as a share of its capacity. */
     static final double USUAL_LOAD_SHARE = 0.8;
-    /** Limit of the rate sent to a cold switch, over its share of the usual rate; well below the rule's multiple. */
+    /**
+     * Limit of the rate sent to a cold switch, over its share of the usual rate; well below the multiple at which the
+     * switch is overloaded, the setting {@code guarantees.fall-multiple}.
+     */
     static final double MAX_COLD_USUAL_RATIO = 1.25;
+    /** Limit of the same ratio as a share of {@code guarantees.fall-multiple}; it applies where that is small. */
+    static final double MAX_COLD_FALL_MULTIPLE_SHARE = 0.6;
+    /** Smoothing factor, per report, by which the learned usual capacity of a processor rises. */
+    static final double USUAL_CAPACITY_RISE_FACTOR = 0.2;
+    /** The same for its fall; much smaller, or a long overload would pass for the usual capacity. */
+    static final double USUAL_CAPACITY_FALL_FACTOR = 0.002;
+    /** Share of its capacity that a processor rejects above which urgent contacts are rejected too. */
+    static final double URGENT_REJECTION_START_CUT = 0.85;
+    /** The same share from which all urgent contacts are rejected. */
+    static final double URGENT_REJECTION_FULL_CUT = 0.95;
+    /** Wait at a processor, as a share of the contact's answer target, above which urgent contacts are rejected. */
+    static final double URGENT_REJECTION_START_WAIT_TARGET_SHARE = 1;
+    /** The same share from which all urgent contacts are rejected. */
+    static final double URGENT_REJECTION_FULL_WAIT_TARGET_SHARE = 2;
+    /** Wait at a processor, as a share of the contact's answer target, above which other contacts are rejected. */
+    static final double REJECTION_START_WAIT_TARGET_SHARE = 0.2;
+    /** The same share from which all other contacts are rejected. */
+    static final double REJECTION_FULL_WAIT_TARGET_SHARE = 0.7;
     /** Work of a message in a processor's queue, in set-ups; most are queries, answers and retransmissions. */
     static final double SET_UPS_PER_QUEUED_MESSAGE = 0.4;
     /** More set-ups, messages or milliseconds than any processor can have; a larger value is a faulty report. */
@@ -52,6 +77,10 @@
     static final double CIRCUIT_WAIT_TARGET_SHARE = 0.5;
     /** Delay, as a share of the urgent answer target, of the retry after the home switch's processor had no room. */
     static final double RETRY_DELAY_TARGET_SHARE = 0.25;
+    /** Interval, as a share of the urgent answer target, at which requests that wait for a circuit are retried. */
+    static final double CIRCUIT_RETRY_INTERVAL_TARGET_SHARE = 0.04;
+    /** Minimum time between two probes of the home switch, as a share of the urgent answer target. */
+    static final double PROBE_INTERVAL_TARGET_SHARE = 0.4;
 
     static final Moment NEVER = new Moment(Long.MIN_VALUE / 4);
 
@@ -100,7 +129,9 @@
         }
     }
 
-    /** A switch denied the request; {@code byHomeSwitch} if it was the home switch, before the destination was asked. */
+    /**
+     * A switch denied the request; {@code byHomeSwitch} if it was the home switch, before the destination was asked.
+     */
     record CircuitDenied(long contact, boolean byHomeSwitch) implements Message<ContactManager> {
         public void deliverTo(ContactManager receiver) {
             receiver.circuitDenied(receiver.openContacts.get(contact), byHomeSwitch);
@@ -230,7 +261,9 @@
         }
     }
 
-    /** A histogram of spans whose counts are halved every three periods. Bin widths double; one bin makes it a count. */
+    /**
+     * A histogram of spans whose counts are halved every three periods. Bin widths double; one bin makes it a count.
+     */
     static final class DecayingHistogram {
         final double[] binCounts;
         final Span lastBinStart;
@@ -322,7 +355,9 @@
     /** Circuits that a ring holds on the group; {@code sentAt} is null once the contact is established. */
     private record HeldCircuits(Skill skill, int width, Moment sentAt) {}
 
-    /** A tandem's weight when last updated; it recovers with time unless 0, which means the tandem has no group there. */
+    /**
+     * A tandem's weight when last updated; it recovers with time unless 0, which means the tandem has no group there.
+     */
     private record TandemWeight(double value, Moment updatedAt) {}
 
     /** A switch, its processor, and the group of circuits toward it. */
@@ -428,7 +463,8 @@
                     case "depth" -> queueDepth = value;
                     case "mean_ms" -> queueWait = Span.ofMillis(value);
                     case "allowed" -> {
-                        usualCapacity += (value - usualCapacity) * (value > usualCapacity ? 0.2 : 0.002);
+                        usualCapacity += (value - usualCapacity)
+                                * (value > usualCapacity ? USUAL_CAPACITY_RISE_FACTOR : USUAL_CAPACITY_FALL_FACTOR);
                         // A processor whose first report allows nothing is jammed, not idle.
                         capacityCut =
                                 usualCapacity == 0 ? 1 : Math.max(0, 1 - value / usualCapacity / USUAL_LOAD_SHARE);
@@ -482,7 +518,9 @@
                     .count();
         }
 
-        /** Circuits held by a skill; those that no ring from here holds were taken by the far end and count as cheapest. */
+        /**
+         * Circuits held by a skill; those that no ring from here holds were taken by the far end and count as cheapest.
+         */
         int occupiedCircuits(int skill) {
             int unknown = Math.max(
                     0, groupSize - freeCircuits - Arrays.stream(heldBySkill).sum());
@@ -509,7 +547,9 @@
                     : DenialReason.SHARE_EXCEEDED;
         }
 
-        /** Whether no response came for longer than set-ups take here: the switch may be hung, cut off, jammed or slow. */
+        /**
+         * Whether no response came for longer than set-ups take here: the switch may be hung, cut off, jammed or slow.
+         */
         boolean isSilent() {
             Span longest = setUpTimes.quantile(0.9, now).times(2).atLeast(urgentSkill.target);
             return unresponsive
@@ -540,7 +580,8 @@
                     * sentRings.period.ratioTo(skills[cheapestSkillId].meanHold)
                     / skills[cheapestSkillId].width;
             double usualPerPeriod = Math.min(groupPeriodCapacity, Math.max(warmSendRate, requestCount.mean(now) / 2));
-            share *= Math.min(MAX_COLD_USUAL_RATIO, 0.6 * numberSetting("guarantees.fall-multiple", 1));
+            share *= Math.min(
+                    MAX_COLD_USUAL_RATIO, MAX_COLD_FALL_MULTIPLE_SHARE * numberSetting("guarantees.fall-multiple", 1));
             double periods = now.since(coldBudgetAt).ratioTo(sentRings.period);
             coldBudget = Math.min(2, coldBudget + usualPerPeriod * share * periods);
             coldBudgetAt = now;
@@ -562,8 +603,15 @@
                     queueWait.times(reportWeight).atLeast(ownSetUpTime).ratioTo(skill.target));
             // A processor that accepts almost nothing is jammed; even urgent contacts would only add to its queue.
             return skill.rank == 0
-                    ? Math.max(ramp(capacityCut * reportWeight, 0.85, 0.95), ramp(waitRatio, 1, 2))
-                    : Math.max(capacityCut * reportWeight, ramp(waitRatio, 0.2, 0.7));
+                    ? Math.max(
+                            ramp(capacityCut * reportWeight, URGENT_REJECTION_START_CUT, URGENT_REJECTION_FULL_CUT),
+                            ramp(
+                                    waitRatio,
+                                    URGENT_REJECTION_START_WAIT_TARGET_SHARE,
+                                    URGENT_REJECTION_FULL_WAIT_TARGET_SHARE))
+                    : Math.max(
+                            capacityCut * reportWeight,
+                            ramp(waitRatio, REJECTION_START_WAIT_TARGET_SHARE, REJECTION_FULL_WAIT_TARGET_SHARE));
         }
 
         DenialReason checkProcessor(CircuitRequest request) {
@@ -631,7 +679,12 @@
             waitingRequests.add(position, request);
             if (!retryTimerRunning) {
                 retryTimerRunning = true;
-                orders.startTimer(urgentSkill.target.times(0.04).atLeast(timerRound), id * 2 + 1);
+                orders.startTimer(
+                        urgentSkill
+                                .target
+                                .times(CIRCUIT_RETRY_INTERVAL_TARGET_SHARE)
+                                .atLeast(timerRound),
+                        id * 2 + 1);
             }
         }
 
@@ -840,7 +893,7 @@
                 sendGroupsToPeers();
             }
             startTimer(openContact, openContact.waitUntil);
-            boolean probeDue = now.since(probedAt).longerThan(urgentSkill.target.times(0.4));
+            boolean probeDue = now.since(probedAt).longerThan(urgentSkill.target.times(PROBE_INTERVAL_TARGET_SHARE));
             if (probeDue && homeSwitch() != null && isAllowed("probes")) {
                 probedAt = now;
                 orders.probe(homeSwitch().id);
@@ -956,7 +1009,7 @@
             }
         }
 
-        /** Ends an open contact and releases what it holds; returns false if it was not open. */
+        /** Ends an open contact and releases the circuits it holds; returns false if it was not open. */
         boolean close(OpenContact openContact) {
             if (openContact == null || openContacts.remove(openContact.contact.id()) == null) {
                 return false;
@@ -1128,7 +1181,7 @@
         switchesWithGroup.keySet().retainAll(switches.keySet());
     }
 
-    /** Delivers a message and all that follow from it. */
+    /** Delivers a message and all messages that follow from it. */
     private <A extends Actor<A>> void process(Moment eventTime, A actor, Message<A> message) {
         now = eventTime;
         if (actor != null) {
--- a/src/main/java/martenslip/control/Controller.java
+++ b/src/main/java/martenslip/control/Controller.java
@@ -31,7 +31,7 @@
     /** A ring has ended, before or after it was established. */
     void ringEnded(Moment now, RingEnd end);
 
-    /** The caller gave up before the final answer; no answer is owed any more. */
+    /** The caller ended its request before the final answer; no answer is due any more. */
     void callerGone(Moment now, long contact);
 
     /** A timer that the module started has expired. */
--- a/src/main/java/martenslip/control/Orders.java
+++ b/src/main/java/martenslip/control/Orders.java
@@ -29,6 +29,6 @@
     /** Writes a line to the program's log. */
     void log(String line);
 
-    /** The peer number that stands for all peers. */
+    /** The peer number that means all peers. */
     int ALL_PEERS = 0xffff;
 }
--- a/src/main/java/martenslip/exchange/Contacts.java
+++ b/src/main/java/martenslip/exchange/Contacts.java
@@ -132,7 +132,7 @@
         }
     }
 
-    /** The decider gave no final answer in time, so the lane abandons the contact itself. */
+    /** The decider ordered no final answer in time, so the lane abandons the contact itself. */
     private void answerDeadlineExpired(AcceptedContact acceptedContact) {
         if (acceptedContact.answered) {
             return;
@@ -210,8 +210,9 @@
     }
 
     /**
-     * True once the release time after a delayed CANCEL is over. Rule 5 (release time) also counts from such a CANCEL,
-     * which the controller does not know of; for all other cases the controller keeps the rule.
+     * True once the release time after a delayed CANCEL is over. The release time (rule 5 of {@link
+     * martenslip.control}) also counts from such a CANCEL, which the controller does not know of; in all other cases
+     * the controller keeps this rule.
      */
     private boolean isReleaseTimeOver(AcceptedContact acceptedContact) {
         return acceptedContact.delayedCancelSentAt == null
--- a/src/main/java/martenslip/exchange/LaneReports.java
+++ b/src/main/java/martenslip/exchange/LaneReports.java
@@ -20,8 +20,8 @@
     boolean contactOffered(Contact contact, int laneNumber);
 
     /**
-     * The first response to a ring arrived: from now on the circuits of the ring are included in what the switch
-     * reports of its free circuits.
+     * The first response to a ring arrived: from now on the circuits of the ring are included in the free
+     * circuits that the switch reports.
      */
     void firstResponseReceived(long contactId, int ringNumber, int farExchange);
 
--- a/src/main/java/martenslip/exchange/NetworkMonitor.java
+++ b/src/main/java/martenslip/exchange/NetworkMonitor.java
@@ -26,8 +26,8 @@
 import martenslip.sip.transaction.ServerTransaction;
 
 /**
- * Obtains what the exchange needs to know apart from contacts: the switch list, the circuits of its groups, answers to
- * probes and notes of peers. It sends the requests that the decider orders and reports what arrives.
+ * Obtains the information that the exchange needs apart from contacts: the switch list, the circuits of its groups,
+ * answers to probes and notes of peers. It sends the requests that the decider orders and reports the answers.
  */
 final class NetworkMonitor {
     /**
--- a/src/main/java/martenslip/exchange/ThreadSupervisor.java
+++ b/src/main/java/martenslip/exchange/ThreadSupervisor.java
@@ -21,7 +21,7 @@
 final class ThreadSupervisor implements AutoCloseable {
     private static final int INBOX_CAPACITY = 4 * InboundDispatcher.MAX_QUEUED_ARRIVALS;
 
-    /** A task for a lane. A command carries the number of the decider that gave it, any other task -1. */
+    /** A task for a lane. A command carries the number of the decider that issued it, any other task -1. */
     private record LaneTask(Consumer<Lane> action, int deciderNumber) {}
 
     /** A task for the decider. */
--- a/src/main/java/martenslip/expect/Contradictions.java
+++ b/src/main/java/martenslip/expect/Contradictions.java
@@ -43,7 +43,9 @@
         return contradictions;
     }
 
-    /** Finds shares of the same contacts in the same state with disjoint routes that add up to more than 100 percent. */
+    /**
+     * Finds shares of the same contacts in the same state with disjoint routes that add up to more than 100 percent.
+     */
     private static void findExcessiveShares(List<Expectation> expectations, List<Contradiction> contradictions) {
         for (int i = 0; i < expectations.size(); i++) {
             Expectation first = expectations.get(i);
@@ -97,7 +99,9 @@
         return first.isEmpty() || second.isEmpty() || first.stream().anyMatch(second::contains);
     }
 
-    /** Returns the smallest state in which both expectations apply, or null where their conditions exclude each other. */
+    /**
+     * Returns the smallest state in which both expectations apply, or null where their conditions exclude each other.
+     */
     static List<Condition> commonState(Expectation first, Expectation second) {
         if (first.conditions().isEmpty() != second.conditions().isEmpty()) {
             return null;
@@ -145,7 +149,7 @@
                 || second == Quantifier.NEVER && first != Quantifier.NEVER;
     }
 
-    /** Returns the smallest percentage of contacts that must have the outcome; 1 stands for at least one contact. */
+    /** Returns the smallest percentage of contacts that must have the outcome; 1 means at least one contact. */
     private static int minimumPercent(Expectation expectation) {
         return switch (expectation.quantifier()) {
             case ALWAYS -> 100;
--- a/src/main/java/martenslip/platform/contact/CallerMessages.java
+++ b/src/main/java/martenslip/platform/contact/CallerMessages.java
@@ -9,7 +9,7 @@
 public final class CallerMessages {
     private CallerMessages() {}
 
-    /** A response without a body to a request of a caller, encoded for the wire. */
+    /** A response without a body to a request of a caller, encoded as the bytes to send. */
     public static byte[] response(Request request, int status, String reason) {
         return request.createResponse(status, reason, null).bytes();
     }
--- a/src/main/java/martenslip/platform/switchconnection/LoadReportParser.java
+++ b/src/main/java/martenslip/platform/switchconnection/LoadReportParser.java
@@ -75,7 +75,7 @@
         return values;
     }
 
-    /** A -1 in a circuit field would mean that the switch has no group, so NaN stands for an absent value there. */
+    /** A -1 in a circuit field would mean that the switch has no group, so NaN means an absent value there. */
     private static float absentValue(int index) {
         return index < CIRCUIT_FIELDS ? Float.NaN : -1;
     }
--- a/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
+++ b/src/main/java/martenslip/platform/switchconnection/SwitchConnections.java
@@ -28,7 +28,7 @@
 /**
  * Connections to the switches: several to each switch, so that a broken one affects only a part of its contacts. They
  * are opened at once when a switch is listed and again after each loss, with bounded pauses. All state belongs to the
- * decision thread; reading threads pass on what they read through {@link DecisionExecutor}.
+ * decision thread; reading threads pass on the messages they read through {@link DecisionExecutor}.
  *
  * <p>LOAD messages are taken from one connection of a switch, the primary, and set-ups are sent on it while it is
  * established: messages on different connections overtake each other by milliseconds, and the load report of a release
@@ -322,6 +322,8 @@
         if (endpoint == null) {
             return null;
         }
+        // An estimate of the size: the description counts twice, as JSON escapes each line break and quote as two
+        // bytes.
         RevocableMessage message = new RevocableMessage(
                 SwitchMessage.MAX_START_BYTES_WITHOUT_DESCRIPTION
                         + 2 * request.description().length(),
--- a/src/main/java/martenslip/scenario/ControllerProcesses.java
+++ b/src/main/java/martenslip/scenario/ControllerProcesses.java
@@ -245,7 +245,7 @@
     /**
      * Stalls a thread of the controller.
      *
-     * @param lane the lane to stall; -1 for the deciding thread
+     * @param lane the lane to stall; -1 for the decision thread
      * @param messagePrefix stalls while sending a message that starts so; empty to stall between work items
      */
     void stall(int exchange, int lane, Span duration, String messagePrefix) throws IOException {
--- a/src/main/java/martenslip/sip/dialog/Dialog.java
+++ b/src/main/java/martenslip/sip/dialog/Dialog.java
@@ -73,7 +73,7 @@
                 -1);
     }
 
-    /** The dialog of a 2xx whose INVITE is no longer known, for ending it; the response has all that this needs. */
+    /** The dialog of a 2xx whose INVITE is no longer known, for ending it; the response has all the data needed. */
     static Dialog ofUnwantedSuccess(Response response) throws InvalidValueException {
         List<String> routes = new ArrayList<>(response.headers().all("Record-Route"));
         Collections.reverse(routes);
--- a/src/main/java/martenslip/sip/message/Message.java
+++ b/src/main/java/martenslip/sip/message/Message.java
@@ -99,7 +99,7 @@
 
     abstract String startLine();
 
-    /** The message as sent on the wire, with Content-Length as its last header. */
+    /** The message as it is sent, with Content-Length as its last header. */
     public byte[] bytes() {
         StringBuilder text = new StringBuilder(512).append(startLine()).append("\r\n");
         headers.removeAll("Content-Length");
--- a/src/main/java/martenslip/sip/message/MessageParser.java
+++ b/src/main/java/martenslip/sip/message/MessageParser.java
@@ -14,7 +14,7 @@
     public static final int MAX_MESSAGE_BYTES = 64 * 1024;
     /** Limit of header lines. */
     public static final int MAX_LINES = 128;
-    /** Limit of one line with what is folded onto it. */
+    /** Limit of one header line including its folded continuation lines. */
     public static final int MAX_LINE_BYTES = 8 * 1024;
 
     private static final int MAX_FAULT_TEXT_LENGTH = 120;
--- a/src/main/java/martenslip/sip/transaction/Transaction.java
+++ b/src/main/java/martenslip/sip/transaction/Transaction.java
@@ -3,7 +3,7 @@
 import martenslip.control.Span;
 import martenslip.eventloop.TimerWheel;
 
-/** Timers of a transaction: one retransmits what was sent, the other ends the transaction. */
+/** Timers of a transaction: one retransmits the message that was sent, the other ends the transaction. */
 abstract class Transaction {
     final TransactionLayer layer;
     TimerWheel.Timer retransmitTimer;
--- a/src/main/java/martenslip/sip/transport/ContentLengthFramer.java
+++ b/src/main/java/martenslip/sip/transport/ContentLengthFramer.java
@@ -86,7 +86,7 @@
     }
 
     /**
-     * Checks what has been received of the start line: it begins with a method or the version, and a request line ends
+     * Checks the received part of the start line: it begins with a method or the version, and a request line ends
      * with the version.
      */
     private void checkStartLine() throws FramingException {
--- a/src/main/java/martenslip/sip/transport/DropCounter.java
+++ b/src/main/java/martenslip/sip/transport/DropCounter.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts of what could not be answered or processed, by cause. Thread-safe. */
+/** Counts of messages and other input that could not be answered or processed, by cause. Thread-safe. */
 public final class DropCounter {
     private static final int MAX_DETAIL_LENGTH = 40;
 
--- a/src/main/java/martenslip/sip/transport/RevocableMessage.java
+++ b/src/main/java/martenslip/sip/transport/RevocableMessage.java
@@ -7,7 +7,7 @@
  * A message that can be revoked until its write begins. The change of {@code state} is the single moment at which it
  * passes from its sender, who may revoke it, to the writing thread. The supplier is asked just before, since the
  * message may have waited behind others, for a peer that does not read, or for a connection to be established. Once it
- * is revoked, no byte of it is or will be on the wire.
+ * is revoked, no byte of it has been or will be sent.
  */
 public final class RevocableMessage implements OutgoingMessage {
     private enum State {
--- a/src/main/java/martenslip/standin/LightweightSwitch.java
+++ b/src/main/java/martenslip/standin/LightweightSwitch.java
@@ -46,7 +46,10 @@
         return accepted.sum();
     }
 
-    /** INVITEs for which the group had no circuit left: rings that the controller should not have sent. */
+    /**
+     * INVITEs for which the group had no circuit left: rings that the controller should not have sent. Also counts each
+     * I/O error of the socket while it is open, so that a result of 0 excludes those too.
+     */
     public long rejectedForNoCircuit() {
         return rejectedForNoCircuit.sum();
     }
--- a/src/main/java/martenslip/standin/ProcessorModel.java
+++ b/src/main/java/martenslip/standin/ProcessorModel.java
@@ -10,7 +10,10 @@
  * Time is a parameter, so that real and simulated time can both drive it.
  */
 public final class ProcessorModel {
-    /** Kinds of work with their cost in set-ups; the front end's own responses and ACKs cost almost nothing. */
+    /**
+     * Kinds of work with their cost in set-ups: the processor time of the work over that of one {@link #SET_UP}. The
+     * front end's own responses and ACKs cost almost nothing.
+     */
     public enum WorkType {
         /** Forwarding a contact to the exchange's controller. */
         ROUTE(0.25),
--- a/src/main/java/martenslip/tracking/ContactRegistry.java
+++ b/src/main/java/martenslip/tracking/ContactRegistry.java
@@ -19,8 +19,8 @@
  * Tracks the contacts that the module knows and the events it was notified of for each, so that the module is notified
  * of each event once and in order while the threads around it are replaced. The lane that sends the rings numbers them;
  * a module that took over a contact in progress numbers its own rings from 0, so each contact has an offset. After a
- * replacement the registry compares what a lane still holds with what the module was notified of, and notifies the
- * module of the difference.
+ * replacement the registry compares the contacts that a lane still holds with the events that the module was
+ * notified of, and notifies the module of the difference.
  *
  * <p>Without I/O, threads or clock; owned by the thread that owns the module. Its size is bounded by the open contacts.
  */
@@ -64,7 +64,9 @@
         int inFlightRing = -1;
         long target;
         boolean offered;
+        /** A ring of the contact was established; stays true after that ring has ended. */
         boolean established;
+
         boolean answered;
 
         Entry(Contact contact, int lane, Moment takenAt) {
@@ -137,7 +139,7 @@
         return entry == null ? -1 : entry.firstModuleRing + ring;
     }
 
-    /** The module gave its final answer. */
+    /** The module has ordered the final answer. */
     public void contactAnswered(long contact) {
         Entry entry = entries.get(contact);
         if (entry != null) {
@@ -188,14 +190,14 @@
     }
 
     /**
-     * Whether the switch may still hold circuits after a ring that ended this way. Rule 5: no ring is then sent for the
-     * contact during the release time.
+     * Whether the switch may still hold circuits after a ring that ended this way. The release time (rule 5 of {@link
+     * martenslip.control}) then passes before the next ring of the contact.
      */
     public static boolean mayHoldCircuits(RingEndCause cause) {
         return cause == RingEndCause.TIMED_OUT || cause == RingEndCause.CUT || cause == RingEndCause.CALLED_OFF;
     }
 
-    /** The caller is gone, or the lane gave the final answer itself. */
+    /** The caller is gone, or the lane sent the final answer itself. */
     public void callerGone(Moment now, long contact) {
         Entry entry = entries.get(contact);
         if (entry == null || entry.answered) {
@@ -217,7 +219,7 @@
         }
     }
 
-    /** Compares the registry with all that a lane holds, after the lane's thread or this one was replaced. */
+    /** Compares the registry with all contacts that a lane holds, after the lane's thread or this one was replaced. */
     public void reconcileLane(Moment now, int lane, List<LaneContact> laneContacts) {
         Map<Long, LaneContact> byId = new HashMap<>();
         laneContacts.forEach(laneContact -> byId.put(laneContact.contact().id(), laneContact));
--- a/src/main/java/martenslip/verification/ColdStartRule.java
+++ b/src/main/java/martenslip/verification/ColdStartRule.java
@@ -10,8 +10,8 @@
 import martenslip.control.Span;
 
 /**
- * Rule 4: in any window of the configured length, all controllers together send a cold switch no more rings than the
- * configured multiple of its capacity at that time.
+ * Rule 4 (cold start): in any window of the configured length, all controllers together send a cold switch no more
+ * rings than the configured multiple of its capacity at that time.
  */
 final class ColdStartRule {
     /** Rings above the limit that count as chance; the simulated switch allows as many before it fails. */
--- a/src/main/java/martenslip/verification/DrainRule.java
+++ b/src/main/java/martenslip/verification/DrainRule.java
@@ -12,8 +12,8 @@
 import martenslip.sip.message.Request;
 
 /**
- * Rule 3: a controller sends no new ring to a switch once the grace period has passed since it was notified that the
- * switch is draining or gone.
+ * Rule 3 (drain): a controller sends no new ring to a switch once the grace period has passed since it was notified
+ * that the switch is draining or gone.
  */
 final class DrainRule {
     private static final XmlFileReader SCHEMA_READER = XmlFileReader.forSchema("switches.xsd");
--- a/src/main/java/martenslip/verification/FinalAnswerRule.java
+++ b/src/main/java/martenslip/verification/FinalAnswerRule.java
@@ -14,8 +14,8 @@
 import martenslip.sip.message.Response;
 
 /**
- * Rule 1: each contact that reached a running controller gets one final answer within its patience. That no ring
- * follows the answer is checked by {@link RingRules}.
+ * Rule 1 (final answer): each contact that reached a running controller gets one final answer within its patience. That
+ * no ring follows the answer is checked by {@link RingRules}.
  */
 final class FinalAnswerRule {
     /** Allowed delay past the caller's patience; the benchmark allows its clients as much. */
--- a/src/main/java/martenslip/verification/RingRules.java
+++ b/src/main/java/martenslip/verification/RingRules.java
@@ -13,8 +13,8 @@
 import martenslip.sip.message.Response;
 
 /**
- * Rule 2 (a contact has at most one ring in flight) and rule 5 (the release time passes before the next ring). It also
- * checks the part of rule 1 that no ring is sent after the final answer, and reports that under rule 2.
+ * Rule 2 (one ring in flight) and rule 5 (the release time passes before the next ring) of {@link martenslip.control}.
+ * It also checks the part of rule 1 (final answer) that no ring is sent after it, and reports that under rule 2.
  *
  * <p>A ring is in flight from its INVITE to the final response that reached its controller, or to its CANCEL. A ring
  * without any response counts as in flight until its last INVITE, because CANCEL may not be sent before a response.
--- a/src/main/java/martenslip/verification/RuleVerifier.java
+++ b/src/main/java/martenslip/verification/RuleVerifier.java
@@ -120,7 +120,10 @@
         }
     }
 
-    /** The results of rules 1 to 5 in order. To be called once, after the last record. */
+    /**
+     * The results of the five rules of {@link martenslip.control}, in their order. To be called once, after the last
+     * record.
+     */
     public List<RuleResult> results() {
         List<RuleResult> results = new ArrayList<>();
         results.add(finalAnswerRule.result());
--- a/src/main/java/martenslip/watchdog/Watchdog.java
+++ b/src/main/java/martenslip/watchdog/Watchdog.java
@@ -21,9 +21,15 @@
     public static final Span CHECK_INTERVAL = Span.ofMillis(20);
     /** A check later than this shows that the process did not run, but not which thread stalled. */
     private static final Span MAX_CHECK_GAP = Span.ofMillis(60);
-    /** Time that a replacement gets to take over the state of its predecessor before it is checked. */
+    /**
+     * Time that a replacement gets before it is checked. It first takes over the state of its predecessor, without a
+     * loop iteration, and would otherwise be replaced while it does so.
+     */
     private static final Span REPLACEMENT_GRACE = Span.ofMillis(500);
-    /** Replacements within {@link #REPLACEMENT_WINDOW}; beyond them the machine itself fails and more threads don't help. */
+    /**
+     * Maximum number of replacements, of all threads together, within {@link #REPLACEMENT_WINDOW}. Beyond it the
+     * machine itself fails and more threads don't help; each hung thread also remains.
+     */
     private static final int MAX_REPLACEMENTS = 8;
 
     /** Period over which replacements are counted. */
--- a/src/test/java/martenslip/ArchitectureTest.java
+++ b/src/test/java/martenslip/ArchitectureTest.java
@@ -193,7 +193,7 @@
     }
 
     /**
-     * The contact table receives what the socket packages deliver; none of these packages depends on
+     * The contact table receives the events that the socket packages deliver; none of these packages depends on
      * another, and the contact table depends on none.
      */
     @Test
--- a/src/test/java/martenslip/BadInputTest.java
+++ b/src/test/java/martenslip/BadInputTest.java
@@ -149,7 +149,7 @@
     @Test
     public void faultWithoutStackTraceIsHandled() {
         ExchangeFixture exchange = exchange();
-        RuntimeException withoutTrace = new RuntimeException("planted", null, false, false) {
+        RuntimeException withoutTrace = new RuntimeException("injected", null, false, false) {
             private static final long serialVersionUID = 1L;
         };
         exchange.policy.contactManager.enqueue(manager -> {
--- a/src/test/java/martenslip/ColdStartFleetSimulation.java
+++ b/src/test/java/martenslip/ColdStartFleetSimulation.java
@@ -19,9 +19,9 @@
 import martenslip.control.SwitchEntry.State;
 
 /**
- * Simulates many modules that send to one switch while it is replaced, on simulated time. Measures what all of them
- * send to the cold switch against what the settings allow in each time window. Traffic is thin and uneven, and refused
- * callers redial. The simulation knows nothing of how the module spends its budget.
+ * Simulates many modules that send to one switch while it is replaced, on simulated time. Compares the rings that all
+ * of them send to the cold switch with the limit of the settings in each time window. Traffic is thin and uneven, and
+ * refused callers redial. The simulation knows nothing of how the module spends its budget.
  */
 final class ColdStartFleetSimulation {
     static final double WARM_UP_S = 14;
@@ -48,7 +48,10 @@
     /** The worst window: rings sent above the allowance N, in units of 2 sqrt(N) + 2; above 1 the switch fails. */
     record Result(double worst, int sent, double allowed, double sentCold) {}
 
-    /** A ring at the switch. A failure counts against the fleet if over two thirds of the senders in a window were notified. */
+    /**
+     * A ring at the switch. A failure counts against the fleet if over two thirds of the senders in a window were
+     * notified.
+     */
     private record Arrival(double at, boolean senderNotified) {}
 
     private record ScheduledEvent(double at, long order, Runnable action) {}
--- a/src/test/java/martenslip/ColdStartFleetTest.java
+++ b/src/test/java/martenslip/ColdStartFleetTest.java
@@ -7,11 +7,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The rings that a whole fleet sends to a cold switch stay within what the settings allow. */
+/** The rings that a whole fleet sends to a cold switch stay within the limit of the settings. */
 public class ColdStartFleetTest {
     private static final int SEEDS = 8;
 
-    /** Processes, calls a second, factor after the replacement, share started lately, whether the same machine restarts. */
+    /**
+     * Processes, calls a second, factor after the replacement, share started lately, whether the same machine restarts.
+     */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
--- a/src/test/java/martenslip/RuleChecker.java
+++ b/src/test/java/martenslip/RuleChecker.java
@@ -10,8 +10,9 @@
 import martenslip.control.Span;
 
 /**
- * Checks the operators' five rules on what passes between a program and its module, or between an exchange and the
- * network, without knowledge of the code under test. Contacts are named by their controller and id.
+ * Checks the operators' five rules (see {@link martenslip.control}) on all calls and messages between a program and its
+ * module, or between an exchange and the network, without knowledge of the code under test. Contacts are named by their
+ * controller and id.
  *
  * <ol>
  *   <li>Each contact gets one final answer within its patience, and no ring after it.
@@ -60,7 +61,7 @@
         unansweredUntil.put(contact, deadline);
     }
 
-    /** The controller gave a final answer, or a ring of the contact was established. */
+    /** The controller sent a final answer, or a ring of the contact was established. */
     public void contactAnswered(Moment now, String contact) {
         Moment deadline = unansweredUntil.remove(contact);
         if (deadline == null) {
@@ -133,7 +134,7 @@
         sentRings.clear();
     }
 
-    /** Called whenever time has advanced, as rule 1 can be violated without an event. */
+    /** Called whenever time has advanced, as rule 1 (final answer in time) can be violated without an event. */
     public void checkDeadlines(Moment now) {
         unansweredUntil.forEach((contact, deadline) -> {
             if (deadline.before(now)) {
--- a/src/test/java/martenslip/SimulatorProtocolTest.java
+++ b/src/test/java/martenslip/SimulatorProtocolTest.java
@@ -60,7 +60,7 @@
 
     @Test
     public void defersContactWithoutKnownSwitch() throws Exception {
-        byte[] reply = replyTo(batch(startRecord("classes.count=1\nunheard-of=7\n"), CONTACT_RECORD));
+        byte[] reply = replyTo(batch(startRecord("classes.count=1\nunknown-name=7\n"), CONTACT_RECORD));
         String replyHex = HexFormat.of().formatHex(reply);
         assertTrue(replyHex.contains("03f200000003000517755d3a91c4"), replyHex);
     }
--- a/src/test/java/martenslip/platform/contact/ContactTableModel.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableModel.java
@@ -52,7 +52,7 @@
     private int brokenConnectionCount;
     private int endedProcessCount;
 
-    /** {@code releaseTime} is what the rules require; the module is given 300 ms. */
+    /** {@code releaseTime} is the one that the rules require; the module is given 300 ms. */
     ContactTableModel(Scenario scenario, Span releaseTime) {
         super(new RuleChecker(Span.ofMillis(2000), releaseTime, Span.ofMillis(10_000)), "switch-over");
         this.scenario = scenario;
--- a/src/test/java/martenslip/platform/contact/ContactTableTest.java
+++ b/src/test/java/martenslip/platform/contact/ContactTableTest.java
@@ -14,7 +14,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each event of callers, switches and the module on a contact table: what it sends and what it reports. */
+/**
+ * Each event of callers, switches and the module on a contact table: the messages it sends and the events it reports.
+ */
 public class ContactTableTest {
     private static final float[] NO_REPORT = {};
     private ContactTableHarness harness;
@@ -238,7 +240,7 @@
         assertEquals(harness.takeNotifications(), List.of("ring ended 1 0 NOT_SENT NONE false"));
     }
 
-    /** Rule 5: the release time counts from when the FINISH is written, not from when it is ordered. */
+    /** Rule 5 (release time): it counts from when the FINISH is written, not from when it is ordered. */
     @Test
     public void aCancelledAttemptEndsOnceItsFinishIsWritten() {
         offerAndRing();
--- a/src/test/java/martenslip/platform/contact/EndCauseTest.java
+++ b/src/test/java/martenslip/platform/contact/EndCauseTest.java
@@ -9,7 +9,7 @@
 
 /** Q.850 causes and notes of a switch become causes and reasons of the routing module. */
 public class EndCauseTest {
-    /** Cause and note as the platform sends them, and what the module is notified of. */
+    /** Cause and note as the platform sends them, and the cause that the module is notified of. */
     @DataProvider
     public Object[][] causes() {
         return new Object[][] {
--- a/src/test/java/martenslip/platform/contact/WriteQueueInterleavingTest.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueInterleavingTest.java
@@ -56,6 +56,6 @@
     public void anInjectedFaultIsFound(InjectedFault injectedFault) {
         SearchResult result = search(new Scenario(1, 2, true), injectedFault, 5);
         assertTrue(result.fault() != null, injectedFault + " was not found in " + result.sequences() + " orders");
-        System.out.println("planted " + injectedFault + ": " + result.fault());
+        System.out.println("injected " + injectedFault + ": " + result.fault());
     }
 }
--- a/src/test/java/martenslip/scenario/EndToEndTest.java
+++ b/src/test/java/martenslip/scenario/EndToEndTest.java
@@ -145,7 +145,7 @@
                 () -> environment.exchanges.get(0).statistics().contains("taken=1 "), "taken");
         environment.links.get(0).setSilent(true);
         environment.exchanges.get(0).close();
-        ThreeExchangeEnvironment.await(() -> environment.endedCount() == 1, "the caller gave up");
+        ThreeExchangeEnvironment.await(() -> environment.endedCount() == 1, "the caller's end");
         long patienceEnd = System.nanoTime() + 200_000_000;
         ThreeExchangeEnvironment.await(
                 () -> System.nanoTime() > patienceEnd, "the patience ended at the controller too");
--- a/src/test/java/martenslip/scenario/InjectedRing.java
+++ b/src/test/java/martenslip/scenario/InjectedRing.java
@@ -29,7 +29,7 @@
                                     + ":"
                                     + switchAddress.getPort() + " SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.1.100:"
                                     + socket.getLocalPort()
-                                    + ";branch=z9hG4bKplanted\r\nFrom: <sip:x@h>;tag=p\r\nTo: <sip:y@h>\r\nCall-ID: planted\r\n"
+                                    + ";branch=z9hG4bKinjected\r\nFrom: <sip:x@h>;tag=p\r\nTo: <sip:y@h>\r\nCall-ID: injected\r\n"
                                     + "CSeq: 1 INVITE\r\nMax-Forwards: 70\r\nContact: <sip:x@127.0.0.1:9>\r\nSession-ID: "
                                     + sessionId[0] + "\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII);
--- a/src/test/java/martenslip/scenario/MultiLaneTest.java
+++ b/src/test/java/martenslip/scenario/MultiLaneTest.java
@@ -63,7 +63,7 @@
         };
     }
 
-    /** Index 3 with 3 lanes is the deciding thread. Contacts arrive before, during and after the stall. */
+    /** Index 3 with 3 lanes is the decision thread. Contacts arrive before, during and after the stall. */
     @Test(dataProvider = "stalls")
     public void stalledThreadLosesNoContact(
             Hop.Protocol protocol, int lanes, int threadIndex, String messagePrefix, Span duration) throws Exception {
