--- a/src/main/java/martenslip/expect/ExpectationChecker.java
+++ b/src/main/java/martenslip/expect/ExpectationChecker.java
@@ -14,8 +14,8 @@
 import martenslip.expect.Expectation.Route;
 
 /**
- * Checks expectations against what the routing policy does, by simulated contacts. Random choices of a tandem are
- * covered by several seeds: if n trials pass, a failure rate above 3/n would have shown with a probability of 95
+ * Checks expectations against the behaviour of the routing policy, by simulated contacts. Random choices of a tandem
+ * are covered by several seeds: if n trials pass, a failure rate above 3/n would have shown with a probability of 95
  * percent. Expectations share the results of equal trials. Not thread-safe.
  */
 public final class ExpectationChecker {
--- a/src/main/java/martenslip/sip/Endpoint.java
+++ b/src/main/java/martenslip/sip/Endpoint.java
@@ -69,7 +69,7 @@
         return transport;
     }
 
-    /** Counts of what was dropped, by cause. */
+    /** Counts of dropped messages and connections, by cause. */
     public DropCounter dropCounter() {
         return transport.dropCounter();
     }
--- a/src/main/java/martenslip/sip/transport/ConnectionThreadPool.java
+++ b/src/main/java/martenslip/sip/transport/ConnectionThreadPool.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Runs a reading loop on a thread of its own until it returns. Throws what the executor throws if there is no
+     * Runs a reading loop on a thread of its own until it returns. Throws the executor's exception if there is no
      * thread.
      */
     void executeRead(Runnable task) {
--- a/src/main/java/martenslip/sip/transport/Transport.java
+++ b/src/main/java/martenslip/sip/transport/Transport.java
@@ -58,7 +58,7 @@
         this.interceptor = interceptor;
     }
 
-    /** Counts of what was dropped, by cause. */
+    /** Counts of dropped messages and connections, by cause. */
     public DropCounter dropCounter() {
         return dropCounter;
     }
--- a/src/test/java/martenslip/platform/contact/WriteQueueModel.java
+++ b/src/test/java/martenslip/platform/contact/WriteQueueModel.java
@@ -26,8 +26,8 @@
 /**
  * The contact table, the real routing module and revocable messages between callers and one switch, with the places
  * where something may wait: the inbox of the decision thread, a connection that is not up, a writer that is held. Any
- * event may come while something waits. The rules are checked on what is written to the switch and to callers, and
- * when.
+ * event may come while something waits. The rules are checked on the messages written to the switch and to callers,
+ * and on their times.
  */
 final class WriteQueueModel extends CheckedOutboundMessages implements InterleavingExplorer.Simulation {
     /** A fault that is injected to check that the rules find it. */
@@ -350,7 +350,7 @@
 
             @Override
             public void completed() {
-                // The FINISH is lost with its connection; the switch then ends by itself what was started on it.
+                // The FINISH is lost with its connection; the switch then ends by itself the attempts started on it.
                 finish.run();
                 if (injectedFault != InjectedFault.FINISH_REPORTED_BEFORE_WRITE) {
                     inbox.add(written);
